--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -329,7 +329,7 @@
         }
         if next == Next::Again {
             let now = self.entry.now();
-            let entries = self.entry.view().entries();
+            let entries = self.entry.view().entry_count();
             let allowance = &mut self.entry.shared().allowance;
             if !allowance.take(now, &self.call.service, entries) {
                 next = retry::give_up(self.tries, failure);
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -88,7 +88,10 @@
         if !starting && !view.has_more() {
             return self.poll;
         }
-        let crowd = view.counted().unwrap_or_default().max(FILLING_ENTRIES);
+        let crowd = view
+            .counted_entries()
+            .unwrap_or_default()
+            .max(FILLING_ENTRIES);
         (FILLING * crowd / FILLING_ENTRIES).min(self.poll)
     }
 
--- a/src/entry/limit.rs
+++ b/src/entry/limit.rs
@@ -34,7 +34,7 @@
     /// against the upstream's rate limit.
     pub(super) fn acquire_send(&self, upstream: &Upstream) -> bool {
         let entry = &self.entry;
-        let (now, instances) = (entry.now(), entry.view().entries());
+        let (now, instances) = (entry.now(), entry.view().entry_count());
         let limiter = &mut entry.shared().rate_limiter;
         limiter.try_acquire(now, upstream.key, &upstream.id, upstream.born, instances)
     }
@@ -61,7 +61,7 @@
 
     fn apply_limit(&self, now: Time, address: u64, update: LimitUpdate, source: &'static str) {
         let (id, limit) = (update.upstream.id.clone(), update.limit);
-        let instances = self.view().entries();
+        let instances = self.view().entry_count();
         let draw = rand::rng().random();
         let limiter = &mut self.shared().rate_limiter;
         if limiter.apply(now, address, update, instances, draw) {
--- a/src/entry/measure.rs
+++ b/src/entry/measure.rs
@@ -16,7 +16,7 @@
         metrics::gauge!(metric::WAITING.name).set(waiting as f64);
         metrics::gauge!(metric::SHARERS.name).set(self.sharers());
         metrics::gauge!(metric::VERSION.name).set(view.version() as f64);
-        let lease = view.until.since(now);
+        let lease = view.lease_end.since(now);
         metrics::gauge!(metric::LEASE.name).set(lease.as_secs_f64());
         let complete = u8::from(view.is_complete());
         metrics::gauge!(metric::COMPLETE.name).set(complete);
@@ -39,7 +39,7 @@
                 metrics::gauge!(name, "service" => service.clone(), "state" => state).set(count);
             }
             metrics::gauge!(metric::BOOKED.name, "service" => service.clone()).set(booked);
-            let left = shared.allowance.left(now, service, view.entries());
+            let left = shared.allowance.left(now, service, view.entry_count());
             metrics::gauge!(metric::RETRIES.name, "service" => service.clone()).set(left);
         }
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -205,7 +205,7 @@
 
     /// Among how many the room on the engines is divided.
     fn sharers(&self) -> f64 {
-        let instances = self.view().entries();
+        let instances = self.view().entry_count();
         self.shared().loads.demand.sharers(instances)
     }
 
@@ -213,7 +213,7 @@
     fn learn(&self, sent: Time, state: State) -> bool {
         let before = self.view();
         let mut view = View::clone(&before);
-        let learnt = view.learn(sent, state, self.lease);
+        let learnt = view.apply(sent, state, self.lease);
         self.forget_lifted(&before, &view);
         self.view.store(Arc::new(view));
         self.news.notify_waiters();
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -8,30 +8,30 @@
 use crate::roster::Range;
 
 /// Factor on the cost of an engine whose heartbeats are late.
-const LATE: f64 = 4.0;
+const LATE_PENALTY: f64 = 4.0;
 
 /// Factor on the cost of an engine that fails a part of its requests. It is used
 /// only where there is no path without such ones, and then as few as can be.
-const FAILING: f64 = 8.0;
+const FAILING_PENALTY: f64 = 8.0;
 
 /// Half the width of the random factor on an engine's cost.
-const NOISE: f64 = 0.1;
+const JITTER: f64 = 0.1;
 
 /// Which engines a path may pass through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trust {
+pub(crate) enum HealthPolicy {
     /// Those that aren't left out.
-    Sound,
+    HealthyOnly,
     /// Those too that are left out, but live.
-    Living,
+    AllowFailing,
 }
 
-impl Trust {
+impl HealthPolicy {
     /// Factor on the cost of an engine; none of one that may not be used.
     pub(crate) fn factor(self, standing: Standing) -> Option<f64> {
         match (self, standing) {
             (_, Standing::Sound) => Some(1.0),
-            (Self::Living, Standing::Failing) => Some(FAILING),
+            (Self::AllowFailing, Standing::Failing) => Some(FAILING_PENALTY),
             _ => None,
         }
     }
@@ -113,7 +113,7 @@
     /// the others stay, so that only what is replaced is read again; and it
     /// stays in the domain, since a whole prompt would have to cross the shared
     /// link.
-    pub(crate) fn around(
+    pub(crate) fn replace(
         &self,
         lost: u64,
         booked: &[(u64, Hop)],
@@ -129,7 +129,7 @@
             layer: range.first,
             domain: self.domain(&home.domain)?,
         };
-        let noise = |i: usize| spread((draw * 97.0 + i as f64 * 0.618).fract());
+        let noise = |i: usize| jitter((draw * 97.0 + i as f64 * 0.618).fract());
         let found = path::choose(range.end, start, &self.candidates, work, noise).ok()?;
         let mut hops = booked.to_vec();
         hops.splice(at..=at, self.booking(&found));
@@ -141,7 +141,7 @@
 /// their layers; none if the first is one of them. That one has the caller's
 /// connection and can't be replaced, and refuses a path in which it is named
 /// with layers that it gives up.
-pub(crate) fn given_up(upstreams: &[Upstream], booked: &[(u64, Hop)]) -> Vec<u64> {
+pub(crate) fn withdrawn(upstreams: &[Upstream], booked: &[(u64, Hop)]) -> Vec<u64> {
     let stays = |key: u64, part: Range| {
         let mut same = upstreams.iter().filter(|u| u.key == key);
         same.any(|u| u.layers.is_some_and(|held| held.covers(part)))
@@ -156,8 +156,8 @@
 
 /// A factor on a cost, from a `draw` between 0 and 1. Engines of equal cost
 /// take turns by it, though all instances see the same.
-pub(crate) fn spread(draw: f64) -> f64 {
-    1.0 + NOISE * (2.0 * draw - 1.0)
+pub(crate) fn jitter(draw: f64) -> f64 {
+    1.0 + JITTER * (2.0 * draw - 1.0)
 }
 
 fn domains(upstreams: &[Upstream]) -> Vec<&str> {
@@ -207,6 +207,6 @@
         open: loads.may_add(upstream.key, speed.room_mb, usual, share),
         used: speed.used,
         enters: loads.at(upstream.key).entered < f64::from(upstream.slots),
-        penalty: if upstream.late { LATE } else { 1.0 },
+        penalty: if upstream.late { LATE_PENALTY } else { 1.0 },
     })
 }
--- a/src/entry/select.rs
+++ b/src/entry/select.rs
@@ -4,7 +4,7 @@
 
 use rand::RngExt;
 
-use super::pool::{self, Pool, Trust};
+use super::pool::{self, HealthPolicy, Pool};
 use super::view::{Upstream, View, of_service};
 use super::{Entry, Shared};
 use crate::clock::Time;
@@ -66,16 +66,16 @@
 
     /// Engines of the path that get nothing new of `service` any more and can
     /// be replaced.
-    pub(super) fn given_up(&self, service: &str) -> Vec<u64> {
+    pub(super) fn withdrawn(&self, service: &str) -> Vec<u64> {
         let view = self.entry.view();
-        pool::given_up(of_service(&view.services, service), &self.booked)
+        pool::withdrawn(of_service(&view.services, service), &self.booked)
     }
 
     /// A path around some engines, over others of the same `service`; over
     /// failing ones where nothing else leads around.
     pub(super) fn detour(&self, service: &str, lost: &[u64], model: &Model) -> Option<Detour> {
-        let over = |trust| self.detour_over(service, lost, model, trust);
-        over(Trust::Sound).or_else(|| over(Trust::Living))
+        let over = |policy| self.detour_over(service, lost, model, policy);
+        over(HealthPolicy::HealthyOnly).or_else(|| over(HealthPolicy::AllowFailing))
     }
 
     fn detour_over(
@@ -83,7 +83,7 @@
         service: &str,
         lost: &[u64],
         model: &Model,
-        trust: Trust,
+        policy: HealthPolicy,
     ) -> Option<Detour> {
         let view = self.entry.view();
         let now = self.entry.now();
@@ -97,8 +97,8 @@
         for lost in lost {
             let passed: Vec<u64> = hops.iter().map(|(key, _)| *key).collect();
             let usable = |u: &Upstream| !u.late && !passed.contains(&u.key);
-            let pool = shared.pool(now, &view, service, model, trust, usable);
-            hops = pool.around(*lost, &hops, &work, rand::rng().random())?;
+            let pool = shared.pool(now, &view, service, model, policy, usable);
+            hops = pool.replace(*lost, &hops, &work, rand::rng().random())?;
         }
         drop(shared);
         assert!(
@@ -137,15 +137,15 @@
         view: &'a View,
         service: &str,
         model: &Model,
-        trust: Trust,
+        policy: HealthPolicy,
         usable: impl Fn(&Upstream) -> bool,
     ) -> Pool<'a> {
         let factor = |u: &Upstream| {
             let standing = self.health.standing(now, u.key, u.late);
             let standing = standing.told(u.suspected);
-            trust.factor(standing).filter(|_| usable(u))
+            policy.factor(standing).filter(|_| usable(u))
         };
-        let (services, instances) = (&view.services, view.entries());
+        let (services, instances) = (&view.services, view.entry_count());
         Pool::new(services, service, model, &self.loads, instances, factor)
     }
 }
@@ -232,9 +232,9 @@
         work: Work,
         exclusions: Exclusions<'_>,
     ) -> Result<Chosen, Reason> {
-        let over = |trust| self.path_over(view, service, model, work, exclusions, trust);
-        match over(Trust::Sound) {
-            Err(Reason::NoUpstream) => over(Trust::Living),
+        let over = |policy| self.path_over(view, service, model, work, exclusions, policy);
+        match over(HealthPolicy::HealthyOnly) {
+            Err(Reason::NoUpstream) => over(HealthPolicy::AllowFailing),
             found => found,
         }
     }
@@ -246,11 +246,13 @@
         model: &Model,
         mut work: Work,
         exclusions: Exclusions<'_>,
-        trust: Trust,
+        policy: HealthPolicy,
     ) -> Result<Chosen, Reason> {
         let now = self.now();
         let usable = |u: &Upstream| !exclusions.tried.contains(&u.key);
-        let mut pool = self.shared().pool(now, view, service, model, trust, usable);
+        let mut pool = self
+            .shared()
+            .pool(now, view, service, model, policy, usable);
         pool.restrict_entry(|u| exclusions.may_enter(u.key));
         let shared = self.shared();
         let limiter = &shared.rate_limiter;
@@ -262,7 +264,7 @@
         let noise: Vec<f64> = pool
             .candidates
             .iter()
-            .map(|_| pool::spread(rng.random()))
+            .map(|_| pool::jitter(rng.random()))
             .collect();
         let search = |work: &Work| {
             let noise = |i: usize| noise[i];
@@ -275,7 +277,7 @@
                 let crossings = path::crossings(&pool.candidates, &hops) as f64;
                 let occupied = crossings * work.occupies();
                 let link = &mut self.shared().link;
-                let free = link.take(now, view.entries(), occupied);
+                let free = link.take(now, view.entry_count(), occupied);
                 if free { Ok(hops) } else { Err(NoPath::Full) }
             });
         }
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -143,11 +143,11 @@
         let (now, service) = (run.entry.now(), &run.call.service);
         let roster = run.entry.view().roster();
         let chosen = &mut opened.chosen;
-        let must = || !chosen.given_up(service).is_empty();
+        let must = || !chosen.withdrawn(service).is_empty();
         if !self.leave.is_due(now, roster, must, rand::rng().random()) {
             return;
         }
-        let engines = chosen.given_up(service);
+        let engines = chosen.withdrawn(service);
         let done = engines.is_empty() || run.lead_around(&engines, chosen, GIVEN_UP).await;
         self.leave.tried(now, done);
     }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -69,7 +69,7 @@
     pub(crate) table: Option<Arc<Table>>,
     pub(crate) services: Arc<Services>,
     /// Until when keys may be used.
-    pub(crate) until: Time,
+    pub(crate) lease_end: Time,
     /// Entry instances as a leader counted them last.
     counted: Option<u32>,
     term: u64,
@@ -95,7 +95,7 @@
         Self {
             table: None,
             services: Arc::default(),
-            until: Time::default(),
+            lease_end: Time::default(),
             counted: None,
             term: 0,
             revision: 0,
@@ -120,12 +120,12 @@
     }
 
     /// Entry instances that share the limits.
-    pub(crate) fn entries(&self) -> u32 {
+    pub(crate) fn entry_count(&self) -> u32 {
         self.counted.unwrap_or(ASSUMED_ENTRIES)
     }
 
     /// Entry instances as a leader counted them; `None` before it did.
-    pub(crate) fn counted(&self) -> Option<u32> {
+    pub(crate) fn counted_entries(&self) -> Option<u32> {
         self.counted
     }
 
@@ -141,7 +141,7 @@
 
     /// Whether the configuration may be acted on.
     pub(crate) fn is_confirmed(&self, now: Time) -> bool {
-        self.table.is_some() && now < self.until
+        self.table.is_some() && now < self.lease_end
     }
 
     /// Returns the remaining time of a request's quarantine, if it has not expired.
@@ -172,7 +172,7 @@
 
     /// Takes in the answer to a question that was sent at `sent`. Returns
     /// whether it could be used.
-    pub(crate) fn learn(&mut self, sent: Time, state: State, lease: Duration) -> bool {
+    pub(crate) fn apply(&mut self, sent: Time, state: State, lease: Duration) -> bool {
         // A deposed leader that doesn't know yet may answer late. Nothing ever
         // goes back.
         if state.version < self.version() || self.is_unfit(&state) {
@@ -205,8 +205,8 @@
         // The leader confirmed `age` before the question reached it, and it
         // reached it after it was sent.
         let age = Duration::from_micros(state.age);
-        let until = (sent + lease) - age;
-        self.until = self.until.max(until);
+        let lease_end = (sent + lease) - age;
+        self.lease_end = self.lease_end.max(lease_end);
         true
     }
 
--- a/src/tests/pool.rs
+++ b/src/tests/pool.rs
@@ -5,7 +5,7 @@
 use super::decide::model;
 use crate::decide::load::Loads;
 use crate::decide::path::{Hop, Work};
-use crate::entry::pool::{Pool, given_up};
+use crate::entry::pool::{Pool, withdrawn};
 use crate::entry::view::{Services, Upstream};
 use crate::roster::Range;
 use crate::sync::address_key;
@@ -46,19 +46,19 @@
     engines.iter().map(hop).collect()
 }
 
-fn around(services: &Services, path: &[&Upstream], lost: &Upstream) -> Option<Vec<u64>> {
+fn replace(services: &Services, path: &[&Upstream], lost: &Upstream) -> Option<Vec<u64>> {
     let booked = booked(path);
     let factor = |u: &Upstream| {
         let passed = booked.iter().any(|(key, _)| *key == u.key);
         (!passed).then_some(1.0)
     };
     let pool = Pool::new(services, "letters", &model(), &Loads::default(), 1, factor);
-    let hops = pool.around(lost.key, &booked, &WORK, 0.5)?;
+    let hops = pool.replace(lost.key, &booked, &WORK, 0.5)?;
     Some(hops.into_iter().map(|(key, _)| key).collect())
 }
 
 #[test]
-fn around_stays_in_service() {
+fn replace_stays_in_service() {
     // Two services generate in one domain. An engine of the first dies in the
     // middle of a stream, and the only engine beside it with the same numbers
     // of layers holds the other service's model: led there, the caller would
@@ -68,62 +68,62 @@
     let mut services = Services::default();
     services.insert("letters".to_owned(), vec![head.clone(), tail.clone()]);
     services.insert("drafts".to_owned(), vec![other]);
-    assert_eq!(around(&services, &[&head, &tail], &tail), None);
+    assert_eq!(replace(&services, &[&head, &tail], &tail), None);
     let spare = engine(4, "north", 40, 80);
     services.get_mut("letters").unwrap().push(spare.clone());
-    let found = around(&services, &[&head, &tail], &tail);
+    let found = replace(&services, &[&head, &tail], &tail);
     assert_eq!(found, Some(vec![head.key, spare.key]));
 }
 
 #[test]
-fn around_stays_in_domain() {
+fn replace_stays_in_domain() {
     let (head, tail) = (engine(1, "north", 0, 40), engine(2, "north", 40, 80));
     let far = engine(3, "south", 40, 80);
     let mut services = Services::default();
     let engines = vec![head.clone(), tail.clone(), far];
     services.insert("letters".to_owned(), engines);
-    assert_eq!(around(&services, &[&head, &tail], &tail), None);
+    assert_eq!(replace(&services, &[&head, &tail], &tail), None);
 }
 
 #[test]
-fn around_keeps_first() {
+fn replace_keeps_first() {
     // The caller's connection ends at the first engine.
     let (head, tail) = (engine(1, "north", 0, 40), engine(2, "north", 40, 80));
     let copy = engine(3, "north", 0, 40);
     let mut services = Services::default();
     let engines = vec![head.clone(), tail.clone(), copy];
     services.insert("letters".to_owned(), engines);
-    assert_eq!(around(&services, &[&head, &tail], &head), None);
+    assert_eq!(replace(&services, &[&head, &tail], &head), None);
 }
 
 #[test]
-fn given_up_leaving() {
+fn withdrawn_leaving() {
     // The operator takes an engine away in the middle of streams. It serves on
     // for two seconds, the streams last for five: each was cut off.
     let (head, tail) = (engine(1, "north", 0, 40), engine(2, "north", 40, 80));
     let path = booked(&[&head, &tail]);
-    assert_eq!(given_up(&[head.clone(), tail.clone()], &path), [0; 0]);
-    assert_eq!(given_up(std::slice::from_ref(&head), &path), [tail.key]);
+    assert_eq!(withdrawn(&[head.clone(), tail.clone()], &path), [0; 0]);
+    assert_eq!(withdrawn(std::slice::from_ref(&head), &path), [tail.key]);
 }
 
 #[test]
-fn given_up_layers() {
+fn withdrawn_layers() {
     // The last engine is ordered to hold layers from 50 on only, and loads
     // others once all streams have passed that use the ones before.
     let (head, tail) = (engine(1, "north", 0, 40), engine(2, "north", 40, 80));
     let path = booked(&[&head, &tail]);
     let fewer = engine(2, "north", 50, 80);
-    assert_eq!(given_up(&[head.clone(), fewer], &path), [tail.key]);
+    assert_eq!(withdrawn(&[head.clone(), fewer], &path), [tail.key]);
     let more = engine(2, "north", 30, 80);
-    assert_eq!(given_up(&[head, more], &path), [0; 0]);
+    assert_eq!(withdrawn(&[head, more], &path), [0; 0]);
 }
 
 #[test]
-fn given_up_first() {
+fn withdrawn_first() {
     // The first engine refuses each order that names it with layers that it
     // gives up, so asking it only costs.
     let (head, tail) = (engine(1, "north", 0, 40), engine(2, "north", 40, 80));
     let path = booked(&[&head, &tail]);
-    assert_eq!(given_up(&[], &path), [0; 0]);
-    assert_eq!(given_up(&[tail], &path), [0; 0]);
+    assert_eq!(withdrawn(&[], &path), [0; 0]);
+    assert_eq!(withdrawn(&[tail], &path), [0; 0]);
 }
--- a/src/tests/roster.rs
+++ b/src/tests/roster.rs
@@ -270,7 +270,7 @@
         };
         let state = board.sync(now, ask, Duration::ZERO, None, register);
         most = most.max(state.encoded_len());
-        assert!(view.learn(now, state, BEAT));
+        assert!(view.apply(now, state, BEAT));
         if !view.has_more() {
             return most;
         }
--- a/src/tests/view.rs
+++ b/src/tests/view.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn learn_lease_from_sending() {
+fn apply_lease_from_sending() {
     // The answer comes late, and the leader's confirmation was old already. A
     // key may be taken away meanwhile: the lease counts from the confirmation.
     let mut view = View::new();
@@ -60,16 +60,16 @@
         age: 500_000,
         ..state(7)
     };
-    assert!(view.learn(at(1000), state, LEASE));
+    assert!(view.apply(at(1000), state, LEASE));
     assert!(view.is_confirmed(at(3999)));
     assert!(!view.is_confirmed(at(4000)));
 }
 
 #[test]
-fn learn_never_back() {
+fn apply_never_back() {
     let mut view = View::new();
-    view.learn(at(0), state(9), LEASE);
-    assert!(!view.learn(at(100), state(8), LEASE));
+    view.apply(at(0), state(9), LEASE);
+    assert!(!view.apply(at(100), state(8), LEASE));
     assert_eq!(view.version(), 9);
     assert!(
         !view.is_confirmed(at(3550)),
@@ -78,85 +78,85 @@
 }
 
 #[test]
-fn learn_undecodable() {
+fn apply_undecodable() {
     let mut view = View::new();
-    view.learn(at(0), state(7), LEASE);
+    view.apply(at(0), state(7), LEASE);
     let broken = State {
         body: Some("{".into()),
         ..state(8)
     };
-    assert!(!view.learn(at(1000), broken, LEASE));
+    assert!(!view.apply(at(1000), broken, LEASE));
     assert_eq!(view.version(), 7);
 }
 
 #[test]
-fn learn_new_leader_keeps() {
+fn apply_new_leader_keeps() {
     // A new leader has heard only some engines when it is first asked. The
     // others still serve; dropped, most requests would be refused for seconds.
     let mut view = View::new();
-    view.learn(at(0), with(roster(1, 5, true, &["a", "b", "c"])), LEASE);
+    view.apply(at(0), with(roster(1, 5, true, &["a", "b", "c"])), LEASE);
     let mut partial = roster(2, 2, false, &["a"]);
     partial.departed.push(Departed {
         id: "b".to_owned(),
         born: 0,
     });
-    view.learn(at(100), with(partial), LEASE);
+    view.apply(at(100), with(partial), LEASE);
     assert_eq!(ids(&view), ["a", "c"]);
     let mut rest = roster(2, 3, true, &[]);
     rest.since = 2;
-    view.learn(at(3000), with(rest), LEASE);
+    view.apply(at(3000), with(rest), LEASE);
     assert_eq!(ids(&view), ["a"]);
 }
 
 #[test]
-fn learn_part_by_part() {
+fn apply_part_by_part() {
     // A new leader tells of a large fleet in several answers. What it hasn't
     // told of yet still serves; what it told of doesn't go when the last part
     // comes, though that part doesn't name it.
     let mut view = View::new();
-    view.learn(at(0), with(roster(1, 9, true, &["a", "b", "c"])), LEASE);
+    view.apply(at(0), with(roster(1, 9, true, &["a", "b", "c"])), LEASE);
     let mut first = roster(2, 1, false, &["a"]);
     first.more = true;
-    assert!(view.learn(at(100), with(first), LEASE));
+    assert!(view.apply(at(100), with(first), LEASE));
     assert!(view.has_more());
     assert_eq!(ids(&view), ["a", "b", "c"]);
     let mut last = roster(2, 2, true, &["b"]);
     last.since = 1;
-    assert!(view.learn(at(200), with(last), LEASE));
+    assert!(view.apply(at(200), with(last), LEASE));
     assert_eq!(ids(&view), ["a", "b"]);
     assert!(view.is_complete() && !view.has_more());
 }
 
 #[test]
-fn learn_changes_only() {
+fn apply_changes_only() {
     // One engine leaves and one comes: the answer names just these two, and
     // the others stay.
     let mut view = View::new();
-    view.learn(at(0), with(roster(1, 3, true, &["a", "b"])), LEASE);
+    view.apply(at(0), with(roster(1, 3, true, &["a", "b"])), LEASE);
     let mut change = roster(1, 5, true, &["c"]);
     change.since = 3;
     change.gone.push("a".to_owned());
-    view.learn(at(100), with(change), LEASE);
+    view.apply(at(100), with(change), LEASE);
     assert_eq!(ids(&view), ["b", "c"]);
 }
 
 #[test]
-fn learn_unfit_part() {
+fn apply_unfit_part() {
     // A part that goes on behind one that was lost on the way would leave out
     // what that one told.
     let mut view = View::new();
-    view.learn(at(0), with(roster(1, 3, true, &["a"])), LEASE);
+    view.apply(at(0), with(roster(1, 3, true, &["a"])), LEASE);
     let mut change = roster(1, 6, true, &["c"]);
     change.since = 5;
-    assert!(!view.learn(at(100), with(change), LEASE));
+    assert!(!view.apply(at(100), with(change), LEASE));
     assert_eq!((ids(&view), view.roster()), (vec!["a"], (1, 3)));
 }
 
 #[test]
-fn learn_deposed_leader() {
+fn apply_deposed_leader() {
     let mut view = View::new();
-    view.learn(at(0), with(roster(3, 2, true, &["a"])), LEASE);
-    assert!(!view.learn(at(100), with(roster(2, 90, true, &["a", "b"])), LEASE));
+    view.apply(at(0), with(roster(3, 2, true, &["a"])), LEASE);
+    assert!(!view.apply(at(100), with(roster(2, 90, true, &["a", "b"])), LEASE));
     assert_eq!(ids(&view), ["a"]);
 }
 
@@ -196,15 +196,15 @@
         board.sync(at(now), ask, Duration::ZERO, None, &register)
     };
     let mut view = View::new();
-    assert!(view.learn(at(10), ask(&mut board, 10, 1), LEASE));
-    assert_eq!(view.counted(), None);
-    assert!(view.entries() > 50);
+    assert!(view.apply(at(10), ask(&mut board, 10, 1), LEASE));
+    assert_eq!(view.counted_entries(), None);
+    assert!(view.entry_count() > 50);
     ask(&mut board, 60, 2);
     ask(&mut board, 90, 3);
-    assert!(view.learn(at(400), ask(&mut board, 400, 1), LEASE));
-    assert_eq!((view.counted(), view.entries()), (Some(3), 3));
+    assert!(view.apply(at(400), ask(&mut board, 400, 1), LEASE));
+    assert_eq!((view.counted_entries(), view.entry_count()), (Some(3), 3));
     // The next leader hasn't heard of most of them.
     board.lead(at(500), 2, &register);
-    assert!(view.learn(at(510), ask(&mut board, 510, 1), LEASE));
-    assert_eq!(view.entries(), 3);
+    assert!(view.apply(at(510), ask(&mut board, 510, 1), LEASE));
+    assert_eq!(view.entry_count(), 3);
 }
