--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One request on its way through its attempts.
+//! Runs a request as a series of attempts at upstreams.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,10 +12,10 @@
 use super::body::Body;
 use super::crash::is_cut;
 use super::head;
-use super::listen::{failure, quarantined, refuse};
+use super::listen::{error_response, quarantine_body, refuse};
 use super::pool;
-use super::reroute::Silence;
-use super::select::{Chosen, Exclusions};
+use super::reroute::Stall;
+use super::select::{Exclusions, Selection};
 use super::view::of_service;
 use crate::clock::{Time, millis};
 use crate::configuration::{Model, Repeat, Route, Table};
@@ -32,31 +32,30 @@
 use crate::platform::headers;
 use crate::sync::key_address;
 
-/// Longest time to connect to an upstream. A connection takes one to two
-/// milliseconds; a lost packet would be sent again after a second, and another
-/// upstream can be asked sooner.
-const CONNECT: Duration = Duration::from_millis(250);
+/// Timeout for connecting to an upstream. Connecting takes 1 to 2 ms; a lost packet would be
+/// sent again only after 1 s, and another upstream can be tried sooner.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Objectives for which the first sign of an answer is awaited, where the
-/// request may be sent elsewhere. An engine that waits for a dead one behind it
-/// says so only after seconds.
-pub(super) const PATIENCE: u32 = 2;
+/// Multiple of the route's objective to wait for the first sign of a response, if the request
+/// may be sent elsewhere. An engine that waits for a dead one behind it reports so only after
+/// seconds.
+pub(super) const FIRST_BYTE_FACTOR: u32 = 2;
 
-/// Cause of a failure: an upstream takes no connection.
+/// Failure cause: connecting to the upstream failed.
 const NO_CONNECTION: &str = "connect";
 
-/// Cause of a failure: an upstream closed the connection before the response head.
+/// Failure cause: the upstream closed the connection before the response head.
 pub(super) const CUT: &str = "cut";
 
-/// Cause of a failure: an engine of the path is dead.
-pub(super) const DEAD_PART: &str = "dead_part";
+/// Failure cause: an engine of the path is dead.
+pub(super) const DEAD_ENGINE: &str = "dead_part";
 
-/// Cause of a failure: an upstream refused at once.
+/// Failure cause: the upstream refused at once.
 pub(super) const REFUSED: &str = "refused";
 
-/// A request that was looked up.
+/// An admitted request and its route.
 pub(super) struct Call {
-    /// Id that the client gave this attempt of its own.
+    /// Attempt id from the client.
     pub(super) attempt: String,
     pub(super) fingerprint: Fingerprint,
     /// Name of the caller's organisation; empty on a route without API keys.
@@ -65,52 +64,52 @@
     pub(super) service: String,
     pub(super) method: Method,
     pub(super) uri: Uri,
-    /// As upstreams get them, but for those that differ by attempt.
+    /// Headers for upstreams, without those that differ between attempts.
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
     pub(super) work: Work,
     pub(super) began: Time,
-    /// Time from `began` until the answer must be there.
-    pub(super) time: Duration,
+    /// Time from `began` by which the response must be complete.
+    pub(super) time_limit: Duration,
 }
 
-/// An attempt that was answered, as far as its head.
-pub(super) struct Opened {
+/// A response whose head was received and whose body is still to be read.
+pub(super) struct OpenResponse {
     pub(super) answer: Answer,
-    pub(super) chosen: Chosen,
+    pub(super) selection: Selection,
 }
 
-/// Why there is no answer from an upstream.
-pub(super) enum Final {
-    /// It did not run.
-    Refuse(Reason),
-    /// It may have run.
-    Fail,
-    /// The time is over.
-    Late,
-    /// An upstream ran it and answered with a failure.
-    Pass(Box<Opened>),
+/// Reason that a request ends without an upstream's response.
+pub(super) enum RunError {
+    /// No upstream ran the request.
+    NotRun(Reason),
+    /// An upstream may have run the request.
+    MayHaveRun,
+    /// The deadline has passed; an upstream may have run the request.
+    TimedOut,
+    /// An upstream ran the request and answered with a server error.
+    UpstreamError(Box<OpenResponse>),
 }
 
-/// A request with what became of its attempts.
+/// A request and the state of its attempts.
 pub(super) struct Run {
     pub(super) entry: Arc<Entry>,
     pub(super) table: Arc<Table>,
     pub(super) call: Call,
     tries: Tries,
-    /// Upstreams at which it failed.
-    tried: Vec<u64>,
-    /// The latest answer with an upstream's own failure.
-    kept: Option<Box<Opened>>,
+    /// Upstreams at which the request failed; they are not tried again.
+    failed_upstreams: Vec<u64>,
+    /// The latest server error from an upstream.
+    upstream_error: Option<Box<OpenResponse>>,
     /// See [`Run::is_ended`].
     pub(super) ended: AtomicBool,
     /// Id of the last event that the caller has, on a stream.
-    pub(super) last: Option<u64>,
+    pub(super) last_event: Option<u64>,
     /// Number of events with an id received in the current attempt, on a stream.
     pub(super) events: u64,
 }
 
-/// A caller that leaves drops the request at whatever it waits for.
+/// Records a request whose future was dropped: its caller disconnected, or the instance ended.
 impl Drop for Run {
     fn drop(&mut self) {
         if self.is_ended() {
@@ -123,23 +122,23 @@
             route = self.call.route.name,
             run = self.tries.run,
             idle = self.tries.idle,
-            last = self.last,
+            last = self.last_event,
             draining = self.entry.gate.closed(),
             took_ms = millis(self.entry.now().since(self.call.began)),
             left_ms = millis(self.left()),
-            "given up by its caller"
+            "request abandoned"
         );
     }
 }
 
-/// How one attempt ended.
+/// Result of one attempt.
 pub(super) enum Outcome {
-    Answered(Opened),
-    /// The upstream's own failure, which may be tried elsewhere.
-    Error(Opened),
+    Answered(OpenResponse),
+    /// A server error of the upstream; the request may be tried elsewhere.
+    UpstreamError(OpenResponse),
     Failed {
         failure: Failure,
-        /// Who is at fault, if known.
+        /// Upstream at fault, if known.
         culprit: Option<u64>,
         cause: &'static str,
     },
@@ -148,87 +147,90 @@
 impl Run {
     pub(super) fn new(entry: Arc<Entry>, table: Arc<Table>, call: Call) -> Self {
         entry.shared().allowance.request(call.began, &call.service);
-        let last = head::number(&call.headers, headers::LAST_EVENT);
+        let last_event = head::number(&call.headers, headers::LAST_EVENT);
         Self {
             entry,
             table,
             call,
             tries: Tries::default(),
-            tried: Vec::new(),
-            kept: None,
+            failed_upstreams: Vec::new(),
+            upstream_error: None,
             ended: AtomicBool::new(false),
-            last,
+            last_event,
             events: 0,
         }
     }
 
-    /// Whether its end was counted and logged.
+    /// Whether the end of the request was counted and logged.
     pub(super) fn is_ended(&self) -> bool {
         self.ended.load(Ordering::Relaxed)
     }
 
-    /// Time left.
+    /// Time left until the deadline.
     pub(super) fn left(&self) -> Duration {
         let passed = self.entry.now().since(self.call.began);
-        self.call.time.saturating_sub(passed)
+        self.call.time_limit.saturating_sub(passed)
     }
 
-    /// Makes attempts until one is answered with a usable head. Where all
-    /// failed and one brought an upstream's own failure, that is handed on: it
-    /// tells the caller more than that no answer came.
-    pub(super) async fn open(&mut self) -> Result<Opened, Final> {
-        let end = match self.attempts().await {
+    /// Makes attempts until one returns a usable response head. If all fail, returns the
+    /// latest server error of an upstream, if any: it tells the caller more than a generic
+    /// failure.
+    pub(super) async fn open(&mut self) -> Result<OpenResponse, RunError> {
+        let end = match self.run_attempts().await {
             Ok(opened) => return Ok(opened),
             Err(end) => end,
         };
-        Err(self.kept.take().map_or(end, Final::Pass))
+        Err(self
+            .upstream_error
+            .take()
+            .map_or(end, RunError::UpstreamError))
     }
 
-    async fn attempts(&mut self) -> Result<Opened, Final> {
+    async fn run_attempts(&mut self) -> Result<OpenResponse, RunError> {
         loop {
             let left = self.left();
             if left.is_zero() {
-                return Err(self.late());
+                return Err(self.timed_out());
             }
             if let Some(reason) = self.quarantined() {
-                return Err(self.nowhere(reason));
+                return Err(self.unsent(reason));
             }
             if self.model().is_some() {
                 self.entry.shared().loads.demand.ask();
             }
             let found = match self.choose(0.0) {
-                Ok(chosen) => Ok(chosen),
+                Ok(selection) => Ok(selection),
                 Err(reason) => self.wait(reason).await,
             };
             // The request may have been quarantined while it waited.
             if let Some(reason) = self.quarantined() {
-                return Err(self.nowhere(reason));
+                return Err(self.unsent(reason));
             }
             let full = matches!(found, Err(Reason::Full));
             let long = self.is_long();
             self.entry.shared().refused.note(full, long);
-            let chosen = found.map_err(|reason| self.nowhere(reason))?;
-            if !self.acquire_send(&chosen.upstream) {
+            let selection = found.map_err(|reason| self.unsent(reason))?;
+            if !self.acquire_send(&selection.upstream) {
                 continue;
             }
-            let first = chosen.upstream.key;
-            let alone = chosen.path.is_none();
-            let upstream = chosen.upstream.clone();
+            let first = selection.upstream.key;
+            let single = selection.path.is_none();
+            let upstream = selection.upstream.clone();
             self.events = 0;
-            let outcome = match timeout(left, self.attempt(chosen)).await {
+            let outcome = match timeout(left, self.attempt(selection)).await {
                 Ok(outcome) => outcome,
                 Err(_) => {
                     self.tries.count(Failure::Unknown);
-                    return Err(Final::Late);
+                    return Err(RunError::TimedOut);
                 }
             };
             match outcome {
                 Outcome::Answered(opened) => return Ok(opened),
-                Outcome::Error(opened) => {
-                    self.tried.push(first);
-                    self.kept = Some(Box::new(opened));
-                    if self.fail(Failure::Answered, "upstream_error") != Next::Again {
-                        return Err(Final::Fail);
+                Outcome::UpstreamError(opened) => {
+                    self.failed_upstreams.push(first);
+                    self.upstream_error = Some(Box::new(opened));
+                    if self.record_failure(Failure::Answered, "upstream_error") != Next::Again {
+                        return Err(RunError::MayHaveRun);
                     }
                 }
                 Outcome::Failed {
@@ -236,67 +238,70 @@
                     culprit,
                     cause,
                 } => {
-                    // Nobody is known to be at fault, but where one upstream alone
-                    // serves a request, another should be asked next.
-                    if alone && culprit.is_none() {
-                        self.tried.push(first);
+                    // No upstream is known to be at fault, but a plain service has other
+                    // upstreams to try next.
+                    if single && culprit.is_none() {
+                        self.failed_upstreams.push(first);
                     }
                     if is_cut(cause) {
                         self.record_cut(&upstream);
                     }
-                    self.blame(culprit, cause);
-                    match self.fail(failure, cause) {
+                    self.exclude_upstream(culprit, cause);
+                    match self.record_failure(failure, cause) {
                         Next::Again => {}
-                        Next::Refuse => return Err(Final::Refuse(Reason::NotRun)),
+                        Next::Refuse => return Err(RunError::NotRun(Reason::NotRun)),
                         Next::Pass | Next::Fail if self.left().is_zero() => {
-                            return Err(Final::Late);
+                            return Err(RunError::TimedOut);
                         }
-                        Next::Pass | Next::Fail => return Err(Final::Fail),
+                        Next::Pass | Next::Fail => return Err(RunError::MayHaveRun),
                     }
                 }
             }
         }
     }
 
-    /// Chooses where the next attempt goes, after waiting for `waited` of the
-    /// time that the request may wait.
-    pub(super) fn choose(&self, waited: f64) -> Result<Chosen, Reason> {
+    /// Selects where the next attempt goes. `waited` is the elapsed share of the time that the
+    /// request may wait.
+    pub(super) fn choose(&self, waited: f64) -> Result<Selection, Reason> {
         let view = self.entry.view();
         let mut work = self.call.work;
-        // Of one that has begun, the caller may have a part of the answer.
-        let begun = self.tries.run > 0 || self.last.is_some();
-        let first = self.is_long() && self.entry.shared().refused.starves_long();
+        // The caller may already have a part of the response.
+        let begun = self.tries.run > 0 || self.last_event.is_some();
+        let starved = self.is_long() && self.entry.shared().refused.starves_long();
         if begun {
             let starting = hold::is_starting(self.entry.started, self.entry.now());
             work.turns = load::begun_takes_turns(starting, waited);
-        } else if !first && let Some(model) = self.model() {
+        } else if !starved && let Some(model) = self.model() {
             work.spare = load::spare(work.tokens(), model.usual_tokens(), waited);
             work.turns = true;
         }
         let exclusions = Exclusions {
-            tried: &self.tried,
+            failed: &self.failed_upstreams,
             suspect: self.suspect(&view),
         };
         self.entry
             .choose(&view, &self.call.service, self.model(), work, exclusions)
     }
 
-    /// Whether the request is longer than usual ones of its model.
+    /// Whether the request has more tokens than is usual for its model.
     fn is_long(&self) -> bool {
         let tokens = self.call.work.tokens();
         self.model().is_some_and(|m| tokens > m.usual_tokens())
     }
 
-    /// Leaves an upstream out, for this request and for others.
-    pub(super) fn blame(&mut self, culprit: Option<u64>, cause: &'static str) {
+    /// Excludes an upstream from further attempts of this request, and marks it unhealthy for
+    /// other requests.
+    pub(super) fn exclude_upstream(&mut self, culprit: Option<u64>, cause: &'static str) {
         let Some(culprit) = culprit else { return };
-        self.tried.push(culprit);
+        self.failed_upstreams.push(culprit);
         let now = self.entry.now();
         match cause {
-            REFUSED if health::may_be_full(self.used(culprit)) => {
+            REFUSED if health::may_be_full(self.memory_used(culprit)) => {
                 self.entry.shared().health.refused(now, culprit);
             }
-            REFUSED | NO_CONNECTION | DEAD_PART => self.entry.shared().health.silent(now, culprit),
+            REFUSED | NO_CONNECTION | DEAD_ENGINE => {
+                self.entry.shared().health.silent(now, culprit)
+            }
             _ => self.entry.shared().health.failed(now, culprit),
         }
         tracing::info!(
@@ -305,12 +310,12 @@
             address = %key_address(culprit),
             cause,
             left_ms = millis(self.left()),
-            "left out"
+            "upstream excluded"
         );
     }
 
     /// Share of an engine's memory for requests that is booked.
-    fn used(&self, engine: u64) -> Option<f64> {
+    fn memory_used(&self, engine: u64) -> Option<f64> {
         let view = self.entry.view();
         let upstreams = of_service(&view.services, &self.call.service);
         let upstream = upstreams.iter().find(|u| u.key == engine)?;
@@ -318,8 +323,8 @@
         Some(speed?.used)
     }
 
-    /// Counts a failed attempt and decides what comes next.
-    pub(super) fn fail(&mut self, failure: Failure, cause: &'static str) -> Next {
+    /// Counts a failed attempt and decides on the next step.
+    pub(super) fn record_failure(&mut self, failure: Failure, cause: &'static str) -> Next {
         self.tries.count(failure);
         let route = &self.call.route;
         let left = self.left();
@@ -347,46 +352,46 @@
             run = self.tries.run,
             idle = self.tries.idle,
             left_ms = millis(left),
-            last = self.last,
+            last = self.last_event,
             "attempt failed"
         );
         next
     }
 
-    fn late(&self) -> Final {
+    fn timed_out(&self) -> RunError {
         match self.tries.run {
-            0 => Final::Refuse(Reason::NotRun),
-            _ => Final::Late,
+            0 => RunError::NotRun(Reason::NotRun),
+            _ => RunError::TimedOut,
         }
     }
 
-    fn nowhere(&self, reason: Reason) -> Final {
+    fn unsent(&self, reason: Reason) -> RunError {
         match self.tries.run {
-            0 => Final::Refuse(reason),
-            _ => Final::Fail,
+            0 => RunError::NotRun(reason),
+            _ => RunError::MayHaveRun,
         }
     }
 
-    /// One attempt, up to the head of its answer.
-    async fn attempt(&self, chosen: Chosen) -> Outcome {
-        let first = chosen.upstream.key;
+    /// Makes one attempt, up to the response head.
+    async fn attempt(&self, selection: Selection) -> Outcome {
+        let first = selection.upstream.key;
         let failed = |failure, cause| Outcome::Failed {
             failure,
             culprit: Some(first),
             cause,
         };
-        let address = chosen.upstream.address.into();
-        let Ok(connection) = Connection::open_within(address, CONNECT).await else {
+        let address = selection.upstream.address.into();
+        let Ok(connection) = Connection::open_within(address, CONNECT_TIMEOUT).await else {
             return failed(Failure::NotRun, NO_CONNECTION);
         };
-        let request = self.request(&chosen);
+        let request = self.request(&selection);
         tracing::info!(
             event = event::ATTEMPT_SENT.id,
             attempt = self.call.attempt,
             fingerprint = %self.call.fingerprint,
             route = self.call.route.name,
-            upstream = %chosen.upstream.id,
-            path = chosen.path,
+            upstream = %selection.upstream.id,
+            path = selection.path,
             left_ms = millis(self.left()),
             version = self.table.configuration.version,
             "sent"
@@ -394,20 +399,20 @@
         let cutoff = Cutoff::new(None, Arc::clone(&self.entry.clock));
         let patience = match self.call.route.repeat {
             Repeat::Never => self.left(),
-            _ => self.call.route.objective * PATIENCE,
+            _ => self.call.route.objective * FIRST_BYTE_FACTOR,
         };
         let sent = self.entry.now();
-        let mut chosen = chosen;
+        let mut selection = selection;
         let answer = connection.send(request, &cutoff);
-        match self.watch(answer, patience, &mut chosen).await {
-            Ok(Ok(answer)) => self.judge(sent, Opened { answer, chosen }),
+        match self.await_progress(answer, patience, &mut selection).await {
+            Ok(Ok(answer)) => self.classify(sent, OpenResponse { answer, selection }),
             Ok(Err(_)) => failed(Failure::Unknown, CUT),
-            Err(Silence::Lost(culprit)) => Outcome::Failed {
+            Err(Stall::DeadEngine(culprit)) => Outcome::Failed {
                 failure: Failure::Unknown,
                 culprit: Some(culprit),
-                cause: DEAD_PART,
+                cause: DEAD_ENGINE,
             },
-            Err(Silence::Unexplained) => Outcome::Failed {
+            Err(Stall::Unknown) => Outcome::Failed {
                 failure: Failure::Unknown,
                 culprit: None,
                 cause: "silent",
@@ -420,24 +425,24 @@
         self.table.service(&self.call.service)?.model.as_ref()
     }
 
-    /// The answer of this instance when no upstream has given one.
-    pub(super) fn conclude(&self, end: &Final) -> Response<Body> {
+    /// Builds this instance's response to a request that ended without an upstream's.
+    pub(super) fn final_response(&self, end: &RunError) -> Response<Body> {
         let (code, response) = match end {
-            Final::Refuse(reason) => {
+            RunError::NotRun(reason) => {
                 let refused = self.entry.shared().refused.share();
                 let mut response = refuse(*reason, refused);
                 if let Reason::Quarantined(_) = reason {
-                    *response.body_mut() = quarantined(&self.call.fingerprint);
+                    *response.body_mut() = quarantine_body(&self.call.fingerprint);
                 }
                 (reason.code(), response)
             }
-            Final::Fail => {
+            RunError::MayHaveRun => {
                 let reason = "the request may have run; no answer came";
-                ("failed", failure(StatusCode::BAD_GATEWAY, reason))
+                ("failed", error_response(StatusCode::BAD_GATEWAY, reason))
             }
-            Final::Late | Final::Pass(_) => {
+            RunError::TimedOut | RunError::UpstreamError(_) => {
                 let reason = "the request may have run; its time is over";
-                ("late", failure(StatusCode::GATEWAY_TIMEOUT, reason))
+                ("late", error_response(StatusCode::GATEWAY_TIMEOUT, reason))
             }
         };
         self.count(code);
@@ -451,7 +456,7 @@
             run = self.tries.run,
             idle = self.tries.idle,
             took_ms = millis(self.entry.now().since(self.call.began)),
-            "ended without an upstream's answer"
+            "ended without an upstream response"
         );
         response
     }
--- a/src/entry/body.rs
+++ b/src/entry/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers.
+//! Response bodies.
 
 use bytes::Bytes;
 use futures_util::Stream;
@@ -7,25 +7,25 @@
 use hyper::body::Frame;
 use snafu::Snafu;
 
-/// The answer broke off. The HTTP library then closes the connection without
-/// the end mark, so that what was sent can't pass for the whole.
+/// The response was cut off. hyper then closes the connection without the terminating chunk,
+/// so that the part that was sent can't be taken for the whole.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer broke off"))]
-pub(super) struct BrokenOff;
+#[snafu(display("the response was cut off"))]
+pub(super) struct Truncated;
 
-/// The body of an answer to a caller.
-pub(super) type Body = UnsyncBoxBody<Bytes, BrokenOff>;
+/// Body of a response to a caller.
+pub(super) type Body = UnsyncBoxBody<Bytes, Truncated>;
 
-/// A body that is known whole.
-pub(super) fn whole(bytes: Bytes) -> Body {
+/// A body that is known in full.
+pub(super) fn full(bytes: Bytes) -> Body {
     let never = |never| match never {};
     Full::new(bytes).map_err(never).boxed_unsync()
 }
 
-/// A body of pieces as they come.
-pub(super) fn pieces<S>(pieces: S) -> Body
+/// A body whose frames are sent as they arrive.
+pub(super) fn from_stream<S>(stream: S) -> Body
 where
-    S: Stream<Item = Result<Frame<Bytes>, BrokenOff>> + Send + 'static,
+    S: Stream<Item = Result<Frame<Bytes>, Truncated>> + Send + 'static,
 {
-    StreamBody::new(pieces).boxed_unsync()
+    StreamBody::new(stream).boxed_unsync()
 }
--- a/src/entry/crash.rs
+++ b/src/entry/crash.rs
@@ -102,7 +102,7 @@
 
     /// Adds the cut and harmless runs of this instance to a sync request. Returns the
     /// sequence number of the last cut run, for [`Self::acknowledge_runs`].
-    pub(super) fn add_run_reports(&self, question: &mut Sync) -> u64 {
+    pub(super) fn add_run_reports(&self, request: &mut Sync) -> u64 {
         let (now, view) = (self.now(), self.view());
         let age = |at| micros(now.since(at));
         let mut shared = self.shared();
@@ -114,7 +114,7 @@
             organisation: c.organisation.to_string(),
             age: age(c.at),
         });
-        question.cut = cut.collect();
+        request.cut = cut.collect();
         let harmless = view.suspects().iter().filter_map(|fingerprint| {
             let at = shared.run_history.last_harmless(fingerprint)?;
             Some(HarmlessRecord {
@@ -122,8 +122,8 @@
                 age: age(at),
             })
         });
-        question.harmless = harmless.collect();
-        question.quarantine_checksum = view.quarantine_checksum();
+        request.harmless = harmless.collect();
+        request.quarantine_checksum = view.quarantine_checksum();
         last
     }
 
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -1,4 +1,4 @@
-//! What an upstream gets, and what the head of its answer means.
+//! Builds the requests to upstreams and classifies the heads of their responses.
 
 use std::net::SocketAddrV4;
 
@@ -7,46 +7,46 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{Request, StatusCode};
 
-use super::attempt::{DEAD_PART, Opened, Outcome, REFUSED, Run};
+use super::attempt::{DEAD_ENGINE, OpenResponse, Outcome, REFUSED, Run};
 use super::head;
-use super::select::Chosen;
+use super::select::Selection;
 use crate::clock::{Time, millis};
 use crate::decide::retry::Failure;
 use crate::platform::headers;
 use crate::sync::address_key;
 
 impl Run {
-    pub(super) fn request(&self, chosen: &Chosen) -> Request<Full<Bytes>> {
+    pub(super) fn request(&self, selection: &Selection) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::from(self.call.body.clone()));
         *request.method_mut() = self.call.method.clone();
         let target = self.call.uri.path_and_query().map_or("/", |p| p.as_str());
-        *request.uri_mut() = target.parse().expect("a target that was received");
+        *request.uri_mut() = target.parse().expect("target was parsed on receipt");
         let mut map = self.call.headers.clone();
         let mut set = |name: &'static str, value: String| {
             let value = HeaderValue::try_from(value).expect("visible characters");
             map.insert(HeaderName::from_static(name), value);
         };
         set(headers::DEADLINE, millis(self.left()).max(1).to_string());
-        set(headers::EXPECTED, chosen.upstream.id.to_string());
-        if let Some(path) = &chosen.path {
+        set(headers::EXPECTED, selection.upstream.id.to_string());
+        if let Some(path) = &selection.path {
             set(headers::PATH, path.clone());
         }
-        if let Some(last) = self.last {
+        if let Some(last) = self.last_event {
             set(headers::LAST_EVENT, last.to_string());
         }
         *request.headers_mut() = map;
         request
     }
 
-    /// What the head of an answer means.
-    pub(super) fn judge(&self, sent: Time, opened: Opened) -> Outcome {
+    /// Classifies an attempt by its response head.
+    pub(super) fn classify(&self, sent: Time, opened: OpenResponse) -> Outcome {
         let response = &opened.answer.response;
         let status = response.status();
         let map = response.headers();
-        let first = opened.chosen.upstream.key;
+        let first = opened.selection.upstream.key;
         self.note_limit(
             sent,
-            &opened.chosen.upstream,
+            &opened.selection.upstream,
             head::text(map, headers::LIMIT),
         );
         let not_run =
@@ -54,13 +54,13 @@
         if not_run {
             let named = head::text(map, headers::CULPRIT).and_then(|a| a.parse().ok());
             let named = named.map(|a: SocketAddrV4| address_key(a));
-            // A dead engine in a path shows only after a stall; one that lives
-            // refuses at once.
+            // A live engine refuses at once; a dead engine in the path shows only after a
+            // stall.
             let stalled = self.entry.now().since(sent) >= self.entry.boot.bounds.stall / 2;
             return Outcome::Failed {
                 failure: Failure::NotRun,
                 culprit: Some(named.unwrap_or(first)),
-                cause: if stalled { DEAD_PART } else { REFUSED },
+                cause: if stalled { DEAD_ENGINE } else { REFUSED },
             };
         }
         let signed = map.contains_key(headers::SIGNATURE);
@@ -74,7 +74,7 @@
             };
         }
         if status.is_server_error() {
-            return Outcome::Error(opened);
+            return Outcome::UpstreamError(opened);
         }
         Outcome::Answered(opened)
     }
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -1,4 +1,4 @@
-//! Asks the leading controller over and over for what is new.
+//! Polls the leading controller for changes.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,26 +15,25 @@
 use crate::role;
 use crate::sync::{Sync, Work};
 
-/// Longest wait for an answer. A lost packet is sent again after 200 ms.
-const ANSWER: Duration = Duration::from_millis(500);
+/// Timeout for a controller's response. A lost packet is retransmitted after 200 ms.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause before the next controller is asked after a failure.
-const PAUSE: Duration = Duration::from_millis(60);
+/// Pause before the next controller is polled after a failure.
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// Pause before the leader is asked again while it has more to tell, or while
-/// an instance that has just started doesn't know all upstreams. Callers wait
-/// for what it learns.
-const FILLING: Duration = Duration::from_millis(80);
+/// Pause between polls while the leader has more to send, or while a newly started instance
+/// doesn't know all upstreams. Requests wait for the result.
+const CATCH_UP_PAUSE: Duration = Duration::from_millis(80);
 
-/// Entry instances up to which the pause is that short. With more of them the
-/// pause grows too, so that the leader sends no more than to these.
-const FILLING_ENTRIES: u32 = 30;
+/// Number of entry instances up to which [`CATCH_UP_PAUSE`] applies. With more of them the pause
+/// grows in proportion, so that the leader's total rate stays the same.
+const CATCH_UP_ENTRIES: u32 = 30;
 
-/// Whom to ask: the leader as last heard of, else one after the other.
+/// Controllers to poll: the leader if known, otherwise all in turn.
 struct Targets {
     known: Vec<InstanceId>,
     leader: Option<InstanceId>,
-    turn: usize,
+    position: usize,
 }
 
 impl Targets {
@@ -42,13 +41,13 @@
         if self.leader.is_some() {
             return self.leader;
         }
-        self.turn += 1;
-        let at = self.turn.checked_rem(self.known.len())?;
+        self.position += 1;
+        let at = self.position.checked_rem(self.known.len())?;
         Some(self.known[at])
     }
 
     /// Adds controllers that aren't known yet.
-    fn learn(&mut self, more: impl Iterator<Item = InstanceId>) {
+    fn add(&mut self, more: impl Iterator<Item = InstanceId>) {
         for id in more {
             if !self.known.contains(&id) {
                 self.known.push(id);
@@ -58,72 +57,72 @@
 }
 
 impl Entry {
-    /// Keeps the view current for as long as the instance lives.
+    /// Keeps the view up to date for the lifetime of the instance.
     pub(super) async fn follow(self: Arc<Self>) {
         let mut targets = Targets {
             known: role::seeds(&self.boot),
             leader: None,
-            turn: usize::try_from(self.id.0).unwrap_or(0) % 7,
+            position: usize::try_from(self.id.0).unwrap_or(0) % 7,
         };
         let mut failures = 0;
         loop {
-            if self.ask(&mut targets).await {
+            if self.poll_controller(&mut targets).await {
                 failures = 0;
                 sleep(self.pause()).await;
                 continue;
             }
             failures += 1;
-            // None of those known answers: the file may name others by now.
+            // No known controller responds; the settings file may list others by now.
             if failures % (targets.known.len().max(1) * 2) == 0 {
-                targets.learn(self.reread().into_iter());
+                targets.add(self.reread_seeds().into_iter());
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Pause after an answer.
+    /// Pause after a successful poll.
     fn pause(&self) -> Duration {
         let view = self.view();
         let starting = hold::is_starting(self.started, self.now()) && !view.is_complete();
         if !starting && !view.has_more() {
-            return self.poll;
+            return self.poll_interval;
         }
-        let crowd = view
+        let instances = view
             .counted_entries()
             .unwrap_or_default()
-            .max(FILLING_ENTRIES);
-        (FILLING * crowd / FILLING_ENTRIES).min(self.poll)
+            .max(CATCH_UP_ENTRIES);
+        (CATCH_UP_PAUSE * instances / CATCH_UP_ENTRIES).min(self.poll_interval)
     }
 
-    fn reread(&self) -> Vec<InstanceId> {
+    fn reread_seeds(&self) -> Vec<InstanceId> {
         let boot = self.settings.boot();
         boot.map_or(Vec::new(), |boot| role::seeds(&boot))
     }
 
-    /// Asks one controller. Returns whether the view is confirmed by it.
-    async fn ask(&self, targets: &mut Targets) -> bool {
+    /// Polls one controller. Returns whether it confirmed the view.
+    async fn poll_controller(&self, targets: &mut Targets) -> bool {
         let Some(target) = targets.next() else {
             return false;
         };
         let sent = self.now();
-        let mut question = self.question();
-        let last_cut = self.add_run_reports(&mut question);
-        question.limits = self.limit_records();
+        let mut sync = self.sync_request();
+        let last_cut = self.add_run_reports(&mut sync);
+        sync.limits = self.limit_records();
         let request = Request {
-            ask: Some(Ask::Sync(question)),
+            ask: Some(Ask::Sync(sync)),
         };
-        let answer = self.peers.call(target, request, ANSWER).await;
+        let answer = self.peers.call(target, request, ANSWER_TIMEOUT).await;
         match answer.map(|r| r.answer) {
             Ok(Some(Answer::State(state))) => {
-                targets.learn(state.voters.iter().copied().map(InstanceId));
+                targets.add(state.voters.iter().copied().map(InstanceId));
                 targets.leader = Some(target);
                 if let Some(work) = &state.work {
-                    self.take_in(work, state.counted);
+                    self.apply_work(work, state.counted);
                 }
                 self.acknowledge_runs(&state, last_cut);
-                self.learn_limits(sent, &state.limits);
+                self.apply_leader_limits(sent, &state.limits);
                 let before = self.view().version();
-                let learnt = self.learn(sent, *state);
+                let applied = self.apply_state(sent, *state);
                 let version = self.view().version();
                 if version != before {
                     tracing::info!(
@@ -131,18 +130,18 @@
                         version,
                         before,
                         leader = target.0,
-                        "configuration in force"
+                        "configuration applied"
                     );
                 }
-                if !learnt {
+                if !applied {
                     targets.leader = None;
                 }
-                learnt
+                applied
             }
             Ok(Some(Answer::NotLeader(hint))) => {
                 let hint = InstanceId(hint);
                 let useful = hint.0 != 0 && hint != target;
-                targets.learn(useful.then_some(hint).into_iter());
+                targets.add(useful.then_some(hint).into_iter());
                 targets.leader = useful.then_some(hint);
                 false
             }
@@ -153,10 +152,10 @@
         }
     }
 
-    /// Takes in what the other instances have at work. It is a part of it until the
+    /// Applies the load of the other instances. It is only a part of their load until the
     /// leader has `counted` them.
-    fn take_in(&self, work: &Work, counted: bool) {
-        let waiting = self.waiters.load(Ordering::Relaxed);
+    fn apply_work(&self, work: &Work, counted: bool) {
+        let waiting = self.queued.load(Ordering::Relaxed);
         let loads = &mut self.shared().loads;
         loads.learn(&work.loads, rand::rng().random());
         loads
@@ -164,7 +163,7 @@
             .learn(counted.then_some(work.asking), waiting as u32);
     }
 
-    fn question(&self) -> Sync {
+    fn sync_request(&self) -> Sync {
         let view = self.view();
         let (term, revision) = view.roster();
         let now = self.now();
--- a/src/entry/head.rs
+++ b/src/entry/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers: what is read and what is passed on.
+//! Reads and filters the headers of requests and responses.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::platform::headers;
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection.
 const HOP_BY_HOP: &[&str] = &[
     "connection",
     "te",
@@ -20,8 +20,8 @@
     "proxy-authorization",
 ];
 
-/// Headers that only this system sets towards upstreams.
-const OWN: &[&str] = &[
+/// Headers that only the router sets on requests to upstreams.
+const RESERVED: &[&str] = &[
     headers::KEY,
     headers::ORGANISATION,
     headers::EXPECTED,
@@ -29,8 +29,8 @@
     headers::DEADLINE,
 ];
 
-/// Removes what concerns one connection, named ones included.
-fn strip_connection(map: &mut HeaderMap) {
+/// Removes hop-by-hop headers, including those named by `Connection`.
+fn strip_hop_by_hop(map: &mut HeaderMap) {
     let named: Vec<HeaderName> = map
         .get_all(CONNECTION)
         .iter()
@@ -46,14 +46,13 @@
     }
 }
 
-/// The headers of a request as upstreams get them, but for those that differ
-/// from attempt to attempt.
+/// Request headers for upstreams, without those that differ between attempts.
 pub(super) fn to_upstream(mut map: HeaderMap, organisation: Option<&str>) -> HeaderMap {
-    strip_connection(&mut map);
-    for name in OWN {
+    strip_hop_by_hop(&mut map);
+    for name in RESERVED {
         map.remove(*name);
     }
-    // The body is read whole by now.
+    // The body has been read in full by now.
     map.remove(EXPECT);
     map.remove(CONTENT_LENGTH);
     let value = organisation.and_then(|o| HeaderValue::from_str(o).ok());
@@ -63,9 +62,9 @@
     map
 }
 
-/// The headers of an upstream's answer as callers get them.
+/// Response headers for callers.
 pub(super) fn to_caller(mut map: HeaderMap) -> HeaderMap {
-    strip_connection(&mut map);
+    strip_hop_by_hop(&mut map);
     map.remove(CONTENT_LENGTH);
     map
 }
@@ -80,13 +79,13 @@
     text(map, name)?.trim().parse().ok()
 }
 
-/// Time that the client gives.
+/// Time that the client allows, sent in milliseconds.
 pub(super) fn deadline(map: &HeaderMap) -> Option<Duration> {
     let millis: f64 = number(map, headers::DEADLINE)?;
     Duration::try_from_secs_f64(millis / 1000.0).ok()
 }
 
-/// Prompt tokens and the most answer tokens.
+/// Number of prompt tokens and maximum number of response tokens.
 pub(super) fn tokens(map: &HeaderMap) -> Option<(f64, f64)> {
     let (prompt, answer) = text(map, headers::TOKENS)?.split_once(',')?;
     Some((prompt.trim().parse().ok()?, answer.trim().parse().ok()?))
--- a/src/entry/limit.rs
+++ b/src/entry/limit.rs
@@ -50,9 +50,9 @@
         updates.map(record).collect()
     }
 
-    /// Applies the leader's limit updates. Their ages are counted back from `sent`, when
-    /// the leader was asked, so that an update never replaces a newer one.
-    pub(super) fn learn_limits(&self, sent: Time, limits: &[LimitRecord]) {
+    /// Applies the leader's limit updates. Their ages are counted back from `sent`, when the
+    /// leader was polled, so that an update never replaces a newer one.
+    pub(super) fn apply_leader_limits(&self, sent: Time, limits: &[LimitRecord]) {
         let now = self.now();
         for limit in limits {
             self.apply_limit(now, limit.address, limit.update(sent), "leader");
--- a/src/entry/listen.rs
+++ b/src/entry/listen.rs
@@ -1,4 +1,4 @@
-//! Requests as they arrive, and the answers that are made here.
+//! Admits requests, and builds this instance's own responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use super::attempt::{Call, Run};
 use super::body::{self, Body};
 use super::head;
-use super::select::PLAIN;
+use super::select::PLAIN_WORK;
 use super::view::View;
 use crate::configuration::{Found, Limits, Model, Table};
 use crate::decide::path::Work;
@@ -26,13 +26,13 @@
 use crate::metric;
 use crate::platform::{call, headers};
 
-/// Longest time to receive a body.
-const RECEIVE: Duration = Duration::from_secs(5);
+/// Timeout for receiving a request body.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time that a request without a deadline gets, if its route allows it.
-const DEADLINE: Duration = Duration::from_secs(60);
+/// Deadline of a request that sets none, if its route's timeout allows it.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
-/// Answers to the balancer.
+/// Response to the load balancer's readiness check.
 pub(super) fn readiness(ready: bool) -> Response<Reply> {
     let mut response = Response::new(Reply::Whole(Some(Bytes::new())));
     if !ready {
@@ -41,16 +41,15 @@
     response
 }
 
-/// A request that was looked up.
+/// A request with the configuration in which its route was found.
 struct Admitted {
     table: Arc<Table>,
     call: Call,
 }
 
 impl Entry {
-    /// Answers a request. While draining, the connection is closed behind the
-    /// answer: a caller that keeps it open might send its next request at the
-    /// very moment at which the process ends.
+    /// Answers a request. While draining, the connection is closed after the response: if it
+    /// were kept open, the next request could arrive just as the process ends.
     pub(super) async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let entry = Arc::clone(&self);
         let running = self.gate.hold();
@@ -72,22 +71,22 @@
         let limit = view.table.as_ref().map(|t| t.configuration.limits.body);
         let limit = limit.filter(|&l| l > 0);
         let limit = limit.unwrap_or(Limits::default().body);
-        let body = match http::receive(body, limit, RECEIVE).await {
+        let body = match http::receive(body, limit, RECEIVE_TIMEOUT).await {
             Ok(body) => body,
             Err(Unreceived::TooLarge) => {
-                return failure(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+                return error_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
             }
             Err(Unreceived::TooSlow) => {
-                return failure(StatusCode::REQUEST_TIMEOUT, "the body came too slowly");
+                return error_response(StatusCode::REQUEST_TIMEOUT, "the body came too slowly");
             }
             Err(Unreceived::Cut) => {
-                return failure(StatusCode::BAD_REQUEST, "the body was cut off");
+                return error_response(StatusCode::BAD_REQUEST, "the body was cut off");
             }
         };
-        let left = head::deadline(&head.headers).unwrap_or(DEADLINE);
-        self.hold(left, View::is_confirmed).await;
-        // Looked up after the body was read: a long body may have outlasted a
-        // change.
+        let left = head::deadline(&head.headers).unwrap_or(DEFAULT_DEADLINE);
+        self.wait_until(left, View::is_confirmed).await;
+        // The lookup comes after the body was read, since the configuration may have changed
+        // meanwhile.
         let view = self.view();
         match self.admit(&view, head, body) {
             Ok(admitted) => {
@@ -99,7 +98,8 @@
         }
     }
 
-    /// Looks a request up, or gives the answer that refuses it.
+    /// Looks up the route and organisation of a request, or returns the response that refuses
+    /// it.
     fn admit(
         &self,
         view: &View,
@@ -121,14 +121,14 @@
         let host = host.or(head.uri.host()).unwrap_or("");
         let key = head::text(&head.headers, headers::KEY);
         let found = table.find(host, head.uri.path(), key);
-        // Without a lease what is known may be out of date: a route or key
-        // may be there, or be gone, that this instance doesn't know of.
+        // Without a lease the configuration may be out of date: routes or keys may have been
+        // added or removed.
         if !confirmed && !found.is_some_and(|f| f.open) {
             return Err(refused(Reason::NoConfiguration));
         }
         let Some(found) = found else {
             log_refusal(&attempt, "unknown_route", view.version());
-            return Err(Box::new(failure(
+            return Err(Box::new(error_response(
                 StatusCode::NOT_FOUND,
                 "there is no such route",
             )));
@@ -136,7 +136,7 @@
         if !found.open && found.organisation.is_none() {
             log_refusal(&attempt, "unknown_key", view.version());
             let reason = "the key is missing or unknown";
-            return Err(Box::new(failure(StatusCode::UNAUTHORIZED, reason)));
+            return Err(Box::new(error_response(StatusCode::UNAUTHORIZED, reason)));
         }
         let organisation = found.organisation.map(|o| o.name.as_str());
         let target = head.uri.path_and_query().map_or("/", |p| p.as_str());
@@ -157,9 +157,9 @@
         let route = found.route;
         let service = route.target(rand::rng().random()).service.clone();
         let model = table.service(&service).and_then(|s| s.model.as_ref());
-        let work = model.map_or(PLAIN, |m| work(m, &head));
-        let given = head::deadline(&head.headers).unwrap_or(DEADLINE);
-        let time = given.min(route.timeout);
+        let work = model.map_or(PLAIN_WORK, |m| estimate_work(m, &head));
+        let requested = head::deadline(&head.headers).unwrap_or(DEFAULT_DEADLINE);
+        let time_limit = requested.min(route.timeout);
         let organisation = found.organisation.map(|o| o.name.as_str());
         tracing::debug!(attempt, route = route.name, service, "admitted");
         Call {
@@ -174,14 +174,14 @@
             body,
             work,
             began: self.now(),
-            time,
+            time_limit,
         }
     }
 }
 
-/// What a request asks of the engines. The client's guess at the length of
-/// the answer is right at the median, and the most that it may be is far off.
-fn work(model: &Model, head: &Parts) -> Work {
+/// Estimates the work of a request. The client's hint of the response length is right at the
+/// median, while the maximum length is far off.
+fn estimate_work(model: &Model, head: &Parts) -> Work {
     let (prompt, most) =
         head::tokens(&head.headers).unwrap_or((model.usual_prompt, model.usual_answer));
     let guess: Option<f64> = head::number(&head.headers, headers::LENGTH);
@@ -209,10 +209,10 @@
     );
 }
 
-/// Says that a request did not run and never will, and when to come back.
+/// Builds the response to a request that did not run and never will, with a retry delay.
 pub(super) fn refuse(reason: Reason, refused: f64) -> Response<Body> {
     metrics::counter!(metric::REFUSALS.name, "reason" => reason.code()).increment(1);
-    let mut response = failure(StatusCode::SERVICE_UNAVAILABLE, reason.code());
+    let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, reason.code());
     let after = refusal::come_back(reason, refused, rand::rng().random());
     let after = HeaderValue::try_from(format!("{:.2}", after.as_secs_f64()));
     let name = HeaderName::from_static(headers::RETRY_AFTER);
@@ -223,13 +223,13 @@
 }
 
 /// Response body for a quarantined request.
-pub(super) fn quarantined(fingerprint: &Fingerprint) -> Body {
-    body::whole(call::quarantined(&fingerprint.to_string()).into())
+pub(super) fn quarantine_body(fingerprint: &Fingerprint) -> Body {
+    body::full(call::quarantined(&fingerprint.to_string()).into())
 }
 
-/// An answer of this instance's own.
-pub(super) fn failure(status: StatusCode, reason: &str) -> Response<Body> {
-    let mut response = Response::new(body::whole(call::failure(reason).into()));
+/// An error response of this instance.
+pub(super) fn error_response(status: StatusCode, reason: &str) -> Response<Body> {
+    let mut response = Response::new(body::full(call::failure(reason).into()));
     *response.status_mut() = status;
     let kind = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, kind);
--- a/src/entry/measure.rs
+++ b/src/entry/measure.rs
@@ -1,4 +1,4 @@
-//! What the metrics of an entry instance show at the moment of asking.
+//! Metrics of an entry instance.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -8,11 +8,12 @@
 use crate::metric;
 
 impl Entry {
-    /// Sets the gauges. Only a reader's question costs time, no request.
+    /// Sets the gauges. Called when the metrics are read, so that requests spend no time on
+    /// it.
     pub(super) fn measure(&self) {
         let (now, view) = (self.now(), self.view());
         metrics::gauge!(metric::RUNNING.name).set(self.gate.running() as f64);
-        let waiting = self.waiters.load(Ordering::Relaxed);
+        let waiting = self.queued.load(Ordering::Relaxed);
         metrics::gauge!(metric::WAITING.name).set(waiting as f64);
         metrics::gauge!(metric::SHARERS.name).set(self.sharers());
         metrics::gauge!(metric::VERSION.name).set(view.version() as f64);
@@ -56,8 +57,8 @@
             .record(took.as_secs_f64());
     }
 
-    /// Notes how the events of a stream came.
-    pub(super) fn count_events(&self, first: Option<Duration>, pause: Duration) {
+    /// Records the time to the first event of a stream and its longest pause.
+    pub(super) fn record_pauses(&self, first: Option<Duration>, pause: Duration) {
         if let Some(first) = first {
             metrics::histogram!(metric::FIRST_EVENT.name).record(first.as_secs_f64());
             metrics::histogram!(metric::PAUSE.name).record(pause.as_secs_f64());
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry role: takes callers' requests and leads them to upstreams.
+//! The entry role: accepts requests from callers and forwards them to upstreams.
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -48,27 +48,27 @@
 pub(crate) mod view;
 mod wait;
 
-/// Longest head of a request, in bytes: the operator's bound with room for
-/// the line of the request.
+/// Maximum length of a request head in bytes: the operator's limit, with space for the request
+/// line.
 const MAX_HEAD: usize = 64 << 10;
 
-/// Time for which a connection may stay without a request. Callers use one
-/// again for up to four fifths of the 15 s that the operator's limits give.
-const IDLE: Duration = Duration::from_secs(20);
+/// Time after which an idle connection is closed. Callers reuse one for up to four fifths of
+/// the 15 s that the operator's limits allow.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time after SIGTERM for which new connections are taken: the balancer asks
-/// once a second and leaves an instance out after two refusals. Where most of a
-/// domain's instances restart in turn it goes on sending; what is taken later
-/// than this would be cut off in the middle, as answers last up to five seconds.
-const LEAVE_BALANCER: Duration = Duration::from_millis(2_500);
+/// Time after SIGTERM during which new connections are accepted. The load balancer checks once
+/// a second and removes an instance after two failed checks. While most instances of a domain
+/// restart in turn, it keeps sending; requests accepted later than this would be cut off, as
+/// responses take up to 5 s.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_500);
 
-/// Part of the grace period after which running answers are cut off.
+/// Share of the grace period after which running responses are cut off.
 const GRACE_SHARE: f64 = 0.94;
 
-/// Period of looking whether the last answer has ended.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+/// Interval of checks for the end of the last response while draining.
+const DRAIN_POLL: Duration = Duration::from_millis(50);
 
-/// State that requests change.
+/// Mutable state that requests share.
 struct Shared {
     loads: Loads,
     health: Health,
@@ -80,36 +80,37 @@
     rate_limiter: RateLimiter,
 }
 
-/// One running entry instance.
+/// A running entry instance.
 pub(crate) struct Entry {
     id: InstanceId,
     boot: Boot,
     settings: RoleSettings,
-    /// Period of asking the leading controller.
-    poll: Duration,
-    /// How long keys may be used after a confirmation. Shorter than the bound
-    /// within which a revoked key must be refused everywhere.
+    /// Interval of polling the leading controller.
+    poll_interval: Duration,
+    /// Time for which keys may be used after a confirmation. Shorter than the time within
+    /// which a revoked key must be refused everywhere.
     lease: Duration,
     clock: Arc<dyn Clock>,
     peers: Peers,
     view: ArcSwap<View>,
     shared: Mutex<Shared>,
     gate: Arc<Gate>,
-    /// Start of this process.
+    /// Start time of this process.
     started: Time,
-    /// Tells requests that wait of each new view.
-    news: Notify,
-    /// The line of requests that wait for room; its lock is fair.
-    line: tokio::sync::Mutex<()>,
-    /// Requests in the line.
-    waiters: AtomicUsize,
+    /// Notifies waiting requests of each new view.
+    view_changed: Notify,
+    /// Lock of the first request in the queue for room; it is fair, so that requests keep
+    /// their order.
+    queue_lock: tokio::sync::Mutex<()>,
+    /// Number of requests in the queue.
+    queued: AtomicUsize,
 }
 
-/// Runs an entry instance until a signal, and lets running answers end.
+/// Runs an entry instance until a signal, then lets running responses end.
 ///
 /// # Errors
 ///
-/// When the settings don't fit, or an address can't be listened on.
+/// If the settings are invalid, or listening on an address fails.
 pub(crate) fn run(settings: &RoleSettings) -> Result<()> {
     let boot = settings.boot()?;
     let runtime = role::runtime()?;
@@ -143,7 +144,7 @@
         Self {
             id: role::instance(boot.ip),
             peers: Peers::on_port(FleetKey::new(role::FLEET_SECRET), runtime, boot.ports.0),
-            poll: settings.poll,
+            poll_interval: settings.poll,
             lease: role::lease(&boot),
             settings: settings.clone(),
             clock: Arc::new(SystemClock),
@@ -160,9 +161,9 @@
             }),
             gate: Arc::default(),
             started: SystemClock.now(),
-            news: Notify::new(),
-            line: tokio::sync::Mutex::default(),
-            waiters: AtomicUsize::new(0),
+            view_changed: Notify::new(),
+            queue_lock: tokio::sync::Mutex::default(),
+            queued: AtomicUsize::new(0),
             boot,
         }
     }
@@ -173,7 +174,7 @@
         let listener = startup::listen(callers, "callers")?;
         let bounds = Bounds {
             head: MAX_HEAD,
-            receive: IDLE,
+            receive: IDLE_TIMEOUT,
         };
         let entry = Arc::clone(self);
         tokio::spawn(http::accept_until(
@@ -203,57 +204,56 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Among how many the room on the engines is divided.
+    /// Number of shares into which the room on the engines is divided.
     fn sharers(&self) -> f64 {
         let instances = self.view().entry_count();
         self.shared().loads.demand.sharers(instances)
     }
 
-    /// Takes in a leader's answer. Only the follower calls it.
-    fn learn(&self, sent: Time, state: State) -> bool {
+    /// Applies a leader's response. Only the polling task calls it.
+    fn apply_state(&self, sent: Time, state: State) -> bool {
         let before = self.view();
         let mut view = View::clone(&before);
-        let learnt = view.apply(sent, state, self.lease);
+        let applied = view.apply(sent, state, self.lease);
         self.forget_lifted(&before, &view);
         self.view.store(Arc::new(view));
-        self.news.notify_waiters();
-        learnt
+        self.view_changed.notify_waiters();
+        applied
     }
 
-    /// Waits until `ready` holds of the view, for a bounded time. Returns
-    /// whether it does.
-    async fn hold(&self, left: Duration, ready: impl Fn(&View, Time) -> bool) -> bool {
+    /// Waits for a limited time until `ready` holds for the view. Returns whether it does.
+    async fn wait_until(&self, left: Duration, ready: impl Fn(&View, Time) -> bool) -> bool {
         let began = self.now();
         let limit = hold::limit(self.started, began, left);
         loop {
-            let news = self.news.notified();
+            let changed = self.view_changed.notified();
             if ready(&self.view(), self.now()) {
                 return true;
             }
             let waited = self.now().since(began);
             let rest = limit.saturating_sub(waited);
-            if rest.is_zero() || timeout(rest, news).await.is_err() {
+            if rest.is_zero() || timeout(rest, changed).await.is_err() {
                 return ready(&self.view(), self.now());
             }
         }
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers here.
     fn is_ready(&self) -> bool {
         !self.gate.closed() && self.view().is_confirmed(self.now())
     }
 
-    /// Leaves the balancer, then waits for the last answer.
+    /// Fails the readiness check, then waits for the last response.
     async fn drain(&self, close: &watch::Sender<bool>) {
         self.gate.close();
         let running = self.gate.running();
         tracing::info!(event = event::DRAINING.id, running, "draining");
         let began = Instant::now();
         let limit = self.boot.bounds.grace.mul_f64(GRACE_SHARE);
-        sleep(LEAVE_BALANCER.min(limit)).await;
+        sleep(BALANCER_DELAY.min(limit)).await;
         close.send_replace(true);
         while self.gate.running() > 0 && began.elapsed() < limit {
-            sleep(DRAIN_LOOK).await;
+            sleep(DRAIN_POLL).await;
         }
         let running = self.gate.running();
         if running > 0 {
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -1,4 +1,4 @@
-//! Answers that are read whole before they are handed on.
+//! Responses that are read in full before they are forwarded.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -7,7 +7,7 @@
 use hyper::http::response::Parts;
 use tokio::time::timeout;
 
-use super::attempt::{Final, Opened, Run};
+use super::attempt::{OpenResponse, Run, RunError};
 use super::body::{self, Body};
 use super::{head, stream};
 use crate::clock::millis;
@@ -22,13 +22,13 @@
         loop {
             let opened = match self.open().await {
                 Ok(opened) => opened,
-                Err(Final::Pass(opened)) => *opened,
-                Err(end) => return self.conclude(&end),
+                Err(RunError::UpstreamError(opened)) => *opened,
+                Err(end) => return self.final_response(&end),
             };
             if is_stream(&opened) {
                 return stream::answer(self, opened, running);
             }
-            let upstream = opened.chosen.upstream.clone();
+            let upstream = opened.selection.upstream.clone();
             match self.collect(opened).await {
                 Some((head, body)) => {
                     self.record_harmless();
@@ -36,24 +36,28 @@
                 }
                 None => {
                     self.record_cut(&upstream);
-                    self.blame(Some(upstream.key), "cut_body");
-                    match self.fail(Failure::Unknown, "cut_body") {
+                    self.exclude_upstream(Some(upstream.key), "cut_body");
+                    match self.record_failure(Failure::Unknown, "cut_body") {
                         Next::Again => {}
-                        Next::Refuse => return self.conclude(&Final::Refuse(Reason::NotRun)),
-                        Next::Pass | Next::Fail => return self.conclude(&Final::Fail),
+                        Next::Refuse => {
+                            return self.final_response(&RunError::NotRun(Reason::NotRun));
+                        }
+                        Next::Pass | Next::Fail => {
+                            return self.final_response(&RunError::MayHaveRun);
+                        }
                     }
                 }
             }
         }
     }
 
-    /// The whole body, or nothing when it broke off.
-    async fn collect(&self, opened: Opened) -> Option<(Parts, Bytes)> {
-        let Opened { mut answer, .. } = opened;
+    /// Reads the whole body, or returns `None` if it was cut off.
+    async fn collect(&self, opened: OpenResponse) -> Option<(Parts, Bytes)> {
+        let OpenResponse { mut answer, .. } = opened;
         let collected = timeout(self.left(), answer.response.body_mut().collect()).await;
         let body = collected.ok()?.ok()?.to_bytes();
         let (head, _) = answer.response.into_parts();
-        // Nobody asked for an encoding: these aren't the upstream's bytes.
+        // No request asks for a content encoding, so an encoded body isn't the upstream's.
         (!head.headers.contains_key(CONTENT_ENCODING)).then_some((head, body))
     }
 
@@ -73,14 +77,14 @@
             took_ms = millis(self.entry.now().since(self.call.began)),
             "answered"
         );
-        let mut response = Response::new(body::whole(bytes));
+        let mut response = Response::new(body::full(bytes));
         *response.status_mut() = head.status;
         *response.headers_mut() = head::to_caller(head.headers);
         response
     }
 }
 
-fn is_stream(opened: &Opened) -> bool {
+fn is_stream(opened: &OpenResponse) -> bool {
     let map = opened.answer.response.headers();
     let kind = head::text(map, CONTENT_TYPE.as_str());
     let events = kind.is_some_and(|k| k.starts_with("text/event-stream"));
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -1,4 +1,4 @@
-//! The engines of one service, as the path of a request may use them.
+//! Candidate engines of a service for the path of a request.
 
 use super::view::{Services, Upstream, of_service};
 use crate::configuration::Model;
@@ -7,27 +7,27 @@
 use crate::decide::path::{self, Candidate, Hop, Start, Work};
 use crate::roster::Range;
 
-/// Factor on the cost of an engine whose heartbeats are late.
+/// Cost factor of an engine whose heartbeats are late.
 const LATE_PENALTY: f64 = 4.0;
 
-/// Factor on the cost of an engine that fails a part of its requests. It is used
-/// only where there is no path without such ones, and then as few as can be.
+/// Cost factor of an engine that fails some of its requests. It is used only if every path has
+/// such engines, and then with as few of them as possible.
 const FAILING_PENALTY: f64 = 8.0;
 
 /// Half the width of the random factor on an engine's cost.
 const JITTER: f64 = 0.1;
 
-/// Which engines a path may pass through.
+/// Which engines a path may pass through, by their health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthPolicy {
-    /// Those that aren't left out.
+    /// Only engines that are not excluded.
     HealthyOnly,
-    /// Those too that are left out, but live.
+    /// Also engines that are excluded but alive.
     AllowFailing,
 }
 
 impl HealthPolicy {
-    /// Factor on the cost of an engine; none of one that may not be used.
+    /// Cost factor of an engine, or `None` if it may not be used.
     pub(crate) fn factor(self, standing: Standing) -> Option<f64> {
         match (self, standing) {
             (_, Standing::Sound) => Some(1.0),
@@ -37,9 +37,9 @@
     }
 }
 
-/// Engines that a path may use, and what is known of their work.
+/// Engines that a path may use, with their load.
 pub(crate) struct Pool<'a> {
-    /// All engines of the service, also those that may not be used.
+    /// All engines of the service, including those that may not be used.
     all: &'a [Upstream],
     /// Failure domains of `all`; candidates hold an index into them.
     domains: Vec<&'a str>,
@@ -49,8 +49,8 @@
 }
 
 impl<'a> Pool<'a> {
-    /// The engines of `service` that hold layers and may be used: those to whose
-    /// cost there is a `factor`. `instances` share their room.
+    /// Collects the engines of `service` that hold layers and for which `factor` returns a
+    /// cost factor. `instances` share their room.
     pub(crate) fn new(
         services: &'a Services,
         service: &str,
@@ -98,21 +98,20 @@
         before && !self.candidates.iter().any(begins)
     }
 
-    /// Index of a failure domain; a domain without engines has none.
+    /// Index of a failure domain, or `None` if it has no engines.
     pub(crate) fn domain(&self, name: &str) -> Option<usize> {
         self.domains.iter().position(|d| *d == name)
     }
 
-    /// A path as it is booked: by the keys of its engines.
+    /// The path as booked, with the keys of its engines.
     pub(crate) fn booking(&self, hops: &[Hop]) -> Vec<(u64, Hop)> {
         let key = |h: &Hop| (self.engines[h.engine].key, *h);
         hops.iter().map(key).collect()
     }
 
-    /// The booked path with other engines in the place of `lost`. The parts of
-    /// the others stay, so that only what is replaced is read again; and it
-    /// stays in the domain, since a whole prompt would have to cross the shared
-    /// link.
+    /// Replaces `lost` in a booked path with other engines of its domain. The other engines
+    /// keep their layers, so that only the replaced ones process the prompt again; from
+    /// another domain, the whole prompt would have to cross the shared link.
     pub(crate) fn replace(
         &self,
         lost: u64,
@@ -121,7 +120,7 @@
         draw: f64,
     ) -> Option<Vec<(u64, Hop)>> {
         let at = booked.iter().position(|(key, _)| *key == lost)?;
-        // The first part has the caller's connection and must stay.
+        // The first engine holds the caller's connection and can't be replaced.
         let before = booked.get(at.checked_sub(1)?)?;
         let home = self.all.iter().find(|u| u.key == before.0)?;
         let range = booked[at].1.range;
@@ -137,10 +136,9 @@
     }
 }
 
-/// The engines of a booked path that aren't among `upstreams` any more with
-/// their layers; none if the first is one of them. That one has the caller's
-/// connection and can't be replaced, and refuses a path in which it is named
-/// with layers that it gives up.
+/// Engines of a booked path that are no longer in `upstreams` with their layers. Empty if the
+/// first engine is one of them: it holds the caller's connection and can't be replaced, and it
+/// refuses a path that names it with layers that it gives up.
 pub(crate) fn withdrawn(upstreams: &[Upstream], booked: &[(u64, Hop)]) -> Vec<u64> {
     let stays = |key: u64, part: Range| {
         let mut same = upstreams.iter().filter(|u| u.key == key);
@@ -154,8 +152,8 @@
     lost
 }
 
-/// A factor on a cost, from a `draw` between 0 and 1. Engines of equal cost
-/// take turns by it, though all instances see the same.
+/// Random cost factor for a `draw` from 0 to 1. It spreads requests over engines of equal
+/// cost, since all instances see the same costs.
 pub(crate) fn jitter(draw: f64) -> f64 {
     1.0 + JITTER * (2.0 * draw - 1.0)
 }
@@ -167,7 +165,7 @@
     domains
 }
 
-/// Engines that hold a layer, on average over the layers, by failure domain.
+/// Average number of engines that hold a layer, by failure domain.
 fn copies(upstreams: &[Upstream], model: &Model, domains: &[&str]) -> Vec<f64> {
     let mut copies = vec![0.0; domains.len()];
     for upstream in upstreams {
@@ -179,14 +177,14 @@
     copies
 }
 
-/// Speed and room of an engine under its present load, if it holds layers.
+/// Speed and room of an engine under its current load, if it holds layers.
 pub(crate) fn speed(upstream: &Upstream, model: &Model, loads: &Loads) -> Option<Speed> {
     let accelerator = model.accelerator(upstream.kind.as_deref()?)?;
     let load = loads.at(upstream.key);
     Some(Speed::new(model, accelerator, upstream.layers?, load))
 }
 
-/// The engine as a path may use it, if it holds layers.
+/// The engine as a candidate for a path, if it holds layers.
 fn candidate(
     upstream: &Upstream,
     model: &Model,
--- a/src/entry/reroute.rs
+++ b/src/entry/reroute.rs
@@ -1,9 +1,9 @@
-//! Leads a silent request around the engine that holds it up.
+//! Reroutes a stalled attempt around the engine that blocks it.
 //!
-//! An engine of a pipeline that dies says nothing; everything that passes
-//! through it stalls for seconds and is then cut off. The first engine tells on
-//! request for which engine an attempt waits. If another one in the domain holds
-//! the same layers, the attempt goes on there: only that part is read again.
+//! A dead engine of a pipeline sends nothing: everything that passes through it stalls for
+//! seconds and is then cut off. The first engine reports on request which engine an attempt
+//! waits for. If another engine of the domain holds the same layers, the attempt continues
+//! there, and only that part of the prompt processing is repeated.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 use hyper::{Request, StatusCode};
 use tokio::time::timeout;
 
-use super::attempt::{DEAD_PART, Run};
-use super::select::Chosen;
+use super::attempt::{DEAD_ENGINE, Run};
+use super::select::Selection;
 use super::view::of_service;
 use crate::configuration::Repeat;
 use crate::decide::health::Standing;
@@ -24,92 +24,97 @@
 use crate::platform::engine as order;
 use crate::sync::{address_key, key_address};
 
-/// Longest wait for a report or an order.
-const ANSWER: Duration = Duration::from_millis(300);
+/// Timeout of a report or an order.
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Why what was awaited didn't come.
+/// Cause of a stall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Silence {
-    /// Nobody is known to be at fault.
-    Unexplained,
-    /// The attempt waits for this engine, and there is no way around.
-    Lost(u64),
+pub(super) enum Stall {
+    /// No engine is known to be at fault.
+    Unknown,
+    /// The attempt waits for this engine, and no path leads around it.
+    DeadEngine(u64),
 }
 
 impl Run {
-    /// Awaits a sign of an attempt for at most `patience`, and leads the
-    /// attempt around an engine that holds it up.
-    pub(super) async fn watch<F: Future>(
+    /// Awaits the progress of an attempt for at most `patience`, and reroutes the attempt
+    /// around an engine that blocks it.
+    pub(super) async fn await_progress<F: Future>(
         &self,
-        sign: F,
+        progress: F,
         patience: Duration,
-        chosen: &mut Chosen,
-    ) -> Result<F::Output, Silence> {
-        let mut sign = pin!(sign);
+        selection: &mut Selection,
+    ) -> Result<F::Output, Stall> {
+        let mut progress = pin!(progress);
         let since = self.entry.now();
-        // What may not run again, or has one upstream only, can't be helped.
-        let helped = self.call.route.repeat != Repeat::Never && chosen.path.is_some();
-        let mut patience = Patience::new(patience, helped);
+        // A request that may not be repeated, or that has a single upstream, can't be
+        // rerouted.
+        let can_reroute = self.call.route.repeat != Repeat::Never && selection.path.is_some();
+        let mut patience = Patience::new(patience, can_reroute);
         let mut wait = patience.wait(Duration::ZERO).unwrap_or_default();
         loop {
-            if let Ok(output) = timeout(wait, sign.as_mut()).await {
+            if let Ok(output) = timeout(wait, progress.as_mut()).await {
                 return Ok(output);
             }
             let waited = self.entry.now().since(since);
             match patience.step(waited) {
-                Step::Avoid if self.avoid_dead(chosen).await => patience.avoided(),
+                Step::Avoid if self.avoid_known_dead(selection).await => patience.avoided(),
                 Step::Ask => {
-                    if let Some(culprit) = self.reroute(chosen).await {
-                        return Err(Silence::Lost(culprit));
+                    if let Some(culprit) = self.reroute_stalled(selection).await {
+                        return Err(Stall::DeadEngine(culprit));
                     }
                 }
                 Step::Avoid | Step::Wait => {}
             }
             let Some(next) = patience.wait(waited) else {
-                return Err(Silence::Unexplained);
+                return Err(Stall::Unknown);
             };
             wait = next;
         }
     }
 
-    /// Leads an attempt around an engine that is known to be dead before the first
-    /// engine can tell of it. Returns whether it tried.
+    /// Reroutes an attempt around an engine that is known to be dead before the first engine
+    /// can report it. Returns whether it tried.
     ///
-    /// The first engine's report lags by 200 ms: when it names the dead one, the caller
-    /// has seen too long a pause already. But new requests that would pass through it
-    /// are refused within milliseconds.
-    async fn avoid_dead(&self, chosen: &mut Chosen) -> bool {
-        let Some(dead) = self.known_dead(chosen) else {
+    /// The first engine's report lags by 200 ms, so waiting for it would make the caller's
+    /// pause too long. New requests that would pass through the dead engine are refused within
+    /// milliseconds, which reveals it sooner.
+    async fn avoid_known_dead(&self, selection: &mut Selection) -> bool {
+        let Some(dead) = self.known_dead(selection) else {
             return false;
         };
-        self.lead_around(&[dead], chosen, DEAD_PART).await;
+        self.reroute_around(&[dead], selection, DEAD_ENGINE).await;
         true
     }
 
-    /// Finds out what a silent attempt waits for, and leads it around. Returns
-    /// the engine for which it waits if there is no way around.
-    async fn reroute(&self, chosen: &mut Chosen) -> Option<u64> {
-        let culprit = self.culprit(chosen).await?;
+    /// Finds out which engine a stalled attempt waits for, and reroutes the attempt. Returns
+    /// that engine if no path leads around it.
+    async fn reroute_stalled(&self, selection: &mut Selection) -> Option<u64> {
+        let culprit = self.stalled_engine(selection).await?;
         let now = self.entry.now();
         self.entry.shared().health.silent(now, culprit);
-        let done = self.lead_around(&[culprit], chosen, DEAD_PART).await;
+        let done = self
+            .reroute_around(&[culprit], selection, DEAD_ENGINE)
+            .await;
         (!done).then_some(culprit)
     }
 
-    /// Orders an attempt to go on over others than some of its engines. Returns
-    /// whether it does.
-    pub(super) async fn lead_around(
+    /// Orders an attempt to continue without some of its engines. Returns whether the order
+    /// was accepted.
+    pub(super) async fn reroute_around(
         &self,
         engines: &[u64],
-        chosen: &mut Chosen,
+        selection: &mut Selection,
         cause: &'static str,
     ) -> bool {
-        let detour = |model| chosen.detour(&self.call.service, engines, model);
+        let detour = |model| selection.detour(&self.call.service, engines, model);
         let Some(path) = self.model().and_then(detour) else {
             return false;
         };
         let body = order::repath(&self.call.attempt, &path.text);
-        let status = self.ask(chosen, Request::post(order::ORDER), body).await;
+        let status = self
+            .call_engine(selection, Request::post(order::ORDER), body)
+            .await;
         let status = status.map(|a| a.0);
         let taken = order::is_taken(status);
         let label = if taken { "yes" } else { "no" };
@@ -124,48 +129,48 @@
             "rerouted"
         );
         if taken {
-            chosen.follow(path);
+            selection.switch_to(path);
         }
         taken
     }
 
-    /// The engine of the path for which the attempt waits.
-    async fn culprit(&self, chosen: &Chosen) -> Option<u64> {
-        if let Some(dead) = self.known_dead(chosen) {
+    /// The engine of the path that the attempt waits for.
+    async fn stalled_engine(&self, selection: &Selection) -> Option<u64> {
+        if let Some(dead) = self.known_dead(selection) {
             return Some(dead);
         }
-        let report = self.ask(chosen, Request::get(order::REPORT), String::new());
+        let report = self.call_engine(selection, Request::get(order::REPORT), String::new());
         match report.await {
             Some((StatusCode::OK, report)) => {
                 let address = order::stalled_at(&report, &self.call.attempt)?;
-                Some(address_key(address)).filter(|c| chosen.passes(*c))
+                Some(address_key(address)).filter(|c| selection.passes_through(*c))
             }
-            // The first engine itself answers nothing.
-            None => Some(chosen.upstream.key),
+            // The first engine itself doesn't respond.
+            None => Some(selection.upstream.key),
             Some(_) => None,
         }
     }
 
-    /// An engine of the path that was found dead here, or by several instances.
-    fn known_dead(&self, chosen: &Chosen) -> Option<u64> {
+    /// An engine of the path that was found dead by this instance, or by several instances.
+    fn known_dead(&self, selection: &Selection) -> Option<u64> {
         let now = self.entry.now();
         let view = self.entry.view();
         let upstreams = of_service(&view.services, &self.call.service);
         let told = upstreams.iter().filter(|u| u.suspected).map(|u| u.key);
         let health = &self.entry.shared().health;
-        // One that is only failing may be used, and may just be slow now.
+        // A failing engine may still be used, and may only be slow now.
         let is_dead = |d: &u64| health.standing(now, *d, false) == Standing::Dead;
         let found = health.dead(now).into_iter().filter(is_dead);
-        found.chain(told).find(|d| chosen.passes(*d))
+        found.chain(told).find(|d| selection.passes_through(*d))
     }
 
-    async fn ask(
+    async fn call_engine(
         &self,
-        chosen: &Chosen,
+        selection: &Selection,
         request: hyper::http::request::Builder,
         body: String,
     ) -> Option<(StatusCode, Bytes)> {
-        let (address, id) = (chosen.upstream.address.into(), &*chosen.upstream.id);
-        call(address, id, request, body.into(), ANSWER).await
+        let (address, id) = (selection.upstream.address.into(), &*selection.upstream.id);
+        call(address, id, request, body.into(), CALL_TIMEOUT).await
     }
 }
--- a/src/entry/select.rs
+++ b/src/entry/select.rs
@@ -1,4 +1,4 @@
-//! Chooses where an attempt goes, and books it.
+//! Selects where an attempt goes, and books its load.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct Exclusions<'a> {
     /// Upstreams at which the request failed.
-    pub(super) tried: &'a [u64],
+    pub(super) failed: &'a [u64],
     /// The request, if it is suspect: it may enter a subset of the upstreams only.
     pub(super) suspect: Option<&'a Fingerprint>,
 }
@@ -33,52 +33,50 @@
     }
 }
 
-/// Where an attempt goes. Dropping it ends the booking.
-pub(super) struct Chosen {
+/// Where an attempt goes. Dropping it releases the booked load.
+pub(super) struct Selection {
     entry: Arc<Entry>,
     pub(super) upstream: Upstream,
-    /// The path in the form that engines get; `None` of a plain service.
+    /// The path as encoded for engines; `None` for a plain service.
     pub(super) path: Option<String>,
     booked: Vec<(u64, Hop)>,
     work: Work,
-    /// When it was chosen.
-    pub(super) since: Time,
+    pub(super) selected_at: Time,
 }
 
-impl Drop for Chosen {
+impl Drop for Selection {
     fn drop(&mut self) {
         self.entry.shared().loads.leave(&self.booked, &self.work);
     }
 }
 
-/// A path around an engine.
+/// A path around some engines.
 pub(super) struct Detour {
-    /// In the form that engines get.
+    /// The path as encoded for engines.
     pub(super) text: String,
     hops: Vec<(u64, Hop)>,
 }
 
-impl Chosen {
+impl Selection {
     /// Whether the attempt passes through an upstream.
-    pub(super) fn passes(&self, upstream: u64) -> bool {
+    pub(super) fn passes_through(&self, upstream: u64) -> bool {
         self.booked.iter().any(|(key, _)| *key == upstream)
     }
 
-    /// Engines of the path that get nothing new of `service` any more and can
-    /// be replaced.
+    /// Engines of the path that get no new work of `service` and can be replaced.
     pub(super) fn withdrawn(&self, service: &str) -> Vec<u64> {
         let view = self.entry.view();
         pool::withdrawn(of_service(&view.services, service), &self.booked)
     }
 
-    /// A path around some engines, over others of the same `service`; over
-    /// failing ones where nothing else leads around.
+    /// Finds a path around engines over others of the same `service`, and over failing ones
+    /// only if there is no other.
     pub(super) fn detour(&self, service: &str, lost: &[u64], model: &Model) -> Option<Detour> {
-        let over = |policy| self.detour_over(service, lost, model, policy);
-        over(HealthPolicy::HealthyOnly).or_else(|| over(HealthPolicy::AllowFailing))
+        let choose = |policy| self.detour_with_policy(service, lost, model, policy);
+        choose(HealthPolicy::HealthyOnly).or_else(|| choose(HealthPolicy::AllowFailing))
     }
 
-    fn detour_over(
+    fn detour_with_policy(
         &self,
         service: &str,
         lost: &[u64],
@@ -110,7 +108,7 @@
     }
 
     /// Books another path for the rest of the attempt.
-    pub(super) fn follow(&mut self, detour: Detour) {
+    pub(super) fn switch_to(&mut self, detour: Detour) {
         let mut shared = self.entry.shared();
         shared.loads.leave(&self.booked, &self.work);
         shared.loads.enter(&detour.hops, &self.work);
@@ -119,8 +117,8 @@
         self.path = Some(detour.text);
     }
 
-    /// Notes that the request got through all its upstreams.
-    pub(super) fn succeeded(&self) {
+    /// Records that all engines of the path served the request.
+    pub(super) fn record_success(&self) {
         let health = &mut self.entry.shared().health;
         for (upstream, _) in &self.booked {
             health.succeeded(*upstream);
@@ -129,8 +127,7 @@
 }
 
 impl Shared {
-    /// The engines of `service` that a path may pass through by their standing,
-    /// and that are `usable`.
+    /// Engines of `service` that `policy` allows by their health, and that are `usable`.
     fn pool<'a>(
         &self,
         now: Time,
@@ -150,8 +147,8 @@
     }
 }
 
-/// Work of a request to a plain service: it takes a place and no memory.
-pub(super) const PLAIN: Work = Work {
+/// Work of a request to a plain service: it takes a slot and no memory.
+pub(super) const PLAIN_WORK: Work = Work {
     prompt: 0.0,
     answer: 0.0,
     token_mb: 0.0,
@@ -172,14 +169,14 @@
         model: Option<&Model>,
         work: Work,
         exclusions: Exclusions<'_>,
-    ) -> Result<Chosen, Reason> {
+    ) -> Result<Selection, Reason> {
         let choose = |exclusions| match model {
             Some(model) => self.choose_path(view, service, model, work, exclusions),
-            None => self.choose_one(view, service, exclusions),
+            None => self.choose_upstream(view, service, exclusions),
         };
-        let chosen = choose(exclusions);
-        if chosen.is_ok() || exclusions.suspect.is_none() {
-            return chosen;
+        let selection = choose(exclusions);
+        if selection.is_ok() || exclusions.suspect.is_none() {
+            return selection;
         }
         choose(Exclusions {
             suspect: None,
@@ -187,12 +184,12 @@
         })
     }
 
-    fn choose_one(
+    fn choose_upstream(
         self: &Arc<Self>,
         view: &View,
         service: &str,
         exclusions: Exclusions<'_>,
-    ) -> Result<Chosen, Reason> {
+    ) -> Result<Selection, Reason> {
         let upstreams = of_service(&view.services, service);
         let now = self.now();
         let shared = self.shared();
@@ -204,7 +201,7 @@
                 near: u.domain == self.boot.domain,
                 late: u.late,
                 out: u.suspected || shared.health.is_out(now, u.key),
-                tried: exclusions.tried.contains(&u.key) || !exclusions.may_enter(u.key),
+                tried: exclusions.failed.contains(&u.key) || !exclusions.may_enter(u.key),
                 limited: !shared.rate_limiter.may_send(now, u.key, &u.id, u.born),
             })
             .collect();
@@ -219,11 +216,16 @@
             engine: 0,
             range: Range::new(0, 1),
         };
-        Ok(self.book(upstream.clone(), None, vec![(upstream.key, hop)], PLAIN))
+        Ok(self.book(
+            upstream.clone(),
+            None,
+            vec![(upstream.key, hop)],
+            PLAIN_WORK,
+        ))
     }
 
-    /// Books a path over sound engines, or over failing ones too where some layer
-    /// has no other holder.
+    /// Books a path over healthy engines, or also over failing ones if a layer has no other
+    /// holder.
     fn choose_path(
         self: &Arc<Self>,
         view: &View,
@@ -231,15 +233,15 @@
         model: &Model,
         work: Work,
         exclusions: Exclusions<'_>,
-    ) -> Result<Chosen, Reason> {
-        let over = |policy| self.path_over(view, service, model, work, exclusions, policy);
-        match over(HealthPolicy::HealthyOnly) {
-            Err(Reason::NoUpstream) => over(HealthPolicy::AllowFailing),
+    ) -> Result<Selection, Reason> {
+        let choose = |policy| self.path_with_policy(view, service, model, work, exclusions, policy);
+        match choose(HealthPolicy::HealthyOnly) {
+            Err(Reason::NoUpstream) => choose(HealthPolicy::AllowFailing),
             found => found,
         }
     }
 
-    fn path_over(
+    fn path_with_policy(
         self: &Arc<Self>,
         view: &View,
         service: &str,
@@ -247,9 +249,9 @@
         mut work: Work,
         exclusions: Exclusions<'_>,
         policy: HealthPolicy,
-    ) -> Result<Chosen, Reason> {
+    ) -> Result<Selection, Reason> {
         let now = self.now();
-        let usable = |u: &Upstream| !exclusions.tried.contains(&u.key);
+        let usable = |u: &Upstream| !exclusions.failed.contains(&u.key);
         let mut pool = self
             .shared()
             .pool(now, view, service, model, policy, usable);
@@ -258,7 +260,7 @@
         let limiter = &shared.rate_limiter;
         let limited = pool.limit_entry(|u| limiter.may_send(now, u.key, &u.id, u.born));
         drop(shared);
-        // A caller's domain without engines is none of theirs.
+        // A domain without engines gets an index that no candidate has.
         work.home = pool.domain(&self.boot.domain).unwrap_or(usize::MAX);
         let mut rng = rand::rng();
         let noise: Vec<f64> = pool
@@ -302,20 +304,20 @@
         path: Option<String>,
         booked: Vec<(u64, Hop)>,
         work: Work,
-    ) -> Chosen {
+    ) -> Selection {
         self.shared().loads.enter(&booked, &work);
-        Chosen {
+        Selection {
             entry: Arc::clone(self),
             upstream,
             path,
             booked,
             work,
-            since: self.now(),
+            selected_at: self.now(),
         }
     }
 }
 
-/// A booked path in the form that engines get.
+/// Encodes a booked path for engines.
 fn encode(booked: &[(u64, Hop)]) -> String {
     let named: Vec<_> = booked.iter().map(|(k, h)| (key_address(*k), *h)).collect();
     crate::platform::engine::encode_path(&named)
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -1,5 +1,5 @@
-//! Streams of events: handed on as they come, and resumed elsewhere within
-//! the same answer where the route allows it.
+//! Event streams. Events are forwarded as they arrive; where the route allows it, an
+//! interrupted stream is resumed on another path within the same response.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use hyper::body::Frame;
 use rand::RngExt;
 
-use super::attempt::{DEAD_PART, Opened, PATIENCE, Run};
-use super::body::{self, Body, BrokenOff};
+use super::attempt::{DEAD_ENGINE, FIRST_BYTE_FACTOR, OpenResponse, Run};
+use super::body::{self, Body, Truncated};
 use super::crash::is_cut;
 use super::head;
-use super::reroute::Silence;
+use super::reroute::Stall;
 use crate::clock::{Time, millis};
 use crate::configuration::Repeat;
 use crate::decide::leave::Leave;
@@ -24,182 +24,181 @@
 use crate::event;
 use crate::gate::Running;
 
-/// Allowed pauses after which a silent stream is taken up elsewhere. Clients
-/// leave after eight of them; reading the prompt again takes one or two.
-const STALLED: u32 = 4;
+/// Multiple of the route's allowed pause after which a silent stream is resumed elsewhere.
+/// Clients disconnect after eight pauses; processing the prompt again takes one or two.
+const STALL_FACTOR: u32 = 4;
 
-/// Least time after which a silent stream is taken up elsewhere, however short
-/// a pause its route allows: the time after which its engine is asked.
-const LEAST: Duration = silence::QUIET;
+/// Minimum silence after which a stream is resumed elsewhere, even if its route allows only
+/// shorter pauses: the time after which its first engine is asked.
+const MIN_STALL: Duration = silence::QUIET;
 
-/// Why a stream is led away from an engine that still serves it.
-const GIVEN_UP: &str = "given_up";
+/// Cause of rerouting a stream away from an engine that still serves it.
+const WITHDRAWN: &str = "given_up";
 
-/// Longest event that is held back until it is whole, in bytes.
+/// Maximum size of an incomplete event in the buffer, in bytes.
 const MAX_EVENT: usize = 256 << 10;
 
-/// A stream on its way to a caller.
-struct Streaming {
+/// State of a stream to a caller.
+struct EventStream {
     run: Run,
-    opened: Opened,
-    /// Bytes of an event that isn't whole yet.
+    opened: OpenResponse,
+    /// Bytes of an incomplete event.
     buffer: BytesMut,
-    total: u64,
+    event_count: u64,
     /// Time from the request's arrival to the first event.
     first: Option<Duration>,
-    /// Longest pause between two events.
-    pause: Duration,
+    longest_pause: Duration,
     last_at: Time,
     leave: Leave,
     _running: Running,
 }
 
-/// Answers with the stream that `opened` begins.
-pub(super) fn answer(run: Run, mut opened: Opened, running: Running) -> Response<Body> {
+/// Builds the streaming response that `opened` begins.
+pub(super) fn answer(run: Run, mut opened: OpenResponse, running: Running) -> Response<Body> {
     let status = opened.answer.response.status();
     let headers = std::mem::take(opened.answer.response.headers_mut());
     let last_at = run.entry.now();
-    let streaming = Streaming {
+    let state = EventStream {
         run,
         opened,
         buffer: BytesMut::new(),
-        total: 0,
+        event_count: 0,
         first: None,
-        pause: Duration::ZERO,
+        longest_pause: Duration::ZERO,
         last_at,
         leave: Leave::default(),
         _running: running,
     };
-    let pieces = stream::unfold(streaming, |mut s| async move {
+    let pieces = stream::unfold(state, |mut s| async move {
         let piece = s.next().await?;
         Some((piece, s))
     });
-    let mut response = Response::new(body::pieces(pieces));
+    let mut response = Response::new(body::from_stream(pieces));
     *response.status_mut() = status;
     *response.headers_mut() = head::to_caller(headers);
     response
 }
 
-/// What the upstream's side of a stream gave.
-enum Input {
+/// What was read from the upstream.
+enum Received {
     Bytes(Bytes),
     End,
     Broken,
     Silent,
-    /// It waits for this engine, and there is no way around.
-    Lost(u64),
+    /// The stream waits for this engine, and no path leads around it.
+    DeadEngine(u64),
 }
 
-fn input(frame: Option<Result<Frame<Bytes>, hyper::Error>>) -> Input {
+fn received(frame: Option<Result<Frame<Bytes>, hyper::Error>>) -> Received {
     match frame {
         Some(Ok(frame)) => {
             let data = frame.into_data();
-            Input::Bytes(data.unwrap_or_default())
+            Received::Bytes(data.unwrap_or_default())
         }
-        Some(Err(_)) => Input::Broken,
-        None => Input::End,
+        Some(Err(_)) => Received::Broken,
+        None => Received::End,
     }
 }
 
-impl Streaming {
-    /// The next whole events, the end, or the breaking off.
-    async fn next(&mut self) -> Option<Result<Frame<Bytes>, BrokenOff>> {
+impl EventStream {
+    /// Returns the next complete events, the end, or an error if the stream was cut off.
+    async fn next(&mut self) -> Option<Result<Frame<Bytes>, Truncated>> {
         if self.run.is_ended() {
             return None;
         }
         loop {
             let cause = match self.read().await {
-                Input::Bytes(bytes) => {
+                Received::Bytes(bytes) => {
                     self.buffer.extend_from_slice(&bytes);
-                    match self.take() {
+                    match self.take_events() {
                         Some(events) => return Some(Ok(Frame::data(events))),
                         None if self.buffer.len() <= MAX_EVENT => continue,
                         None => "long_event",
                     }
                 }
-                Input::End if self.buffer.is_empty() => {
+                Received::End if self.buffer.is_empty() => {
                     self.run.record_harmless();
                     self.finish("whole");
                     return None;
                 }
-                Input::End => "cut_event",
-                Input::Broken => "cut_stream",
-                Input::Silent => "stalled",
-                Input::Lost(culprit) => {
-                    self.run.blame(Some(culprit), DEAD_PART);
-                    DEAD_PART
+                Received::End => "cut_event",
+                Received::Broken => "cut_stream",
+                Received::Silent => "stalled",
+                Received::DeadEngine(culprit) => {
+                    self.run.exclude_upstream(Some(culprit), DEAD_ENGINE);
+                    DEAD_ENGINE
                 }
             };
             if !self.resume(cause).await {
                 self.finish(cause);
-                return Some(Err(BrokenOff));
+                return Some(Err(Truncated));
             }
         }
     }
 
-    /// Leads the stream away from an engine that gets nothing new.
-    async fn make_way(&mut self) {
+    /// Reroutes the stream away from engines that get no new work.
+    async fn leave_withdrawn(&mut self) {
         let Self { run, opened, .. } = self;
         let (now, service) = (run.entry.now(), &run.call.service);
         let roster = run.entry.view().roster();
-        let chosen = &mut opened.chosen;
-        let must = || !chosen.withdrawn(service).is_empty();
+        let selection = &mut opened.selection;
+        let must = || !selection.withdrawn(service).is_empty();
         if !self.leave.is_due(now, roster, must, rand::rng().random()) {
             return;
         }
-        let engines = chosen.withdrawn(service);
-        let done = engines.is_empty() || run.lead_around(&engines, chosen, GIVEN_UP).await;
+        let engines = selection.withdrawn(service);
+        let done = engines.is_empty() || run.reroute_around(&engines, selection, WITHDRAWN).await;
         self.leave.tried(now, done);
     }
 
-    async fn read(&mut self) -> Input {
+    async fn read(&mut self) -> Received {
         if self.run.call.route.repeat != Repeat::Never {
-            self.make_way().await;
+            self.leave_withdrawn().await;
         }
         let left = self.run.left();
         if left.is_zero() {
-            return Input::Broken;
+            return Received::Broken;
         }
         let route = &self.run.call.route;
         let patience = match (route.repeat, self.run.events) {
             (Repeat::Never, _) => left,
-            (_, 0) => route.objective * PATIENCE,
-            _ => route.pause * STALLED,
+            (_, 0) => route.objective * FIRST_BYTE_FACTOR,
+            _ => route.pause * STALL_FACTOR,
         };
-        let Opened { answer, chosen } = &mut self.opened;
+        let OpenResponse { answer, selection } = &mut self.opened;
         let frame = answer.response.body_mut().frame();
-        let patience = patience.max(LEAST).min(left);
-        match self.run.watch(frame, patience, chosen).await {
-            Ok(frame) => input(frame),
-            Err(Silence::Unexplained) => Input::Silent,
-            Err(Silence::Lost(culprit)) => Input::Lost(culprit),
+        let patience = patience.max(MIN_STALL).min(left);
+        match self.run.await_progress(frame, patience, selection).await {
+            Ok(frame) => received(frame),
+            Err(Stall::Unknown) => Received::Silent,
+            Err(Stall::DeadEngine(culprit)) => Received::DeadEngine(culprit),
         }
     }
 
-    /// Takes the whole events out of the buffer. An engine may stop in the
-    /// middle of one; half an event followed by another run's would reach the
-    /// caller as one.
-    fn take(&mut self) -> Option<Bytes> {
+    /// Takes the complete events out of the buffer. An engine may stop in the middle of an
+    /// event; a fragment followed by an event of the next run would reach the caller as one
+    /// event.
+    fn take_events(&mut self) -> Option<Bytes> {
         let end = self.buffer.windows(2).rposition(|w| w == b"\n\n")? + 2;
         let events = self.buffer.split_to(end).freeze();
         let now = self.run.entry.now();
         if self.run.events == 0 {
-            self.opened.chosen.succeeded();
+            self.opened.selection.record_success();
         }
         match self.first {
-            Some(_) => self.pause = self.pause.max(now.since(self.last_at)),
+            Some(_) => self.longest_pause = self.longest_pause.max(now.since(self.last_at)),
             None => {
                 self.first = Some(now.since(self.run.call.began));
-                let took = now.since(self.opened.chosen.since);
+                let took = now.since(self.opened.selection.selected_at);
                 self.run.entry.shared().pace.began(took);
             }
         }
         self.last_at = now;
         let ids = events.split(|&b| b == b'\n').filter_map(event_id);
         for id in ids {
-            self.run.last = Some(id);
+            self.run.last_event = Some(id);
             self.run.events += 1;
-            self.total += 1;
+            self.event_count += 1;
             if self.run.events == HARMLESS_EVENTS {
                 self.run.record_harmless();
             }
@@ -207,10 +206,10 @@
         Some(events)
     }
 
-    /// Goes on behind the last event on another path, if that is allowed.
+    /// Resumes the stream after the last event on another path, if allowed.
     async fn resume(&mut self, cause: &'static str) -> bool {
         if is_cut(cause) {
-            self.run.record_cut(&self.opened.chosen.upstream);
+            self.run.record_cut(&self.opened.selection.upstream);
         }
         if self.run.left().is_zero() {
             return false;
@@ -219,10 +218,11 @@
         if self.run.call.route.repeat == Repeat::Never {
             return false;
         }
-        let first = self.opened.chosen.upstream.key;
-        let first_failed = !matches!(cause, "stalled" | DEAD_PART);
-        self.run.blame(first_failed.then_some(first), cause);
-        if self.run.fail(Failure::Unknown, cause) != Next::Again {
+        let first = self.opened.selection.upstream.key;
+        let first_failed = !matches!(cause, "stalled" | DEAD_ENGINE);
+        self.run
+            .exclude_upstream(first_failed.then_some(first), cause);
+        if self.run.record_failure(Failure::Unknown, cause) != Next::Again {
             return false;
         }
         match self.run.open().await {
@@ -237,23 +237,23 @@
     fn finish(&mut self, how: &'static str) {
         let run = &self.run;
         run.count(how);
-        run.count_events(self.first, self.pause);
+        run.record_pauses(self.first, self.longest_pause);
         tracing::info!(
             event = event::REQUEST_ANSWERED.id,
             attempt = run.call.attempt,
             route = run.call.route.name,
-            upstream = %self.opened.chosen.upstream.id,
+            upstream = %self.opened.selection.upstream.id,
             how,
-            events = self.total,
+            events = self.event_count,
             first_ms = self.first.map(millis),
-            pause_ms = millis(self.pause),
+            pause_ms = millis(self.longest_pause),
             took_ms = millis(run.entry.now().since(run.call.began)),
             "stream ended"
         );
     }
 }
 
-/// The id of an event, from its line.
+/// Parses the id of an event from its line.
 fn event_id(line: &[u8]) -> Option<u64> {
     let id = line.strip_prefix(b"id:")?;
     std::str::from_utf8(id).ok()?.trim().parse().ok()
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -1,5 +1,5 @@
-//! What an entry instance knows of the fleet: configuration, lease, roster.
-//! A state machine without I/O.
+//! View of the fleet in an entry instance: configuration, lease and roster. A state machine
+//! without I/O.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
     QuarantineRecord, RefusedRecord, RosterRecord, State, UpstreamRecord, key_address, unpack,
 };
 
-/// One upstream as the leader tells of it.
+/// An upstream as reported by the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Upstream {
     pub(crate) id: Arc<str>,
@@ -30,14 +30,14 @@
     pub(crate) layers: Option<Range>,
     /// Whether its heartbeats are late.
     pub(crate) late: bool,
-    /// How many times as long as usual it takes for its work.
+    /// Ratio of its processing time to the usual one, at least 1.
     pub(crate) pace: f64,
     /// Whether several instances found it dead.
     pub(crate) suspected: bool,
 }
 
 impl Upstream {
-    /// The start of the upstream.
+    /// Identifies the current start of the upstream.
     pub(crate) fn start(&self) -> EngineStart {
         EngineStart {
             id: Arc::clone(&self.id),
@@ -46,41 +46,41 @@
     }
 }
 
-/// Entry instances that are assumed until a leader has counted them.
+/// Number of entry instances that is assumed until a leader has counted them.
 ///
-/// Guards against the herd after a restart of all processes: a new leader knows only
-/// the instances that have asked it, and the first would take all the room of the
-/// fastest engines for its callers, as one of one. Many are assumed: a small fleet
-/// waits a little for its turn instead.
+/// After a restart of all processes, a new leader knows only the instances that have polled
+/// it. By its count the first of them would take all the room of the fastest engines for its
+/// callers, as if it were the only one. The assumed number is high; in a small fleet it only
+/// makes requests wait a little.
 const ASSUMED_ENTRIES: u32 = 300;
 
-/// The upstreams by service.
+/// Upstreams by service.
 pub(crate) type Services = HashMap<String, Vec<Upstream>>;
 
-/// The upstreams of one service; none of one that isn't known.
+/// The upstreams of a service; empty if it is unknown.
 pub(crate) fn of_service<'a>(services: &'a Services, service: &str) -> &'a [Upstream] {
     services.get(service).map_or(&[], Vec::as_slice)
 }
 
-/// What is known at one time. Shared with the requests.
+/// Snapshot of the fleet, shared with requests.
 #[derive(Clone)]
 pub(crate) struct View {
     /// `None` before the first configuration.
     pub(crate) table: Option<Arc<Table>>,
     pub(crate) services: Arc<Services>,
-    /// Until when keys may be used.
+    /// Time until which keys may be used.
     pub(crate) lease_end: Time,
-    /// Entry instances as a leader counted them last.
+    /// Number of entry instances in a leader's latest count.
     counted: Option<u32>,
     term: u64,
     revision: u64,
-    /// Whether `services` holds every upstream that lives.
+    /// Whether `services` holds every live upstream.
     complete: bool,
-    /// Whether the leader had more to tell.
+    /// Whether the leader had more of the roster to send.
     more: bool,
-    /// Upstreams in `services` that the leader hasn't told of since it began
-    /// anew. Empty once the roster is complete.
-    unheard: Arc<HashSet<Arc<str>>>,
+    /// Upstreams in `services` that the leader hasn't reported since it began to send the
+    /// roster from the start. Empty once the roster is complete.
+    unreported: Arc<HashSet<Arc<str>>>,
     /// Quarantined requests, with the end of each quarantine.
     quarantine: Arc<HashMap<Fingerprint, Time>>,
     /// The leader's checksum of `quarantine`.
@@ -90,7 +90,7 @@
 }
 
 impl View {
-    /// Knows nothing.
+    /// An empty view.
     pub(crate) fn new() -> Self {
         Self {
             table: None,
@@ -101,7 +101,7 @@
             revision: 0,
             complete: false,
             more: false,
-            unheard: Arc::default(),
+            unreported: Arc::default(),
             quarantine: Arc::default(),
             quarantine_checksum: 0,
             suspects: Arc::default(),
@@ -119,27 +119,27 @@
         (self.term, self.revision)
     }
 
-    /// Entry instances that share the limits.
+    /// Number of entry instances that share the limits.
     pub(crate) fn entry_count(&self) -> u32 {
         self.counted.unwrap_or(ASSUMED_ENTRIES)
     }
 
-    /// Entry instances as a leader counted them; `None` before it did.
+    /// Number of entry instances as counted by a leader; `None` before the first count.
     pub(crate) fn counted_entries(&self) -> Option<u32> {
         self.counted
     }
 
-    /// Whether the roster holds every upstream that lives.
+    /// Whether the roster holds every live upstream.
     pub(crate) fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Whether the leader has more to tell already.
+    /// Whether the leader has more of the roster to send already.
     pub(crate) fn has_more(&self) -> bool {
         self.more
     }
 
-    /// Whether the configuration may be acted on.
+    /// Whether the configuration may be used: there is one, and its lease is held.
     pub(crate) fn is_confirmed(&self, now: Time) -> bool {
         self.table.is_some() && now < self.lease_end
     }
@@ -170,17 +170,16 @@
         &self.suspects
     }
 
-    /// Takes in the answer to a question that was sent at `sent`. Returns
-    /// whether it could be used.
+    /// Applies the response to a sync request that was sent at `sent`. Returns whether it
+    /// could be used.
     pub(crate) fn apply(&mut self, sent: Time, state: State, lease: Duration) -> bool {
-        // A deposed leader that doesn't know yet may answer late. Nothing ever
-        // goes back.
-        if state.version < self.version() || self.is_unfit(&state) {
+        // A deposed leader that doesn't know it yet may respond late. Versions never decrease.
+        if state.version < self.version() || self.is_out_of_sequence(&state) {
             return false;
         }
         if let Some(body) = &state.body {
-            // Undecodable text means an instance of another release: what is
-            // in force stays, and its lease runs out.
+            // An undecodable configuration comes from another release: the current one stays
+            // until its lease runs out.
             let decoded = unpack(body).and_then(|b| configuration::decode(&b).ok());
             let Some(decoded) = decoded else {
                 return false;
@@ -191,7 +190,7 @@
             return false;
         }
         if let Some(record) = state.roster {
-            self.merge(record);
+            self.merge_roster(record);
         }
         if state.counted {
             self.counted = Some(state.entries.max(1));
@@ -202,8 +201,8 @@
         if let Some(record) = state.quarantine {
             self.set_quarantine(sent, &record);
         }
-        // The leader confirmed `age` before the question reached it, and it
-        // reached it after it was sent.
+        // The leader's confirmation was `age` old when the request arrived, which was after it
+        // was sent.
         let age = Duration::from_micros(state.age);
         let lease_end = (sent + lease) - age;
         self.lease_end = self.lease_end.max(lease_end);
@@ -221,9 +220,9 @@
         self.quarantine_checksum = record.checksum;
     }
 
-    /// Whether the roster comes from a deposed leader, or goes on after
-    /// another part than this view has.
-    fn is_unfit(&self, state: &State) -> bool {
+    /// Whether the roster comes from a deposed leader, or continues from another revision than
+    /// this view has.
+    fn is_out_of_sequence(&self, state: &State) -> bool {
         let Some(roster) = &state.roster else {
             return false;
         };
@@ -231,26 +230,25 @@
         roster.term < self.term || !fits
     }
 
-    /// Takes in a part of the roster. Until the leader has told of all that it
-    /// heard, and has heard all, those of which it hasn't told stay, but for
-    /// the ones that have left.
-    fn merge(&mut self, record: RosterRecord) {
+    /// Merges a part of the roster. Until the roster is complete, upstreams that the leader
+    /// hasn't reported stay, unless they have departed.
+    fn merge_roster(&mut self, record: RosterRecord) {
         let mut services = Services::clone(&self.services);
-        let mut unheard = HashSet::clone(&self.unheard);
+        let mut unreported = HashSet::clone(&self.unreported);
         if record.since == 0 {
             let known = services.values().flatten();
-            unheard = known.map(|u| u.id.clone()).collect();
+            unreported = known.map(|u| u.id.clone()).collect();
         }
         let mut dropped: HashSet<&str> = record.gone.iter().map(String::as_str).collect();
         dropped.extend(record.upstreams.iter().map(|u| u.id.as_str()));
         let departed = record.departed.iter().map(|d| (d.id.as_str(), d.born));
         let departed: HashMap<&str, u64> = departed.collect();
-        let taken: HashSet<u64> = record.upstreams.iter().map(|u| u.address).collect();
-        unheard.retain(|id| !dropped.contains(&**id));
+        let addresses: HashSet<u64> = record.upstreams.iter().map(|u| u.address).collect();
+        unreported.retain(|id| !dropped.contains(&**id));
         let stays = |u: &Upstream| {
             let left = departed.get(&*u.id).is_some_and(|&b| u.born <= b);
-            let lost = record.complete && unheard.contains(&u.id);
-            !dropped.contains(&*u.id) && !taken.contains(&u.key) && !left && !lost
+            let lost = record.complete && unreported.contains(&u.id);
+            !dropped.contains(&*u.id) && !addresses.contains(&u.key) && !left && !lost
         };
         for upstreams in services.values_mut() {
             upstreams.retain(stays);
@@ -260,10 +258,10 @@
             services.entry(service).or_default().push(upstream.into());
         }
         if record.complete {
-            unheard.clear();
+            unreported.clear();
         }
         self.services = Arc::new(services);
-        self.unheard = Arc::new(unheard);
+        self.unreported = Arc::new(unreported);
         self.term = record.term;
         self.revision = record.revision;
         self.complete = record.complete;
--- a/src/entry/wait.rs
+++ b/src/entry/wait.rs
@@ -1,29 +1,29 @@
-//! How a request waits for upstreams: for those that aren't known yet, and in
-//! line for room.
+//! Requests that wait for upstreams: for unknown ones to become known, and in a queue for
+//! room.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use tokio::time::{sleep, timeout};
 
 use super::attempt::Run;
-use super::select::Chosen;
+use super::select::Selection;
 use super::view::View;
 use crate::clock::millis;
 use crate::decide::refusal::Reason;
 use crate::decide::waiting;
 use crate::event;
 
-/// A request in the line; dropping it leaves.
+/// A place in the queue, given up on drop.
 struct Waiter<'a> {
     count: &'a AtomicUsize,
-    /// Requests that were in the line before.
-    before: usize,
+    /// Number of requests that were in the queue before.
+    ahead: usize,
 }
 
 impl<'a> Waiter<'a> {
     fn new(count: &'a AtomicUsize) -> Self {
-        let before = count.fetch_add(1, Ordering::Relaxed);
-        Self { count, before }
+        let ahead = count.fetch_add(1, Ordering::Relaxed);
+        Self { count, ahead }
     }
 }
 
@@ -34,43 +34,42 @@
 }
 
 impl Run {
-    /// Waits for upstreams to become known, if there may be others than those
-    /// that are.
+    /// Waits for more upstreams to become known, if some may be unknown yet.
     ///
-    /// Engines also seem full while most of them aren't known: the only paths
-    /// pass between domains then, and that link is shared out narrowly.
-    pub(super) async fn wait(&self, reason: Reason) -> Result<Chosen, Reason> {
+    /// Engines also seem full while most of them are unknown: the only paths then cross
+    /// domains, and little of that link is allotted.
+    pub(super) async fn wait(&self, reason: Reason) -> Result<Selection, Reason> {
         if !matches!(reason, Reason::Full | Reason::NoUpstream) {
             return Err(reason);
         }
         let mut found = Err(reason);
         if !self.entry.view().is_complete() {
             let ready = |_: &View, _| self.choose(0.0).is_ok();
-            self.entry.hold(self.left(), ready).await;
+            self.entry.wait_until(self.left(), ready).await;
             found = self.choose(0.0);
         }
         match found {
-            Err(Reason::Full) => self.wait_room().await,
+            Err(Reason::Full) => self.wait_for_room().await,
             found => found,
         }
     }
 
-    /// Waits in line for room on the engines.
-    async fn wait_room(&self) -> Result<Chosen, Reason> {
+    /// Waits in the queue for room on the engines.
+    async fn wait_for_room(&self) -> Result<Selection, Reason> {
         let entry = &self.entry;
-        let waiters = Waiter::new(&entry.waiters);
+        let waiter = Waiter::new(&entry.queued);
         let objective = self.call.route.objective;
         let pace = entry.shared().pace;
         let began = entry.now();
         let spent = began.since(self.call.began);
-        let limit = waiting::limit(objective, spent, self.left(), waiters.before, &pace);
+        let limit = waiting::limit(objective, spent, self.left(), waiter.ahead, &pace);
         let Some(limit) = limit else {
             return Err(Reason::Full);
         };
-        let mut first = None;
+        let mut reached_front = None;
         let search = async {
-            let _first = entry.line.lock().await;
-            first = Some(entry.now());
+            let _front = entry.queue_lock.lock().await;
+            reached_front = Some(entry.now());
             loop {
                 let waited = entry.now().since(began).div_duration_f64(limit);
                 match self.choose(waited) {
@@ -81,14 +80,14 @@
         };
         let found = timeout(limit, search).await;
         let found = found.unwrap_or(Err(Reason::Full));
-        if let Some(first) = first {
-            let turn = entry.now().since(first);
-            entry.shared().pace.turned(turn, found.is_ok());
+        if let Some(reached) = reached_front {
+            let at_front = entry.now().since(reached);
+            entry.shared().pace.turned(at_front, found.is_ok());
         }
         tracing::info!(
             event = event::REQUEST_WAITED.id,
             attempt = self.call.attempt,
-            before = waiters.before,
+            before = waiter.ahead,
             waited_ms = millis(entry.now().since(began)),
             limit_ms = millis(limit),
             found = found.is_ok(),
--- a/src/tests/explain.rs
+++ b/src/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Tests of [`crate::explain`], on lines as the roles write them.
+//! Tests of [`crate::explain`] on log lines as the roles write them.
 
 use rstest::rstest;
 
@@ -8,21 +8,21 @@
   10.1 core-a {"timestamp":"2026-04-25T18:43:30.000000Z","level":"WARN","message":"no heartbeats","event":305,"upstream":"i-9"}
   10.2 core-a {"timestamp":"2026-04-25T18:43:30.100000Z","level":"INFO","message":"layers ordered","event":306,"upstream":"i-2","address":"10.1.64.22:8446","first":37,"end":53,"fence":2,"status":202}
   edge-1 {"timestamp":"2026-04-25T18:43:35.450609Z","level":"INFO","message":"sent","event":404,"attempt":"aa","route":"r","upstream":"i-1","path":"10.1.64.11:8446=0-37,10.1.64.22:8446=37-80","left_ms":19999,"version":4}
-  edge-1 {"timestamp":"2026-04-25T18:43:36.000000Z","level":"INFO","message":"left out","event":408,"attempt":"aa","address":"10.1.64.22:8446","cause":"dead_part","left_ms":19000}
+  edge-1 {"timestamp":"2026-04-25T18:43:36.000000Z","level":"INFO","message":"upstream excluded","event":408,"attempt":"aa","address":"10.1.64.22:8446","cause":"dead_part","left_ms":19000}
   edge-1 {"timestamp":"2026-04-25T18:43:36.000001Z","level":"INFO","message":"attempt failed","event":405,"attempt":"aa","cause":"dead_part","failure":"Unknown","next":"Fail","run":2}
   edge-1 {"timestamp":"2026-04-25T18:43:36.000002Z","level":"INFO","message":"stream ended","event":406,"attempt":"aa","how":"dead_part","events":12}
-  edge-2 {"timestamp":"2026-04-25T18:43:37.000000Z","level":"INFO","message":"configuration in force","event":208,"version":5,"before":4}
+  edge-2 {"timestamp":"2026-04-25T18:43:37.000000Z","level":"INFO","message":"configuration applied","event":208,"version":5,"before":4}
   edge-2 {"timestamp":"2026-04-25T18:43:37.250000Z","level":"INFO","message":"refused","event":401,"attempt":"bb","code":"unknown_key","version":5}
-  edge-2 {"timestamp":"2026-04-25T18:43:38.000000Z","level":"INFO","message":"ended without an upstream's answer","event":407,"attempt":"cc","code":"full","status":503}
+  edge-2 {"timestamp":"2026-04-25T18:43:38.000000Z","level":"INFO","message":"ended without an upstream response","event":407,"attempt":"cc","code":"full","status":503}
   edge-2 {"timestamp":"2026-04-25T18:43:38.000000Z","level":"INFO","message":"answered","event":406,"attempt":"dd","status":500,"took_ms":40}
   edge-2 {"timestamp":"2026-04-25T18:43:38.000000Z","level":"INFO","message":"sent","event":404,"attempt":"ee","route":"r","upstream":"i-1","left_ms":1999}
-  edge-2 {"timestamp":"2026-04-25T18:43:38.000000Z","level":"INFO","message":"given up by its caller","event":411,"attempt":"ff","run":0,"took_ms":1998,"left_ms":2,"draining":false}
-  edge-2 {"timestamp":"2026-04-25T18:43:38.000000Z","level":"INFO","message":"given up by its caller","event":411,"attempt":"gg","run":1,"took_ms":900,"left_ms":9100,"draining":false}
-  edge-2 {"timestamp":"2026-04-25T18:43:38.000000Z","level":"INFO","message":"given up by its caller","event":411,"attempt":"hh","run":1,"took_ms":900,"left_ms":9100,"draining":true}
+  edge-2 {"timestamp":"2026-04-25T18:43:38.000000Z","level":"INFO","message":"request abandoned","event":411,"attempt":"ff","run":0,"took_ms":1998,"left_ms":2,"draining":false}
+  edge-2 {"timestamp":"2026-04-25T18:43:38.000000Z","level":"INFO","message":"request abandoned","event":411,"attempt":"gg","run":1,"took_ms":900,"left_ms":9100,"draining":false}
+  edge-2 {"timestamp":"2026-04-25T18:43:38.000000Z","level":"INFO","message":"request abandoned","event":411,"attempt":"hh","run":1,"took_ms":900,"left_ms":9100,"draining":true}
   edge-1 {"timestamp":"2026-04-25T18:43:30.000000Z","level":"INFO","message":"engine ended","event":412,"upstream":"i-4","address":"10.1.64.11:8446","fingerprint":"f1","organisation":"one"}
   edge-2 {"timestamp":"2026-04-25T18:43:31.000000Z","level":"INFO","message":"engine ended","event":412,"upstream":"i-5","address":"10.1.64.12:8446","fingerprint":"f1","organisation":"one"}
   edge-2 {"timestamp":"2026-04-25T18:43:31.000000Z","level":"INFO","message":"engine ended","event":412,"upstream":"i-5","address":"10.1.64.12:8446","fingerprint":"f2","organisation":"one"}
-  edge-2 {"timestamp":"2026-04-25T18:43:38.000000Z","level":"INFO","message":"ended without an upstream's answer","event":407,"attempt":"ii","fingerprint":"f1","code":"quarantined","status":503}
+  edge-2 {"timestamp":"2026-04-25T18:43:38.000000Z","level":"INFO","message":"ended without an upstream response","event":407,"attempt":"ii","fingerprint":"f1","code":"quarantined","status":503}
 not a line at all
 "#;
 
@@ -50,7 +50,7 @@
 fn explain_timeline() {
     let text = explain("aa", &lines());
     let rows: Vec<_> = text.lines().collect();
-    // The order for an engine of its path is shown, that of another isn't.
+    // Lines about engines of its path are shown, those about other engines aren't.
     assert!(
         rows[0].starts_with("*   -5350 ms  306 layers ordered"),
         "{text}"
--- a/src/tests/pool.rs
+++ b/src/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Tests of the engines that a path may use.
+//! Tests of [`crate::entry::pool`].
 
 use std::net::SocketAddrV4;
 
@@ -59,10 +59,9 @@
 
 #[test]
 fn replace_stays_in_service() {
-    // Two services generate in one domain. An engine of the first dies in the
-    // middle of a stream, and the only engine beside it with the same numbers
-    // of layers holds the other service's model: led there, the caller would
-    // get another model's words as the rest of the answer.
+    // Two services share a domain. An engine of the first dies during a stream, and the only
+    // other engine with the same layer numbers holds the other service's model: rerouted there,
+    // the stream would continue with the output of another model.
     let (head, tail) = (engine(1, "north", 0, 40), engine(2, "north", 40, 80));
     let other = engine(3, "north", 40, 80);
     let mut services = Services::default();
@@ -87,7 +86,7 @@
 
 #[test]
 fn replace_keeps_first() {
-    // The caller's connection ends at the first engine.
+    // The first engine holds the caller's connection.
     let (head, tail) = (engine(1, "north", 0, 40), engine(2, "north", 40, 80));
     let copy = engine(3, "north", 0, 40);
     let mut services = Services::default();
@@ -98,8 +97,8 @@
 
 #[test]
 fn withdrawn_leaving() {
-    // The operator takes an engine away in the middle of streams. It serves on
-    // for two seconds, the streams last for five: each was cut off.
+    // An operator removes an engine during streams. It serves for 2 s more and the streams last
+    // for 5 s, so each would be cut off.
     let (head, tail) = (engine(1, "north", 0, 40), engine(2, "north", 40, 80));
     let path = booked(&[&head, &tail]);
     assert_eq!(withdrawn(&[head.clone(), tail.clone()], &path), [0; 0]);
@@ -108,8 +107,8 @@
 
 #[test]
 fn withdrawn_layers() {
-    // The last engine is ordered to hold layers from 50 on only, and loads
-    // others once all streams have passed that use the ones before.
+    // The last engine is ordered to hold only layers from 50 on, and loads others once all
+    // streams that use the lower ones have ended.
     let (head, tail) = (engine(1, "north", 0, 40), engine(2, "north", 40, 80));
     let path = booked(&[&head, &tail]);
     let fewer = engine(2, "north", 50, 80);
@@ -120,8 +119,8 @@
 
 #[test]
 fn withdrawn_first() {
-    // The first engine refuses each order that names it with layers that it
-    // gives up, so asking it only costs.
+    // The first engine refuses each order that names it with layers that it gives up, so
+    // sending one is useless.
     let (head, tail) = (engine(1, "north", 0, 40), engine(2, "north", 40, 80));
     let path = booked(&[&head, &tail]);
     assert_eq!(withdrawn(&[], &path), [0; 0]);
--- a/src/tests/view.rs
+++ b/src/tests/view.rs
@@ -1,4 +1,4 @@
-//! Tests of what an entry instance knows.
+//! Tests of [`crate::entry::view`].
 
 use std::time::Duration;
 
@@ -53,8 +53,8 @@
 
 #[test]
 fn apply_lease_from_sending() {
-    // The answer comes late, and the leader's confirmation was old already. A
-    // key may be taken away meanwhile: the lease counts from the confirmation.
+    // The response comes late, and the leader's confirmation was already old. A key may be
+    // revoked meanwhile, so the lease counts from the confirmation.
     let mut view = View::new();
     let state = State {
         age: 500_000,
@@ -91,8 +91,8 @@
 
 #[test]
 fn apply_new_leader_keeps() {
-    // A new leader has heard only some engines when it is first asked. The
-    // others still serve; dropped, most requests would be refused for seconds.
+    // A new leader knows only some engines when it is first polled. The others still serve: if
+    // they were dropped, most requests would be refused for seconds.
     let mut view = View::new();
     view.apply(at(0), with(roster(1, 5, true, &["a", "b", "c"])), LEASE);
     let mut partial = roster(2, 2, false, &["a"]);
@@ -110,9 +110,8 @@
 
 #[test]
 fn apply_part_by_part() {
-    // A new leader tells of a large fleet in several answers. What it hasn't
-    // told of yet still serves; what it told of doesn't go when the last part
-    // comes, though that part doesn't name it.
+    // A new leader reports a large fleet in several responses. Upstreams that it hasn't reported
+    // yet still serve, and those of earlier parts stay when the last part doesn't name them.
     let mut view = View::new();
     view.apply(at(0), with(roster(1, 9, true, &["a", "b", "c"])), LEASE);
     let mut first = roster(2, 1, false, &["a"]);
@@ -129,8 +128,7 @@
 
 #[test]
 fn apply_changes_only() {
-    // One engine leaves and one comes: the answer names just these two, and
-    // the others stay.
+    // One engine leaves and one joins: the response names only these two, and the others stay.
     let mut view = View::new();
     view.apply(at(0), with(roster(1, 3, true, &["a", "b"])), LEASE);
     let mut change = roster(1, 5, true, &["c"]);
@@ -141,9 +139,8 @@
 }
 
 #[test]
-fn apply_unfit_part() {
-    // A part that goes on behind one that was lost on the way would leave out
-    // what that one told.
+fn apply_out_of_sequence() {
+    // A part of the roster is lost in transit. Applying the next one would skip its changes.
     let mut view = View::new();
     view.apply(at(0), with(roster(1, 3, true, &["a"])), LEASE);
     let mut change = roster(1, 6, true, &["c"]);
@@ -162,9 +159,9 @@
 
 #[test]
 fn pack_many_routes() {
-    // The configuration grows by a thousand routes on a fleet of 92 machines.
-    // Sent as it is, it reached some instances after the time within which it
-    // must be in force, and they refused its routes.
+    // A configuration grows by a thousand routes on a fleet of 92 machines. Uncompressed, it
+    // reached some instances after the time by which it must be in force, and they refused
+    // requests to the new routes.
     let route =
         |i| format!("{{\"name\":\"r-{i}\",\"host\":\"a.example\",\"pathPrefix\":\"/p{i}/\"}}");
     let text: Vec<String> = (0..1280).map(route).collect();
@@ -182,9 +179,9 @@
 
 #[test]
 fn entries_counted_late() {
-    // All processes are killed. The first instance that asked the new leader heard
-    // that it was the only one, and took all the room of the engines; so did each
-    // of the next. Until the leader has counted them, many are assumed.
+    // All processes are killed. The first instance that polled the new leader was told that it
+    // was the only one and took all the room of the engines, and so did each of the next. Until
+    // the leader has counted the instances, many are assumed.
     let (register, _machine) = Register::new();
     let mut board = Board::new(LEASE);
     board.lead(at(0), 1, &register);
@@ -203,7 +200,7 @@
     ask(&mut board, 90, 3);
     assert!(view.apply(at(400), ask(&mut board, 400, 1), LEASE));
     assert_eq!((view.counted_entries(), view.entry_count()), (Some(3), 3));
-    // The next leader hasn't heard of most of them.
+    // The next leader doesn't know most of them yet.
     board.lead(at(500), 2, &register);
     assert!(view.apply(at(510), ask(&mut board, 510, 1), LEASE));
     assert_eq!(view.entry_count(), 3);
