--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -7,7 +7,7 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use laburnumquay::{
     Allocator, Class, Discipline, Holder, Incarnation, InstanceId, Item, LEASE, Limits, Outcome,
-    PERIOD, Query, Queue, Router, Stage, Time,
+    Query, Queue, REQUEST_PERIOD, Router, Stage, Time,
 };
 
 const ENGINES: u32 = 600;
@@ -141,8 +141,8 @@
         .collect();
     for (i, holder) in holders.iter_mut().enumerate() {
         touch(holder, &names, i, now);
-        let ask = holder.ask(now);
-        let grant = allocator.ask(now, &ask).expect("an answer");
+        let ask = holder.share_request(now);
+        let grant = allocator.allocate(now, &ask).expect("an answer");
         assert!(holder.grant(now, &grant));
     }
     let mut turn = 0;
@@ -152,11 +152,11 @@
         |b| {
             b.iter(|| {
                 turn = (turn + 1) % holders.len();
-                now = now + PERIOD / 360;
+                now = now + REQUEST_PERIOD / 360;
                 let holder = &mut holders[turn];
                 touch(holder, &names, turn, now);
-                let ask = holder.ask(now);
-                let grant = allocator.ask(now, &ask).expect("an answer");
+                let ask = holder.share_request(now);
+                let grant = allocator.allocate(now, &ask).expect("an answer");
                 black_box(holder.grant(now, &grant));
             });
         },
--- a/examples/bench/limits.rs
+++ b/examples/bench/limits.rs
@@ -3,7 +3,9 @@
 use std::collections::VecDeque;
 use std::path::Path;
 
-use laburnumquay::{Allocator, Ask, Grant, Holder, Incarnation, InstanceId, LEASE, Limits, Time};
+use laburnumquay::{
+    Allocator, Grant, Holder, Incarnation, InstanceId, LEASE, Limits, ShareRequest, Time,
+};
 use prost::Message;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -46,7 +48,7 @@
     allocator: Allocator,
     holders: Vec<Holder>,
     /// Messages to the allocator and back, by step of arrival.
-    asks: Vec<(u64, Ask)>,
+    asks: Vec<(u64, ShareRequest)>,
     grants: Vec<(u64, Grant)>,
     /// Level of the bucket of each instance, and its count this second.
     levels: Vec<f64>,
@@ -119,7 +121,7 @@
         let now = at(step);
         for holder in &mut self.holders {
             if holder.due() <= now {
-                let ask = holder.ask(now);
+                let ask = holder.share_request(now);
                 self.messages += 1;
                 self.bytes += ask.encoded_len() as u64;
                 self.asks.push((step + LATENCY, ask));
@@ -127,9 +129,9 @@
         }
         let (here, later) = self.asks.drain(..).partition(|(t, _)| *t <= step);
         self.asks = later;
-        let here: Vec<(u64, Ask)> = here;
+        let here: Vec<(u64, ShareRequest)> = here;
         for (_, ask) in here {
-            if let Some(grant) = self.allocator.ask(now, &ask) {
+            if let Some(grant) = self.allocator.allocate(now, &ask) {
                 self.messages += 1;
                 self.bytes += grant.encoded_len() as u64;
                 self.grants.push((step + LATENCY, grant));
--- a/src/allocate.rs
+++ b/src/allocate.rs
@@ -4,7 +4,7 @@
 
 use crate::catalogue::Catalogue;
 use crate::clock::Time;
-use crate::limit::{Allocator, Ask, Grant};
+use crate::limit::{Allocator, Grant, ShareRequest};
 
 /// The allocator of the term that this instance leads, if it does.
 #[derive(Default)]
@@ -28,7 +28,7 @@
         now: Time,
         term: u64,
         catalogue: &Catalogue,
-        ask: &Ask,
+        ask: &ShareRequest,
     ) -> Option<Grant> {
         let mut slot = self.0.lock().expect("no holder panics");
         if slot.as_ref().is_some_and(|led| led.term > term) {
@@ -47,6 +47,6 @@
             led.allocator.set_limits(routes);
             led.revision = Some(catalogue.revision);
         }
-        led.allocator.ask(now, ask)
+        led.allocator.allocate(now, ask)
     }
 }
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -14,7 +14,7 @@
 use crate::clock::Time;
 use crate::collections::HashMap;
 use crate::id::{Incarnation, InstanceId, OrganisationId, UpstreamId};
-use crate::limit::{Ask, Denial, DenialReason, Grant, Holder, Permit};
+use crate::limit::{Denial, DenialReason, Grant, Holder, Permit, ShareRequest};
 use crate::queue::{Discipline, Item, Queue, RefusalReason};
 use crate::route::{Choice, NoPath, NoPathReason, Outcome, Query, Router, Stage, Ticket};
 
@@ -121,7 +121,7 @@
 
 /// Why a request isn't placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unplaced {
+pub(crate) enum PlacementError {
     /// No engine in the allowed pools holds some layer.
     NoPath,
     /// It wouldn't start before its deadline, or didn't.
@@ -130,7 +130,7 @@
 
 /// What a waiter is told.
 #[derive(Debug)]
-pub(crate) enum Told {
+pub(crate) enum Decision {
     /// The limits admit the request.
     Admitted(Permit),
     /// A limit is used up, and no one may wait for it in this request's time.
@@ -142,11 +142,11 @@
     /// A path is free.
     Placed(Placed),
     /// There is no path in time.
-    Unplaced(Unplaced, Duration),
+    Unplaced(PlacementError, Duration),
 }
 
 /// Tells `W`, the waiter of one request.
-pub(crate) type Effect<W> = (W, Told);
+pub(crate) type Effect<W> = (W, Decision);
 
 type LaneKey = (Arc<str>, Arc<[String]>);
 
@@ -206,7 +206,7 @@
         let line = self.parked.get(&admission.route).map_or(0, VecDeque::len);
         let tried = self.holder.admit(now, &admission.route, admission.tokens);
         let denial = match tried {
-            Ok(permit) if line == 0 => return out.push((waiter, Told::Admitted(permit))),
+            Ok(permit) if line == 0 => return out.push((waiter, Decision::Admitted(permit))),
             // Someone of the same route waits, and passing it would be unfair.
             // The permit goes back with its drop and to the first in line.
             Ok(permit) => {
@@ -224,8 +224,8 @@
             return self.unpark(now, out);
         }
         let told = match line {
-            0 => Told::Denied(denial.retry_after),
-            _ => Told::Full(denial.retry_after),
+            0 => Decision::Denied(denial.retry_after),
+            _ => Decision::Full(denial.retry_after),
         };
         out.push((waiter, told));
     }
@@ -287,7 +287,7 @@
                     refusal.reason != RefusalReason::Duplicate,
                     "request {id} waits twice"
                 );
-                let told = Told::Unplaced(Unplaced::Deadline, refusal.retry_after);
+                let told = Decision::Unplaced(PlacementError::Deadline, refusal.retry_after);
                 return out.push((waiter, told));
             }
         }
@@ -346,18 +346,18 @@
         self.pump_all(now, out);
     }
 
-    /// When the next [`Dispatcher::ask`] is due.
+    /// When the next [`Dispatcher::share_request`] is due.
     pub(crate) fn due(&self) -> Time {
         self.holder.due()
     }
 
     /// The next question for shares, to be sent at once.
-    pub(crate) fn ask(&mut self, now: Time) -> Ask {
+    pub(crate) fn share_request(&mut self, now: Time) -> ShareRequest {
         for (route, line) in &self.parked {
             let waiting = u32::try_from(line.len()).unwrap_or(u32::MAX);
             self.holder.set_waiting(now, route, waiting);
         }
-        self.holder.ask(now)
+        self.holder.share_request(now)
     }
 
     /// Takes the answer to a question.
@@ -387,7 +387,7 @@
                     break;
                 };
                 if let Some(Parked { waiter, .. }) = line.pop_front() {
-                    out.push((waiter, Told::Admitted(permit)));
+                    out.push((waiter, Decision::Admitted(permit)));
                 }
             }
             if line.is_empty() {
@@ -403,7 +403,7 @@
             let mut left = VecDeque::with_capacity(line.len());
             for parked in line.drain(..) {
                 if expired(&parked) {
-                    out.push((parked.waiter, Told::Expired));
+                    out.push((parked.waiter, Decision::Expired));
                 } else {
                     left.push_back(parked);
                 }
@@ -418,7 +418,7 @@
             .collect();
         for id in late {
             if let Some(Waiting { placement, waiter }) = self.waiting.remove(&id) {
-                let told = Told::Unplaced(Unplaced::Deadline, Duration::ZERO);
+                let told = Decision::Unplaced(PlacementError::Deadline, Duration::ZERO);
                 out.push((waiter, told));
                 let key = (placement.model, placement.pools);
                 if let Some(lane) = self.lanes.get_mut(&key) {
@@ -464,9 +464,9 @@
     }
 }
 
-fn told(chosen: Result<Choice, NoPath>, placement: Placement, lane: &LaneKey) -> Told {
+fn told(chosen: Result<Choice, NoPath>, placement: Placement, lane: &LaneKey) -> Decision {
     match chosen {
-        Ok(choice) => Told::Placed(Placed {
+        Ok(choice) => Decision::Placed(Placed {
             hops: choice.hops,
             version: choice.version,
             receipt: Receipt {
@@ -477,7 +477,7 @@
                 class: placement.class,
             },
         }),
-        Err(none) => Told::Unplaced(Unplaced::NoPath, none.retry_after),
+        Err(none) => Decision::Unplaced(PlacementError::NoPath, none.retry_after),
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -84,8 +84,8 @@
 };
 pub use id::{Incarnation, InstanceId, OrganisationId, Revision, UpstreamId};
 pub use limit::{
-    Allocator, Amounts, Ask, Demand, Denial, DenialReason, Grant, Holder, LEASE, PERIOD, Permit,
-    Share, URGENT,
+    Allocator, Amounts, Demand, Denial, DenialReason, Grant, Holder, LEASE, MIN_REQUEST_GAP,
+    Permit, REQUEST_PERIOD, Share, ShareRequest,
 };
 pub use membership::{Member, MemberDump, MemberState, MemberView};
 pub use program::run;
--- a/src/limit.rs
+++ b/src/limit.rs
@@ -19,16 +19,16 @@
 pub use allocator::Allocator;
 pub use holder::{Holder, Permit};
 pub use local::{Denial, DenialReason};
-pub use message::{Amounts, Ask, Demand, Grant, Share};
+pub use message::{Amounts, Demand, Grant, Share, ShareRequest};
 
 /// Validity of a grant from the sending of the question, on the holder's clock.
 pub const LEASE: Duration = Duration::from_secs(4);
 
 /// Time between two questions of a holder.
-pub const PERIOD: Duration = Duration::from_secs(1);
+pub const REQUEST_PERIOD: Duration = Duration::from_secs(1);
 
 /// Least time between two questions when requests find no share.
-pub const URGENT: Duration = Duration::from_millis(50);
+pub const MIN_REQUEST_GAP: Duration = Duration::from_millis(50);
 
 /// Bound on how far two clocks drift apart over one lease: 1% each way, and as
 /// much again for the rounding to microseconds and for scheduling.
--- a/src/limit/allocator.rs
+++ b/src/limit/allocator.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::message::{Amounts, Ask, Demand, Grant, Share};
+use super::message::{Amounts, Demand, Grant, Share, ShareRequest};
 use super::{DRIFT_MARGIN, LEASE};
 use crate::catalogue::Limits;
 use crate::clock::Time;
@@ -121,7 +121,7 @@
     ///
     /// A late copy reports a demand that is past; answering it would grant what
     /// its sender has no use for and, being older, doesn't take.
-    pub fn ask(&mut self, now: Time, ask: &Ask) -> Option<Grant> {
+    pub fn allocate(&mut self, now: Time, ask: &ShareRequest) -> Option<Grant> {
         self.sweep(now);
         let key = (ask.instance, ask.incarnation);
         let known = self.holders.entry(key).or_default();
@@ -154,7 +154,13 @@
         })
     }
 
-    fn grant(&mut self, now: Time, key: HolderKey, ask: &Ask, demand: &Demand) -> Option<[u32; 4]> {
+    fn grant(
+        &mut self,
+        now: Time,
+        key: HolderKey,
+        ask: &ShareRequest,
+        demand: &Demand,
+    ) -> Option<[u32; 4]> {
         let fleet = self.holders.len();
         let route = self.routes.get_mut(demand.route.as_str())?;
         route.hear(now, key, ask.applied, demand);
--- a/src/limit/holder.rs
+++ b/src/limit/holder.rs
@@ -7,8 +7,8 @@
 use crossbeam::queue::SegQueue;
 
 use super::local::{Denial, Local};
-use super::message::{Amounts, Ask, Grant};
-use super::{LEASE, PERIOD, URGENT};
+use super::message::{Amounts, Grant, ShareRequest};
+use super::{LEASE, MIN_REQUEST_GAP, REQUEST_PERIOD};
 use crate::clock::Time;
 use crate::collections::HashMap;
 use crate::id::{Incarnation, InstanceId};
@@ -167,12 +167,12 @@
         }
     }
 
-    /// When [`ask`](Self::ask) should be called next.
+    /// When [`share_request`](Self::share_request) should be called next.
     #[must_use]
     pub fn due(&self) -> Time {
         let gap = match (self.urgent, self.routes.is_empty()) {
-            (true, _) => URGENT,
-            (false, false) => PERIOD,
+            (true, _) => MIN_REQUEST_GAP,
+            (false, false) => REQUEST_PERIOD,
             // Nothing is wanted or held; the allocator only has to know that
             // this holder exists.
             (false, true) => LEASE,
@@ -182,9 +182,9 @@
 
     /// The next question. Its sending counts from `now`, so call it right
     /// before the message leaves.
-    pub fn ask(&mut self, now: Time) -> Ask {
+    pub fn share_request(&mut self, now: Time) -> ShareRequest {
         self.collect();
-        let passed = self.asked.map_or(PERIOD, |at| now.since(at));
+        let passed = self.asked.map_or(REQUEST_PERIOD, |at| now.since(at));
         self.asked = Some(now);
         self.urgent = false;
         self.sequence += 1;
@@ -201,7 +201,7 @@
             .retain(|_, l| l.running > 0 || now.since(l.used) < FORGET);
         let demands = self.routes.iter_mut();
         let demands = demands.map(|(route, l)| l.demand(route, valid, passed));
-        Ask {
+        ShareRequest {
             instance: self.instance.0,
             incarnation: self.incarnation.0,
             sequence: self.sequence,
--- a/src/limit/local.rs
+++ b/src/limit/local.rs
@@ -6,7 +6,7 @@
 
 use super::bucket::Bucket;
 use super::message::{Amounts, Demand};
-use super::{PERIOD, URGENT};
+use super::{MIN_REQUEST_GAP, REQUEST_PERIOD};
 use crate::clock::Time;
 
 /// Gain on a change of demand that may be chance.
@@ -79,7 +79,7 @@
     /// Whether this is the first denial for a period. Only then is it worth an
     /// urgent question; a limit that is used up stays so for a while.
     pub(crate) fn first_denial(&mut self, now: Time) -> bool {
-        let first = self.denied.is_none_or(|at| now.since(at) >= PERIOD);
+        let first = self.denied.is_none_or(|at| now.since(at) >= REQUEST_PERIOD);
         if first {
             self.denied = Some(now);
         }
@@ -94,10 +94,10 @@
 
     pub(crate) fn denial(&self, valid: bool, tokens: u32) -> Option<Denial> {
         if !valid || self.share == Amounts::default() {
-            return Some(deny(DenialReason::NoShare, URGENT));
+            return Some(deny(DenialReason::NoShare, MIN_REQUEST_GAP));
         }
         if self.running >= self.share.concurrent {
-            return Some(deny(DenialReason::Concurrent, PERIOD));
+            return Some(deny(DenialReason::Concurrent, REQUEST_PERIOD));
         }
         if !self.requests.has(1.0) {
             return Some(late(DenialReason::Requests, self.requests.wait(1.0)));
@@ -111,8 +111,8 @@
 
     pub(crate) fn demand(&mut self, route: &str, valid: bool, passed: Duration) -> Demand {
         let seen = std::mem::take(&mut self.seen);
-        let secs = passed.as_secs_f64().max(URGENT.as_secs_f64());
-        let weight = (secs / PERIOD.as_secs_f64()).min(1.0);
+        let secs = passed.as_secs_f64().max(MIN_REQUEST_GAP.as_secs_f64());
+        let weight = (secs / REQUEST_PERIOD.as_secs_f64()).min(1.0);
         let rates = [f64::from(seen.requests) / secs, seen.tokens as f64 / secs];
         for (wanted, rate) in self.wanted.iter_mut().zip(rates) {
             *wanted += (rate - *wanted) * weight * gain(*wanted, rate);
@@ -155,6 +155,6 @@
 }
 
 fn late(reason: DenialReason, wait: Option<f64>) -> Denial {
-    let wait = wait.map_or(PERIOD, Duration::from_secs_f64);
+    let wait = wait.map_or(REQUEST_PERIOD, Duration::from_secs_f64);
     deny(reason, wait)
 }
--- a/src/limit/message.rs
+++ b/src/limit/message.rs
@@ -62,7 +62,7 @@
 
 /// A holder's question for shares.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
-pub struct Ask {
+pub struct ShareRequest {
     /// Asking instance.
     #[prost(uint64, tag = "1")]
     pub instance: u64,
--- a/src/message.rs
+++ b/src/message.rs
@@ -52,7 +52,7 @@
     Propose(Propose),
     /// For shares of the limits.
     #[prost(message, tag = "3")]
-    Share(limit::Ask),
+    Share(limit::ShareRequest),
     /// For a change of the voters of a group.
     #[prost(message, tag = "4")]
     Member(ChangeVoter),
--- a/src/node.rs
+++ b/src/node.rs
@@ -175,7 +175,7 @@
 /// after a quorum has confirmed the leader. Then it led at the confirmation,
 /// and whoever leads later starts its allocator later than this grant's
 /// question was sent. A former leader that doesn't know yet can't pass.
-fn share(vote: &Vote, ask: limit::Ask, done: impl FnOnce(Answer) + Send + 'static) {
+fn share(vote: &Vote, ask: limit::ShareRequest, done: impl FnOnce(Answer) + Send + 'static) {
     let Some(term) = vote.leads(CATALOGUE_GROUP) else {
         return done(Answer::NotLeader(vote.leader(CATALOGUE_GROUP)));
     };
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -21,12 +21,12 @@
 use crate::budget::Budget;
 use crate::clock::{Clock, Time};
 use crate::collections::HashMap;
-use crate::dispatch::{Dispatcher, Effect, Told, service_model};
+use crate::dispatch::{Decision, Dispatcher, Effect, service_model};
 use crate::gate::Gate;
 use crate::gossip::Fleet;
 use crate::id::{Incarnation, InstanceId, UpstreamId};
 use crate::lease::InForce;
-use crate::limit::{Ask, Grant, Permit, URGENT};
+use crate::limit::{Grant, MIN_REQUEST_GAP, Permit, ShareRequest};
 use crate::propose::Proposer;
 use crate::request::RequestId;
 use crate::route::Stage;
@@ -43,7 +43,7 @@
 const SERVICE_LINK: u32 = 1000;
 
 /// Who waits for the dispatcher.
-type Waiter = oneshot::Sender<Told>;
+type Waiter = oneshot::Sender<Decision>;
 
 /// What serving needs of the instance.
 pub(crate) struct Parts {
@@ -109,7 +109,7 @@
         step(&mut dispatcher, now, &mut out);
         let due = dispatcher.due();
         drop(dispatcher);
-        if due <= now + URGENT {
+        if due <= now + MIN_REQUEST_GAP {
             self.urgent.notify_one();
         }
         for (waiter, told) in out {
@@ -160,10 +160,10 @@
     }
 
     /// The question for shares, if one is due.
-    pub(crate) fn ask(&self) -> Option<Ask> {
+    pub(crate) fn ask(&self) -> Option<ShareRequest> {
         let now = self.now();
         let mut dispatcher = self.dispatcher.lock().expect("no holder panics");
-        (dispatcher.due() <= now).then(|| dispatcher.ask(now))
+        (dispatcher.due() <= now).then(|| dispatcher.share_request(now))
     }
 
     /// Takes the answer to a question for shares.
--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -12,7 +12,7 @@
 use super::{Held, Serving, Waiter, listen, respond};
 use crate::catalogue::{Catalogue, Route, Target};
 use crate::clock::Time;
-use crate::dispatch::{Admission, Dispatcher, Placement, Told, Unplaced};
+use crate::dispatch::{Admission, Decision, Dispatcher, Placement, PlacementError};
 use crate::event;
 use crate::gate::Running;
 use crate::http::Reply;
@@ -128,13 +128,15 @@
             })
             .await;
         match told {
-            Some(Told::Admitted(permit)) => Ok(life.admit(Held {
+            Some(Decision::Admitted(permit)) => Ok(life.admit(Held {
                 serving: Arc::clone(self),
                 permit: Some(permit),
                 used: Arc::clone(used),
             })),
-            Some(Told::Denied(pause)) => Err(life.refuse(RefusalCode::LimitReached, Some(pause))),
-            Some(Told::Full(pause)) => Err(life.refuse(RefusalCode::QueueFull, Some(pause))),
+            Some(Decision::Denied(pause)) => {
+                Err(life.refuse(RefusalCode::LimitReached, Some(pause)))
+            }
+            Some(Decision::Full(pause)) => Err(life.refuse(RefusalCode::QueueFull, Some(pause))),
             _ => Err(life.refuse(RefusalCode::QueueTimeout, None)),
         }
     }
@@ -143,16 +145,16 @@
     pub(crate) async fn place(
         self: &Arc<Self>,
         placement: Placement,
-    ) -> Result<crate::dispatch::Placed, (Unplaced, Duration)> {
+    ) -> Result<crate::dispatch::Placed, (PlacementError, Duration)> {
         let told = self
             .wait(placement.id, |dispatcher, now, waiter, out| {
                 dispatcher.place(now, placement, waiter, out);
             })
             .await;
         match told {
-            Some(Told::Placed(placed)) => Ok(placed),
-            Some(Told::Unplaced(why, pause)) => Err((why, pause)),
-            _ => Err((Unplaced::Deadline, Duration::ZERO)),
+            Some(Decision::Placed(placed)) => Ok(placed),
+            Some(Decision::Unplaced(why, pause)) => Err((why, pause)),
+            _ => Err((PlacementError::Deadline, Duration::ZERO)),
         }
     }
 
@@ -165,7 +167,7 @@
             Waiter,
             &mut Vec<crate::dispatch::Effect<Waiter>>,
         ),
-    ) -> Option<Told> {
+    ) -> Option<Decision> {
         let (waiter, told) = oneshot::channel();
         let _leave = Leave {
             serving: Arc::clone(self),
--- a/src/serve/generate.rs
+++ b/src/serve/generate.rs
@@ -14,7 +14,7 @@
 use super::{Held, Serving, stream};
 use crate::claim::{ClaimLease, Outcome as Settled};
 use crate::clock::{Time, millis};
-use crate::dispatch::{Placed, Placement, Unplaced};
+use crate::dispatch::{Placed, Placement, PlacementError};
 use crate::engine::{Cutoff, HttpEngine, Order, Stage};
 use crate::event;
 use crate::id::UpstreamId;
@@ -266,8 +266,8 @@
                 }
             };
             let placed = placed.map_err(|(why, pause)| match why {
-                Unplaced::NoPath => (Unopened::NoPath, Some(pause)),
-                Unplaced::Deadline => (Unopened::Deadline, Some(pause)),
+                PlacementError::NoPath => (Unopened::NoPath, Some(pause)),
+                PlacementError::Deadline => (Unopened::Deadline, Some(pause)),
             })?;
             if let Some(path) = self.path(&placed) {
                 return Ok(Some((placed, path)));
--- a/src/tests/dispatch.rs
+++ b/src/tests/dispatch.rs
@@ -8,7 +8,7 @@
 
 use crate::catalogue::{Class, Limits};
 use crate::clock::Time;
-use crate::dispatch::{Admission, Dispatcher, Effect, Placed, Placement, Told};
+use crate::dispatch::{Admission, Decision, Dispatcher, Effect, Placed, Placement};
 use crate::id::{Incarnation, InstanceId};
 use crate::limit::{Allocator, Permit};
 use crate::route::{Outcome, Stage};
@@ -104,10 +104,10 @@
         }
         self.dispatcher.tick(self.now, &mut out);
         if self.dispatcher.due() <= self.now {
-            let ask = self.dispatcher.ask(self.now);
+            let ask = self.dispatcher.share_request(self.now);
             // Some questions are lost; shares run out and come back.
             if self.rng.random_ratio(9, 10)
-                && let Some(grant) = self.allocator.ask(self.now, &ask)
+                && let Some(grant) = self.allocator.allocate(self.now, &ask)
             {
                 self.dispatcher.grant(self.now, &grant, &mut out);
             }
@@ -205,10 +205,14 @@
                 panic!("seed {seed}: {id} was told after its end");
             };
             let next = match (place, told) {
-                (Place::Parked, Told::Admitted(permit)) => Place::Admitted(permit),
-                (Place::Parked, Told::Denied(_) | Told::Full(_) | Told::Expired) => continue,
-                (Place::Waiting(permit), Told::Placed(placed)) => Place::Running(permit, placed),
-                (Place::Waiting(_), Told::Unplaced(..)) => continue,
+                (Place::Parked, Decision::Admitted(permit)) => Place::Admitted(permit),
+                (Place::Parked, Decision::Denied(_) | Decision::Full(_) | Decision::Expired) => {
+                    continue;
+                }
+                (Place::Waiting(permit), Decision::Placed(placed)) => {
+                    Place::Running(permit, placed)
+                }
+                (Place::Waiting(_), Decision::Unplaced(..)) => continue,
                 (_, told) => panic!("seed {seed}: {id} was told {told:?} out of turn"),
             };
             self.requests.insert(id, (route, next));
--- a/src/tests/limit.rs
+++ b/src/tests/limit.rs
@@ -9,7 +9,10 @@
 use crate::catalogue::Limits;
 use crate::clock::Time;
 use crate::id::{Incarnation, InstanceId};
-use crate::limit::{Allocator, Ask, DenialReason, Grant, Holder, LEASE, PERIOD, Permit, URGENT};
+use crate::limit::{
+    Allocator, DenialReason, Grant, Holder, LEASE, MIN_REQUEST_GAP, Permit, REQUEST_PERIOD,
+    ShareRequest,
+};
 
 fn limits(n: u32) -> Limits {
     Limits {
@@ -33,8 +36,8 @@
 }
 
 fn exchange(allocator: &mut Allocator, holder: &mut Holder, now: Time) -> bool {
-    let ask = holder.ask(now);
-    let grant = allocator.ask(now, &ask);
+    let ask = holder.share_request(now);
+    let grant = allocator.allocate(now, &ask);
     grant.is_some_and(|g| holder.grant(now, &g))
 }
 
@@ -45,7 +48,7 @@
     assert_eq!(denial.reason, DenialReason::NoShare);
     assert_eq!(holder.due(), Time(0), "a question is due at once");
     assert!(exchange(&mut allocator, &mut holder, now));
-    let permit = holder.admit(now + PERIOD, "r", 10).unwrap();
+    let permit = holder.admit(now + REQUEST_PERIOD, "r", 10).unwrap();
     assert_eq!(holder.running("r"), 1);
     drop(permit);
     assert_eq!(holder.running("r"), 0);
@@ -56,7 +59,7 @@
     let (mut allocator, mut holder, now) = pair(0);
     let _ = holder.admit(now, "r", 1);
     exchange(&mut allocator, &mut holder, now);
-    assert!(holder.admit(now + PERIOD, "r", 1).is_err());
+    assert!(holder.admit(now + REQUEST_PERIOD, "r", 1).is_err());
 }
 
 #[test]
@@ -64,17 +67,17 @@
     let (mut allocator, mut holder, now) = pair(10);
     let _ = holder.admit(now, "r", 1);
     exchange(&mut allocator, &mut holder, now);
-    let now = now + PERIOD;
+    let now = now + REQUEST_PERIOD;
     let held: Vec<Permit> = (0..4)
         .map_while(|_| holder.admit(now, "r", 1).ok())
         .collect();
     assert_eq!(held.len(), 4);
     allocator.set_limits([("r", limits(2))]);
     exchange(&mut allocator, &mut holder, now);
-    let denial = holder.admit(now + PERIOD, "r", 1).unwrap_err();
+    let denial = holder.admit(now + REQUEST_PERIOD, "r", 1).unwrap_err();
     assert_eq!(denial.reason, DenialReason::Concurrent);
     drop(held);
-    assert!(holder.admit(now + PERIOD, "r", 1).is_ok());
+    assert!(holder.admit(now + REQUEST_PERIOD, "r", 1).is_ok());
 }
 
 #[test]
@@ -82,7 +85,7 @@
     let (mut allocator, mut holder, now) = pair(10);
     let _ = holder.admit(now, "r", 1000);
     exchange(&mut allocator, &mut holder, now);
-    let now = now + PERIOD;
+    let now = now + REQUEST_PERIOD;
     let permit = holder.admit(now, "r", 10).unwrap();
     holder.settle(permit, 5000);
     let denial = holder.admit(now, "r", 10).unwrap_err();
@@ -93,17 +96,17 @@
 fn grant_lease_counts_from_sending() {
     let (mut allocator, mut holder, now) = pair(10);
     let _ = holder.admit(now, "r", 1);
-    let ask = holder.ask(now);
-    let grant = allocator.ask(now, &ask).unwrap();
+    let ask = holder.share_request(now);
+    let grant = allocator.allocate(now, &ask).unwrap();
     assert!(holder.grant(now + LEASE / 2, &grant));
-    assert_ne!(holder.share(now + LEASE - URGENT, "r").requests, 0);
+    assert_ne!(holder.share(now + LEASE - MIN_REQUEST_GAP, "r").requests, 0);
     assert_eq!(holder.share(now + LEASE, "r").requests, 0);
 }
 
 /// Two instances show up together at twice the limit. Callers of either must
 /// not find it starved: after a few periods both have about half.
 #[test]
-fn ask_share_follows_demand() {
+fn allocate_share_follows_demand() {
     let (mut allocator, mut a, mut now) = pair(100);
     let mut b = holder(2);
     for round in 0..8 {
@@ -115,7 +118,7 @@
         }
         exchange(&mut allocator, &mut a, now);
         exchange(&mut allocator, &mut b, now);
-        now = now + PERIOD;
+        now = now + REQUEST_PERIOD;
     }
     let shares = [&a, &b].map(|h| h.share(now, "r").requests);
     assert!(shares.iter().all(|s| (40..=60).contains(s)), "{shares:?}");
@@ -170,7 +173,7 @@
 
 #[derive(Clone)]
 enum Message {
-    Ask(Ask),
+    Request(ShareRequest),
     Grant(Grant),
 }
 
@@ -233,18 +236,18 @@
                 return;
             }
             match entry.remove() {
-                Message::Ask(ask) => self.answer(&ask),
+                Message::Request(ask) => self.answer(&ask),
                 Message::Grant(grant) => self.apply(&grant),
             }
         }
     }
 
-    fn answer(&mut self, ask: &Ask) {
+    fn answer(&mut self, ask: &ShareRequest) {
         let now = self.now;
         let Some((allocator, drift)) = &mut self.leader else {
             return;
         };
-        if let Some(grant) = allocator.ask(drift.at(now), ask) {
+        if let Some(grant) = allocator.allocate(drift.at(now), ask) {
             self.send(&Message::Grant(grant));
         }
     }
@@ -307,8 +310,8 @@
             process.permits.pop();
         }
         if process.holder.due() <= now {
-            let ask = process.holder.ask(now);
-            self.send(&Message::Ask(ask));
+            let ask = process.holder.share_request(now);
+            self.send(&Message::Request(ask));
         }
     }
 
@@ -370,13 +373,13 @@
     }
     exchange(&mut old, &mut a, now);
     assert_eq!(a.share(now, "r").concurrent, 10);
-    let late = a.ask(now + LEASE - URGENT);
-    let now = now + LEASE + 2 * PERIOD;
+    let late = a.share_request(now + LEASE - MIN_REQUEST_GAP);
+    let now = now + LEASE + 2 * REQUEST_PERIOD;
     assert!(exchange(&mut old, &mut b, now));
     assert_eq!(b.share(now, "r").concurrent, 10);
     let mut new = Allocator::new(now);
     new.set_limits([("r", limits(10))]);
-    let grant = new.ask(now, &late).unwrap();
+    let grant = new.allocate(now, &late).unwrap();
     a.grant(now, &grant);
     assert_eq!(a.share(now, "r").concurrent, 0);
 }
@@ -393,16 +396,16 @@
         }
     }
     exchange(&mut old, &mut a, now);
-    let taken = a.ask(now + URGENT);
-    let late = a.ask(now + 2 * URGENT);
-    let mut taken = old.ask(now + URGENT, &taken).unwrap();
+    let taken = a.share_request(now + MIN_REQUEST_GAP);
+    let late = a.share_request(now + 2 * MIN_REQUEST_GAP);
+    let mut taken = old.allocate(now + MIN_REQUEST_GAP, &taken).unwrap();
     taken.shares.clear();
-    assert!(a.grant(now + 3 * URGENT, &taken));
-    let mut new = Allocator::new(now + PERIOD);
+    assert!(a.grant(now + 3 * MIN_REQUEST_GAP, &taken));
+    let mut new = Allocator::new(now + REQUEST_PERIOD);
     new.set_limits([("r", limits(10))]);
-    let grant = new.ask(now + PERIOD, &late).unwrap();
-    a.grant(now + PERIOD, &grant);
-    assert_eq!(a.share(now + PERIOD, "r").concurrent, 0);
+    let grant = new.allocate(now + REQUEST_PERIOD, &late).unwrap();
+    a.grant(now + REQUEST_PERIOD, &grant);
+    assert_eq!(a.share(now + REQUEST_PERIOD, "r").concurrent, 0);
 }
 
 /// An instance saves up a second's worth of requests and is then cut off. By
@@ -421,19 +424,19 @@
 }
 
 #[test]
-fn ask_late_copy() {
+fn allocate_late_copy() {
     let (mut allocator, mut holder, now) = pair(10);
-    let first = holder.ask(now);
-    let second = holder.ask(now + URGENT);
-    assert!(allocator.ask(now + URGENT, &second).is_some());
-    assert_eq!(allocator.ask(now + URGENT, &first), None);
-    assert_eq!(allocator.ask(now + URGENT, &second), None);
+    let first = holder.share_request(now);
+    let second = holder.share_request(now + MIN_REQUEST_GAP);
+    assert!(allocator.allocate(now + MIN_REQUEST_GAP, &second).is_some());
+    assert_eq!(allocator.allocate(now + MIN_REQUEST_GAP, &first), None);
+    assert_eq!(allocator.allocate(now + MIN_REQUEST_GAP, &second), None);
 }
 
 /// A cut-off instance holds the whole limit. Its callers go on until its lease
 /// ends; then the others must get all of it.
 #[test]
-fn ask_share_of_silent_instance_comes_back() {
+fn allocate_share_of_silent_instance_comes_back() {
     let (mut allocator, mut silent, now) = pair(10);
     let mut other = holder(2);
     for _ in 0..50 {
@@ -443,7 +446,7 @@
     assert_eq!(silent.share(now, "r").requests, 10);
     let mut got = Vec::new();
     for half in 0..12 {
-        let now = now + half * PERIOD / 2;
+        let now = now + half * REQUEST_PERIOD / 2;
         for _ in 0..50 {
             drop(other.admit(now, "r", 10));
         }
@@ -462,10 +465,10 @@
     let (mut allocator, mut holder, now) = pair(100);
     let _ = holder.admit(now, "r", 1);
     exchange(&mut allocator, &mut holder, now);
-    assert_eq!(holder.due(), now + PERIOD);
+    assert_eq!(holder.due(), now + REQUEST_PERIOD);
     allocator.set_limits([("r", limits(10))]);
-    exchange(&mut allocator, &mut holder, now + PERIOD);
-    assert_eq!(holder.due(), now + PERIOD + URGENT);
+    exchange(&mut allocator, &mut holder, now + REQUEST_PERIOD);
+    assert_eq!(holder.due(), now + REQUEST_PERIOD + MIN_REQUEST_GAP);
 }
 
 #[test]
@@ -476,7 +479,7 @@
     let later = now + Duration::from_millis(100);
     let _ = holder.admit(later, "r", 1);
     let _ = holder.admit(later, "r", 1);
-    assert_eq!(holder.due(), now + PERIOD);
+    assert_eq!(holder.due(), now + REQUEST_PERIOD);
 }
 
 /// The first requests of a route come to all nine instances at once, as after
@@ -484,13 +487,13 @@
 /// for, so the last ones waited two periods until it was given back; a caller
 /// saw its first token after two seconds.
 #[test]
-fn ask_first_requests_everywhere() {
+fn allocate_first_requests_everywhere() {
     let (mut allocator, _, now) = pair(100);
     let mut holders: Vec<Holder> = (1..=9).map(holder).collect();
     for holder in &mut holders {
         assert!(exchange(&mut allocator, holder, now), "no demand yet");
     }
-    let now = now + PERIOD;
+    let now = now + REQUEST_PERIOD;
     for holder in &mut holders {
         let _ = holder.admit(now, "r", 1);
         exchange(&mut allocator, holder, now);
