--- a/src/allocate.rs
+++ b/src/allocate.rs
@@ -8,16 +8,16 @@
 
 /// The allocator of the term that this instance leads, if it does.
 #[derive(Default)]
-pub(crate) struct Allocation(Mutex<Option<Led>>);
+pub(crate) struct LeaderAllocator(Mutex<Option<TermAllocator>>);
 
-struct Led {
+struct TermAllocator {
     term: u64,
     allocator: Allocator,
     /// Catalogue revision whose limits are in use.
     revision: Option<u64>,
 }
 
-impl Allocation {
+impl LeaderAllocator {
     /// Answers a question for shares in `term`.
     ///
     /// The caller has proved by a quorum, after the question arrived, that
@@ -36,7 +36,7 @@
         }
         let led = match slot.take() {
             Some(led) if led.term == term => slot.insert(led),
-            _ => slot.insert(Led {
+            _ => slot.insert(TermAllocator {
                 term,
                 allocator: Allocator::new(now),
                 revision: None,
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -146,7 +146,7 @@
 }
 
 /// Tells `W`, the waiter of one request.
-pub(crate) type Effect<W> = (W, Decision);
+pub(crate) type Notification<W> = (W, Decision);
 
 type LaneKey = (Arc<str>, Arc<[String]>);
 
@@ -201,7 +201,7 @@
         now: Time,
         admission: Admission,
         waiter: W,
-        out: &mut Vec<Effect<W>>,
+        out: &mut Vec<Notification<W>>,
     ) {
         let line = self.parked.get(&admission.route).map_or(0, VecDeque::len);
         let tried = self.holder.admit(now, &admission.route, admission.tokens);
@@ -248,7 +248,7 @@
         now: Time,
         permit: Permit,
         tokens: u32,
-        out: &mut Vec<Effect<W>>,
+        out: &mut Vec<Notification<W>>,
     ) {
         self.holder.settle(permit, tokens);
         self.unpark(now, out);
@@ -260,7 +260,7 @@
         now: Time,
         placement: Placement,
         waiter: W,
-        out: &mut Vec<Effect<W>>,
+        out: &mut Vec<Notification<W>>,
     ) {
         let key: LaneKey = (placement.model.clone(), placement.pools.clone());
         let lane = self.lanes.entry(key.clone()).or_insert_with(|| Lane {
@@ -302,7 +302,7 @@
         receipt: Receipt,
         outcome: Outcome,
         tokens: u32,
-        out: &mut Vec<Effect<W>>,
+        out: &mut Vec<Notification<W>>,
     ) {
         self.router.finish(now, receipt.ticket, outcome);
         if let Some(lane) = self.lanes.get_mut(&receipt.lane) {
@@ -317,7 +317,7 @@
     }
 
     /// Forgets a request whose caller left while it waited.
-    pub(crate) fn leave(&mut self, id: u64) {
+    pub(crate) fn cancel(&mut self, id: u64) {
         for line in self.parked.values_mut() {
             line.retain(|parked| parked.admission.id != id);
         }
@@ -339,7 +339,7 @@
         now: Time,
         stages: &[Stage],
         instances: u32,
-        out: &mut Vec<Effect<W>>,
+        out: &mut Vec<Notification<W>>,
     ) {
         self.router.set_instances(instances);
         self.router.set_view(now, stages);
@@ -361,14 +361,14 @@
     }
 
     /// Takes the answer to a question.
-    pub(crate) fn grant(&mut self, now: Time, grant: &Grant, out: &mut Vec<Effect<W>>) {
+    pub(crate) fn grant(&mut self, now: Time, grant: &Grant, out: &mut Vec<Notification<W>>) {
         if self.holder.grant(now, grant) {
             self.unpark(now, out);
         }
     }
 
     /// Takes note of the time: deadlines pass, rates refill.
-    pub(crate) fn tick(&mut self, now: Time, out: &mut Vec<Effect<W>>) {
+    pub(crate) fn tick(&mut self, now: Time, out: &mut Vec<Notification<W>>) {
         self.expire(now, out);
         self.unpark(now, out);
         self.pump_all(now, out);
@@ -379,7 +379,7 @@
         self.router.bound(now, model, pools)
     }
 
-    fn unpark(&mut self, now: Time, out: &mut Vec<Effect<W>>) {
+    fn unpark(&mut self, now: Time, out: &mut Vec<Notification<W>>) {
         for (route, line) in &mut self.parked {
             while let Some(first) = line.front() {
                 let tokens = first.admission.tokens;
@@ -397,7 +397,7 @@
         self.parked.retain(|_, line| !line.is_empty());
     }
 
-    fn expire(&mut self, now: Time, out: &mut Vec<Effect<W>>) {
+    fn expire(&mut self, now: Time, out: &mut Vec<Notification<W>>) {
         for line in self.parked.values_mut() {
             let expired = |p: &Parked<W>| p.admission.deadline <= now;
             let mut left = VecDeque::with_capacity(line.len());
@@ -428,7 +428,7 @@
         }
     }
 
-    fn pump_all(&mut self, now: Time, out: &mut Vec<Effect<W>>) {
+    fn pump_all(&mut self, now: Time, out: &mut Vec<Notification<W>>) {
         let busy: Vec<LaneKey> = self
             .lanes
             .iter()
@@ -441,7 +441,7 @@
     }
 
     /// Places requests of a lane for as long as there are free paths.
-    fn pump(&mut self, now: Time, key: &LaneKey, out: &mut Vec<Effect<W>>) {
+    fn pump(&mut self, now: Time, key: &LaneKey, out: &mut Vec<Notification<W>>) {
         let Some(lane) = self.lanes.get_mut(key) else {
             return;
         };
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -92,8 +92,8 @@
 pub use queue::{Discipline, Item, Queue, Refusal, RefusalReason};
 pub use replica::{Change, Member as GroupMember, Message, Peer, Role};
 pub use route::{
-    Candidate, Choice, FlowShares, GreedyCheapest, Hop, LeastInFlight, NoPath, NoPathReason,
-    Outcome, Policy, Query, RoundRobin, Router, Site, Stage, Ticket,
+    Candidate, Choice, FlowShares, GreedyCheapest, Hop, HopContext, LeastInFlight, NoPath,
+    NoPathReason, Outcome, Policy, Query, RoundRobin, Router, Stage, Ticket,
 };
 pub use settings::Settings;
 pub use store::StoreError;
--- a/src/node.rs
+++ b/src/node.rs
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use crate::allocate::Allocation;
+use crate::allocate::LeaderAllocator;
 use crate::catalogue::Shared;
 use crate::clock::Clock;
 use crate::confirm::Confirmations;
@@ -41,7 +41,7 @@
     /// Confirms the catalogue's group.
     pub(crate) confirmations: Confirmations,
     /// Shares of the limits, while this instance leads.
-    pub(crate) shares: Arc<Allocation>,
+    pub(crate) shares: Arc<LeaderAllocator>,
     pub(crate) clock: Arc<dyn Clock>,
 }
 
--- a/src/route.rs
+++ b/src/route.rs
@@ -26,7 +26,9 @@
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHasher;
 
-pub use policy::{Candidate, FlowShares, GreedyCheapest, LeastInFlight, Policy, RoundRobin, Site};
+pub use policy::{
+    Candidate, FlowShares, GreedyCheapest, HopContext, LeastInFlight, Policy, RoundRobin,
+};
 pub use types::{Choice, Hop, NoPath, NoPathReason, Outcome, Query, Stage, Ticket};
 
 use crate::clock::Time;
@@ -169,7 +171,7 @@
                     self.engines.failed(now, engine);
                 }
             }
-            Outcome::Unclear => {
+            Outcome::Unattributed => {
                 for &engine in &engines {
                     self.engines.suspected(now, engine);
                 }
--- a/src/route/policy.rs
+++ b/src/route/policy.rs
@@ -24,7 +24,7 @@
 
 /// The engines in reach at one point of a path.
 #[derive(Debug)]
-pub struct Site<'a, 'b> {
+pub struct HopContext<'a, 'b> {
     pub(crate) walk: &'a Walk<'b>,
     pub(crate) variant: &'a Variant,
     pub(crate) ways: &'a [Way],
@@ -32,7 +32,7 @@
     pub(crate) last: Option<u32>,
 }
 
-impl Site<'_, '_> {
+impl HopContext<'_, '_> {
     /// All engines that may be used, in a fixed order.
     pub fn candidates(&self) -> impl Iterator<Item = Candidate> {
         let ways = self.ways.iter().enumerate();
@@ -117,7 +117,7 @@
 /// Draws the next hop of a path.
 pub trait Policy: Debug + Send {
     /// One of the site's candidates, or nothing only when there are none.
-    fn pick(&mut self, site: &Site<'_, '_>, rng: &mut ChaCha8Rng) -> Option<Candidate>;
+    fn pick(&mut self, site: &HopContext<'_, '_>, rng: &mut ChaCha8Rng) -> Option<Candidate>;
 }
 
 /// A draw by the flow's shares, unless a second draw or an engine that cached
@@ -131,7 +131,7 @@
 pub struct FlowShares;
 
 impl Policy for FlowShares {
-    fn pick(&mut self, site: &Site<'_, '_>, rng: &mut ChaCha8Rng) -> Option<Candidate> {
+    fn pick(&mut self, site: &HopContext<'_, '_>, rng: &mut ChaCha8Rng) -> Option<Candidate> {
         let drawn: [Option<Candidate>; DRAWS] = std::array::from_fn(|_| site.draw(rng));
         let few = drawn.into_iter().flatten();
         let first = few.clone().next();
@@ -152,7 +152,7 @@
 }
 
 impl Policy for RoundRobin {
-    fn pick(&mut self, site: &Site<'_, '_>, _: &mut ChaCha8Rng) -> Option<Candidate> {
+    fn pick(&mut self, site: &HopContext<'_, '_>, _: &mut ChaCha8Rng) -> Option<Candidate> {
         let count = site.candidates().count();
         self.turn = self.turn.wrapping_add(1);
         site.candidates().nth(self.turn % count.max(1))
@@ -165,7 +165,7 @@
 pub struct LeastInFlight;
 
 impl Policy for LeastInFlight {
-    fn pick(&mut self, site: &Site<'_, '_>, rng: &mut ChaCha8Rng) -> Option<Candidate> {
+    fn pick(&mut self, site: &HopContext<'_, '_>, rng: &mut ChaCha8Rng) -> Option<Candidate> {
         let all = site.candidates();
         let keyed = all.map(|c| (site.in_flight(c), rng.random::<u32>(), c));
         let least = keyed.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -178,7 +178,7 @@
 pub struct GreedyCheapest;
 
 impl Policy for GreedyCheapest {
-    fn pick(&mut self, site: &Site<'_, '_>, _: &mut ChaCha8Rng) -> Option<Candidate> {
+    fn pick(&mut self, site: &HopContext<'_, '_>, _: &mut ChaCha8Rng) -> Option<Candidate> {
         site.cheapest(site.candidates())
     }
 }
--- a/src/route/types.rs
+++ b/src/route/types.rs
@@ -143,7 +143,7 @@
         stage: usize,
     },
     /// The stream was cut, and any of the engines may be the cause.
-    Unclear,
+    Unattributed,
     /// An engine refused before it ran anything.
     Busy {
         /// Index of the hop that refused.
--- a/src/route/walk.rs
+++ b/src/route/walk.rs
@@ -7,7 +7,7 @@
 
 use super::engines::Engines;
 use super::plan::{Plan, Variant};
-use super::policy::{Policy, Site};
+use super::policy::{HopContext, Policy};
 use super::prefix::Cached;
 use super::types::{NoPath, Query};
 use crate::clock::Time;
@@ -100,7 +100,7 @@
         let mut cut = 0;
         while cut != last {
             let ways = &variant.ways[cut];
-            let site = Site {
+            let site = HopContext {
                 walk: self,
                 variant,
                 ways,
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -21,7 +21,7 @@
 use crate::budget::Budget;
 use crate::clock::{Clock, Time};
 use crate::collections::HashMap;
-use crate::dispatch::{Decision, Dispatcher, Effect, service_model};
+use crate::dispatch::{Decision, Dispatcher, Notification, service_model};
 use crate::gate::Gate;
 use crate::gossip::Fleet;
 use crate::id::{Incarnation, InstanceId, UpstreamId};
@@ -102,7 +102,10 @@
     }
 
     /// Steps the dispatcher and tells its waiters.
-    fn dispatch(&self, step: impl FnOnce(&mut Dispatcher<Waiter>, Time, &mut Vec<Effect<Waiter>>)) {
+    fn dispatch(
+        &self,
+        step: impl FnOnce(&mut Dispatcher<Waiter>, Time, &mut Vec<Notification<Waiter>>),
+    ) {
         let mut out = Vec::new();
         let now = self.now();
         let mut dispatcher = self.dispatcher.lock().expect("no holder panics");
--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -67,7 +67,7 @@
 impl Drop for Leave {
     fn drop(&mut self) {
         self.serving
-            .dispatch(|dispatcher, _, _| dispatcher.leave(self.id));
+            .dispatch(|dispatcher, _, _| dispatcher.cancel(self.id));
     }
 }
 
@@ -165,7 +165,7 @@
             &mut Dispatcher<Waiter>,
             Time,
             Waiter,
-            &mut Vec<crate::dispatch::Effect<Waiter>>,
+            &mut Vec<crate::dispatch::Notification<Waiter>>,
         ),
     ) -> Option<Decision> {
         let (waiter, told) = oneshot::channel();
--- a/src/serve/generate.rs
+++ b/src/serve/generate.rs
@@ -462,7 +462,7 @@
                 (Some(stage), _) => Outcome::Failed { stage },
                 // Only the first stage takes connections from here.
                 (None, Cause::Refused) => Outcome::Failed { stage: 0 },
-                (None, _) => Outcome::Unclear,
+                (None, _) => Outcome::Unattributed,
             },
         };
         drop(flight.reader);
--- a/src/tests/dispatch.rs
+++ b/src/tests/dispatch.rs
@@ -8,7 +8,7 @@
 
 use crate::catalogue::{Class, Limits};
 use crate::clock::Time;
-use crate::dispatch::{Admission, Decision, Dispatcher, Effect, Placed, Placement};
+use crate::dispatch::{Admission, Decision, Dispatcher, Notification, Placed, Placement};
 use crate::id::{Incarnation, InstanceId};
 use crate::limit::{Allocator, Permit};
 use crate::route::{Outcome, Stage};
@@ -122,7 +122,7 @@
         self.check();
     }
 
-    fn submit(&mut self, out: &mut Vec<Effect<u64>>) {
+    fn submit(&mut self, out: &mut Vec<Notification<u64>>) {
         let id = self.next;
         self.next += 1;
         let route = ROUTES[self.rng.random_range(0..ROUTES.len())];
@@ -147,7 +147,7 @@
         (!found.is_empty()).then(|| found[self.rng.random_range(0..found.len())])
     }
 
-    fn place(&mut self, out: &mut Vec<Effect<u64>>) {
+    fn place(&mut self, out: &mut Vec<Notification<u64>>) {
         let Some(id) = self.pick(|p| matches!(p, Place::Admitted(_))) else {
             return;
         };
@@ -174,7 +174,7 @@
         self.dispatcher.place(self.now, placement, id, out);
     }
 
-    fn finish(&mut self, out: &mut Vec<Effect<u64>>) {
+    fn finish(&mut self, out: &mut Vec<Notification<u64>>) {
         let Some(id) = self.pick(|p| matches!(p, Place::Running(..))) else {
             return;
         };
@@ -191,14 +191,14 @@
     }
 
     /// A caller leaves at any time; what it held is given back by its drop.
-    fn leave(&mut self, _out: &mut Vec<Effect<u64>>) {
+    fn leave(&mut self, _out: &mut Vec<Notification<u64>>) {
         if let Some(id) = self.pick(|_| true) {
-            self.dispatcher.leave(id);
+            self.dispatcher.cancel(id);
             self.requests.remove(&id);
         }
     }
 
-    fn hear(&mut self, out: Vec<Effect<u64>>) {
+    fn hear(&mut self, out: Vec<Notification<u64>>) {
         let seed = self.seed;
         for (id, told) in out {
             let Some((route, place)) = self.requests.remove(&id) else {
@@ -260,7 +260,7 @@
         );
         let ids: Vec<u64> = world.requests.keys().copied().collect();
         for id in ids {
-            world.dispatcher.leave(id);
+            world.dispatcher.cancel(id);
             world.requests.remove(&id);
         }
         world.check();
--- a/src/tests/route.rs
+++ b/src/tests/route.rs
@@ -326,7 +326,7 @@
     router.set_view(Time(0), &all);
     let pools = pools();
     let choice = router.choose(Time(0), &Query::new("m", &pools)).unwrap();
-    router.finish(Time(0), choice.ticket, Outcome::Unclear);
+    router.finish(Time(0), choice.ticket, Outcome::Unattributed);
     assert!(!all.iter().any(|s| router.is_ejected(Time(0), &s.id)));
 }
 
