--- a/examples/commit.rs
+++ b/examples/commit.rs
@@ -16,7 +16,9 @@
 use bytes::Bytes;
 use crossbeam::channel;
 use hdrhistogram::Histogram;
-use laburnumquay::{InstanceId, Machine, Message, StoreError, SystemClock, Voter, VoterSettings};
+use laburnumquay::{
+    InstanceId, Message, StateMachine, StoreError, SystemClock, Voter, VoterSettings,
+};
 use prost::Message as _;
 use rustix::time::{ClockId, clock_gettime};
 
@@ -31,7 +33,7 @@
 #[derive(Default)]
 struct Table(std::collections::BTreeMap<u64, Vec<u8>>);
 
-impl Machine for Table {
+impl StateMachine for Table {
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8> {
         self.0.insert(index % 1000, command.to_vec());
         Vec::new()
@@ -82,13 +84,13 @@
     fn boot(&mut self, folder: &Path, at: usize) {
         let settings = VoterSettings {
             instance: InstanceId(at as u64 + 1),
-            folder: folder.join(at.to_string()),
-            founders: (1..=self.cut.len() as u64).map(InstanceId).collect(),
-            election: ELECTION,
-            heartbeat: HEARTBEAT,
+            data_dir: folder.join(at.to_string()),
+            initial_voters: (1..=self.cut.len() as u64).map(InstanceId).collect(),
+            election_timeout: ELECTION,
+            heartbeat_interval: HEARTBEAT,
             contacts: Vec::new(),
-            keep: 256,
-            compact: 1000,
+            retained_entries: 256,
+            snapshot_interval: 1000,
             seed: at as u64,
         };
         let (routes, cut, sent) = (self.routes.clone(), self.cut.clone(), self.sent.clone());
@@ -104,7 +106,7 @@
                 voter.deliver(message);
             }
         });
-        let machines: Vec<Box<dyn Machine>> = vec![Box::new(Table::default())];
+        let machines: Vec<Box<dyn StateMachine>> = vec![Box::new(Table::default())];
         let spawned = Voter::spawn(settings, machines, peers, Arc::new(SystemClock));
         let (voter, handle) = spawned.expect("the folder is usable");
         self.routes.write().expect("no panic")[at] = Some(voter);
--- a/src/catalogue/machine.rs
+++ b/src/catalogue/machine.rs
@@ -12,7 +12,7 @@
 
 use super::change::{MAX_ID, MAX_OPERATIONS};
 use super::{Catalogue, Change, Entry, EntryKey, Expect, Kind, Operation, Outcome, Record};
-use crate::voter::Machine;
+use crate::voter::StateMachine;
 
 /// Outcomes kept for resent changes: a week at 1,300 changes a day.
 const KEPT_OUTCOMES: usize = 10_000;
@@ -388,7 +388,7 @@
     }
 }
 
-impl Machine for CatalogueMachine {
+impl StateMachine for CatalogueMachine {
     /// The reply is an [`Outcome`] in JSON.
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8> {
         let mut inner = self.shared.lock();
--- a/src/claim/snapshot.rs
+++ b/src/claim/snapshot.rs
@@ -11,7 +11,7 @@
 use crate::claim::record::{DIGEST_LEN, FRESH, Id, Pending, Record, State};
 use crate::collections::HashMap;
 use crate::id::OrganisationId;
-use crate::voter::Machine;
+use crate::voter::StateMachine;
 
 #[derive(Clone, PartialEq, Message)]
 struct Header {
@@ -125,7 +125,7 @@
     }
 }
 
-impl Machine for Claims {
+impl StateMachine for Claims {
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8> {
         let action = Command::decode(command).ok().and_then(|c| c.action);
         action
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -252,26 +252,27 @@
     Ok(())
 }
 
-/// The founders are the seeds of the very first start. A store that comes back
-/// empty later must not found: it would forget what it had promised.
+/// The seeds bootstrap the group only at the first start of the fleet. A store
+/// that later comes back empty must not bootstrap again: it has lost its votes
+/// and acknowledgements.
 fn voter_settings(settings: &RoleSettings, boot: &Boot) -> Result<VoterSettings> {
-    let folder = role::required(boot.data.clone(), "a data folder")?;
-    let used = std::fs::read_dir(&folder).is_ok_and(|mut names| names.next().is_some());
+    let data_dir = role::required(boot.data.clone(), "a data folder")?;
+    let used = std::fs::read_dir(&data_dir).is_ok_and(|mut names| names.next().is_some());
     let seeds = role::seeds(boot);
-    let founders = if boot.founding || used {
+    let initial_voters = if boot.founding || used {
         seeds.clone()
     } else {
         Vec::new()
     };
     Ok(VoterSettings {
         instance: role::instance(boot.ip),
-        folder,
-        founders,
+        data_dir,
+        initial_voters,
         contacts: seeds,
-        election: settings.election,
-        heartbeat: settings.election / HEARTBEATS,
-        compact: COMPACT,
-        keep: KEEP,
+        election_timeout: settings.election,
+        heartbeat_interval: settings.election / HEARTBEATS,
+        snapshot_interval: COMPACT,
+        retained_entries: KEEP,
         seed: rand::random(),
     })
 }
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -34,7 +34,7 @@
 use crate::settings::Settings;
 use crate::startup::{install_metrics, listen, start_error};
 use crate::supervise::{Policy, Supervisor};
-use crate::voter::{Machine, Voter, VoterSettings};
+use crate::voter::{StateMachine, Voter, VoterSettings};
 
 /// Period of looking whether the last request has ended while draining.
 const DRAIN_LOOK: Duration = Duration::from_millis(20);
@@ -256,19 +256,20 @@
     let (machine, catalogue) = CatalogueMachine::new();
     let voter_settings = VoterSettings {
         instance: settings.instance,
-        folder: data,
-        founders: settings.voters.keys().copied().collect(),
-        election: settings.election,
-        heartbeat: settings.election / HEARTBEATS,
+        data_dir: data,
+        initial_voters: settings.voters.keys().copied().collect(),
+        election_timeout: settings.election,
+        heartbeat_interval: settings.election / HEARTBEATS,
         contacts: Vec::new(),
-        compact: COMPACT,
-        keep: KEEP,
+        snapshot_interval: COMPACT,
+        retained_entries: KEEP,
         seed: rand::random(),
     };
     let links = peers.clone();
-    let mut machines: Vec<Box<dyn Machine>> = vec![Box::new(machine)];
+    let mut machines: Vec<Box<dyn StateMachine>> = vec![Box::new(machine)];
     machines.extend(
-        (0..CLAIM_SHARDS).map(|_| -> Box<dyn Machine> { Box::new(Claims::new(Bounds::default())) }),
+        (0..CLAIM_SHARDS)
+            .map(|_| -> Box<dyn StateMachine> { Box::new(Claims::new(Bounds::default())) }),
     );
     let spawned = Voter::spawn(
         voter_settings,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -102,7 +102,7 @@
     Upstream, UpstreamDump, UpstreamState, UpstreamView,
 };
 pub use voter::{
-    ChangeError, GroupStatus, Machine, Peers, ProposeError, ReadError, Voter, VoterSettings,
+    ChangeError, GroupStatus, Peers, ProposeError, ReadError, StateMachine, Voter, VoterSettings,
 };
 
 #[cfg(test)]
--- a/src/register.rs
+++ b/src/register.rs
@@ -12,7 +12,7 @@
 use prost::{Message, Oneof};
 
 use crate::fingerprint::Fingerprint;
-use crate::voter::Machine;
+use crate::voter::StateMachine;
 
 /// Departures that are kept. A day brings some hundreds; each is forgotten
 /// long after its upstream has stopped calling.
@@ -225,7 +225,7 @@
     }
 }
 
-impl Machine for RegisterMachine {
+impl StateMachine for RegisterMachine {
     /// Replies with the version that is held afterwards, as eight bytes.
     fn apply(&mut self, _index: u64, command: &[u8]) -> Vec<u8> {
         let mut inner = self.0.lock();
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -73,13 +73,13 @@
     /// them.
     pub(crate) contacts: Vec<u64>,
     /// Shortest election timeout; the longest is twice as long.
-    pub(crate) election: Duration,
+    pub(crate) election_timeout: Duration,
     /// Time between heartbeats, a small part of `election`.
-    pub(crate) heartbeat: Duration,
+    pub(crate) heartbeat_interval: Duration,
     /// Seed of the election timeouts.
     pub(crate) seed: u64,
     /// Entries kept behind a snapshot for followers that lag.
-    pub(crate) keep: u64,
+    pub(crate) retained_entries: u64,
 }
 
 /// Durable state that a replica starts from.
@@ -268,7 +268,7 @@
     /// forms, when every founder's store is new.
     pub(crate) fn strangers(&self) -> impl Iterator<Item = Peer> + '_ {
         let members = self.log.members().1;
-        let limit = STRANGER_TIMEOUTS * self.settings.election;
+        let limit = STRANGER_TIMEOUTS * self.settings.election_timeout;
         self.strangers
             .values()
             .filter(move |(_, at)| self.now.since(*at) < limit)
@@ -421,7 +421,7 @@
     }
 
     fn reset_deadline(&mut self) {
-        self.wait_for(self.settings.election);
+        self.wait_for(self.settings.election_timeout);
     }
 
     /// Sets when a replica asks for a pre-vote that has heard no leader in this
@@ -432,7 +432,7 @@
     /// soon costs a message. Kill of five voters: 0.63 s until the next leader
     /// with the whole timeout, counted from the third that was up again.
     fn wait_for_first(&mut self) {
-        self.wait_for(self.settings.election / FIRST_PART);
+        self.wait_for(self.settings.election_timeout / FIRST_PART);
     }
 
     fn wait_for(&mut self, least: Duration) {
--- a/src/replica/durable.rs
+++ b/src/replica/durable.rs
@@ -81,7 +81,8 @@
         if index <= self.log.snapshot().index {
             return;
         }
-        self.log.compact(index, data, self.settings.keep);
+        self.log
+            .compact(index, data, self.settings.retained_entries);
         self.snapshot_dirty = true;
     }
 
--- a/src/replica/election.rs
+++ b/src/replica/election.rs
@@ -50,7 +50,7 @@
         if self.is_leader() {
             return true;
         }
-        let recent = |at| self.now.since(at) < self.settings.election;
+        let recent = |at| self.now.since(at) < self.settings.election_timeout;
         self.leader.is_some() && self.heard.is_some_and(recent)
     }
 
@@ -245,7 +245,7 @@
     }
 
     pub(super) fn on_transfer(&mut self) {
-        let end = self.now + self.settings.election;
+        let end = self.now + self.settings.election_timeout;
         let voters: Vec<Peer> = self.log.members().1.voters().collect();
         let Part::Leader(lead) = &mut self.part else {
             return;
--- a/src/replica/member.rs
+++ b/src/replica/member.rs
@@ -74,7 +74,7 @@
 
 impl Membership {
     /// The members before anything was elected: known by instance only.
-    pub(crate) fn founders(ids: impl IntoIterator<Item = u64>) -> Self {
+    pub(crate) fn initial(ids: impl IntoIterator<Item = u64>) -> Self {
         let ids: BTreeSet<u64> = ids.into_iter().collect();
         let members = ids
             .into_iter()
--- a/src/replica/read.rs
+++ b/src/replica/read.rs
@@ -180,7 +180,7 @@
     /// Fails reads that weren't confirmed, or whose index wasn't applied, in an
     /// election timeout.
     pub(super) fn expire_reads(&mut self) {
-        let expired = self.reads.expired(self.now, self.settings.election);
+        let expired = self.reads.expired(self.now, self.settings.election_timeout);
         let hint = self.leader.map(|l| l.id);
         for ticket in expired {
             self.fail(ticket, Cause::NotLeader { hint });
--- a/src/replica/reconfigure.rs
+++ b/src/replica/reconfigure.rs
@@ -14,7 +14,7 @@
 
     /// Whether `progress` shows a member that answers.
     fn is_recent(&self, progress: &Progress) -> bool {
-        self.now.since(progress.heard) < self.settings.election
+        self.now.since(progress.heard) < self.settings.election_timeout
     }
 
     /// Follows the members of the latest membership.
--- a/src/replica/rejoin.rs
+++ b/src/replica/rejoin.rs
@@ -121,8 +121,8 @@
 
     /// Asks again, or gives up.
     pub(super) fn tick_rejoin(&mut self) {
-        let (now, period) = (self.now, self.settings.heartbeat);
-        let limit = PATIENCE * self.settings.election;
+        let (now, period) = (self.now, self.settings.heartbeat_interval);
+        let limit = PATIENCE * self.settings.election_timeout;
         let Rejoin::Asking(inquiry) = &mut self.rejoin else {
             return;
         };
@@ -257,7 +257,7 @@
     /// Asks anew when no leader came up with the entries that this store lacks:
     /// the one that holds them may have failed since it answered.
     pub(super) fn renew_floor(&mut self) {
-        let limit = PATIENCE * self.settings.election;
+        let limit = PATIENCE * self.settings.election_timeout;
         let heard = self.heard.map_or(self.asked, |at| at.max(self.asked));
         if self.end() < self.required_end() && self.now.since(heard) >= limit {
             self.asked = self.now;
--- a/src/replica/replication.rs
+++ b/src/replica/replication.rs
@@ -55,7 +55,7 @@
     }
 
     pub(super) fn tick_leader(&mut self) {
-        let (now, limit) = (self.now, self.settings.election);
+        let (now, limit) = (self.now, self.settings.election_timeout);
         let me = self.settings.me;
         let members = self.log.members().1;
         let Part::Leader(lead) = &mut self.part else {
@@ -69,7 +69,7 @@
         if !quorum {
             return self.follow(self.term, None);
         }
-        if now.since(lead.beat) >= self.settings.heartbeat {
+        if now.since(lead.beat) >= self.settings.heartbeat_interval {
             self.beat();
         }
     }
--- a/src/replica/snapshot.rs
+++ b/src/replica/snapshot.rs
@@ -116,7 +116,7 @@
     }
 
     pub(super) fn on_chunk_ack(&mut self, from: Peer, ack: ChunkAck) {
-        let (now, patience) = (self.now, 2 * self.settings.heartbeat);
+        let (now, patience) = (self.now, 2 * self.settings.heartbeat_interval);
         let Some(progress) = self.hear(from, ack.round) else {
             return;
         };
--- a/src/tests/board.rs
+++ b/src/tests/board.rs
@@ -9,7 +9,7 @@
 use crate::platform::configuration::decode;
 use crate::register::{self, Register};
 use crate::roster::{Announcement, Range};
-use crate::voter::Machine;
+use crate::voter::StateMachine;
 
 const BEAT: Duration = Duration::from_millis(1200);
 
--- a/src/tests/claim.rs
+++ b/src/tests/claim.rs
@@ -9,7 +9,7 @@
     Action, Answered, Bounds, Claim, Claims, Expire, Full, Granted, InProgress, Kept, MAX_KEPT,
     Outcome, Purpose, Release, Reply, Settle, Ticked, Ticker, Token, shard,
 };
-use crate::voter::Machine;
+use crate::voter::StateMachine;
 
 const HOLDER: Token = token(1, 1, 1);
 
--- a/src/tests/follow.rs
+++ b/src/tests/follow.rs
@@ -16,7 +16,7 @@
 use crate::id::InstanceId;
 use crate::lease::InForce;
 use crate::message::FeedReply;
-use crate::voter::Machine;
+use crate::voter::StateMachine;
 
 const LEASE: Duration = Duration::from_secs(4);
 
--- a/src/tests/life/register.rs
+++ b/src/tests/life/register.rs
@@ -8,7 +8,7 @@
 use super::world::{Back, END, Phase, RETENTION, What, World};
 use crate::claim::{self, Action, Claim, ClaimLease, Claims, Granted, Purpose, Reply, Token};
 use crate::request::{Admitted, Effect, Event, Life, RefusalCode};
-use crate::voter::Machine;
+use crate::voter::StateMachine;
 
 /// An empty replica.
 pub(super) fn register(seed: u64) -> Claims {
--- a/src/tests/register.rs
+++ b/src/tests/register.rs
@@ -2,7 +2,7 @@
 
 use crate::fingerprint::Fingerprint;
 use crate::register::{self, Quarantined, Register};
-use crate::voter::Machine;
+use crate::voter::StateMachine;
 
 fn fingerprint(organisation: &str, number: u64) -> Fingerprint {
     Fingerprint::of(
@@ -13,7 +13,7 @@
     )
 }
 
-fn quarantine(machine: &mut impl Machine, organisation: &str, number: u64) {
+fn quarantine(machine: &mut impl StateMachine, organisation: &str, number: u64) {
     let command = register::quarantine(Quarantined {
         fingerprint: fingerprint(organisation, number).bytes(),
         organisation: organisation.to_owned(),
--- a/src/tests/replica.rs
+++ b/src/tests/replica.rs
@@ -57,10 +57,10 @@
             boot,
             run: 1,
             contacts: vec![1, 2, 3],
-            election: ELECTION,
-            heartbeat: ELECTION / 6,
+            election_timeout: ELECTION,
+            heartbeat_interval: ELECTION / 6,
             seed: 1,
-            keep: 0,
+            retained_entries: 0,
         };
         Self {
             replica: Replica::new(settings, start, Time(0)),
--- a/src/tests/roster.rs
+++ b/src/tests/roster.rs
@@ -18,7 +18,7 @@
 use crate::register::{self, Register};
 use crate::roster::{Announcement, Heard, Range, Roster};
 use crate::sync::{Load, Sync};
-use crate::voter::Machine;
+use crate::voter::StateMachine;
 
 const BEAT: Duration = Duration::from_millis(1200);
 
--- a/src/tests/simulation/ledger.rs
+++ b/src/tests/simulation/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use crate::Machine;
+use crate::StateMachine;
 
 /// What callers were told and what any store applied.
 #[derive(Default)]
@@ -90,7 +90,7 @@
     }
 }
 
-impl Machine for Tape {
+impl StateMachine for Tape {
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8> {
         let value = u64::from_le_bytes(command.try_into().unwrap());
         self.ledger.lock().apply(self.group, index, value);
--- a/src/tests/simulation/mod.rs
+++ b/src/tests/simulation/mod.rs
@@ -117,18 +117,18 @@
     /// Starts a stopped instance on its disk.
     fn boot(&mut self, at: usize) {
         let now = self.local(at);
-        let founders: Vec<u64> = (1..=self.nodes.len() as u64).collect();
+        let initial_voters: Vec<u64> = (1..=self.nodes.len() as u64).collect();
         let config = Config {
             instance: self.nodes[at].id,
-            contacts: founders.clone(),
-            founders,
-            election: Duration::from_millis(300),
-            heartbeat: Duration::from_millis(50),
-            compact: 40,
-            keep: 5,
+            contacts: initial_voters.clone(),
+            initial_voters,
+            election_timeout: Duration::from_millis(300),
+            heartbeat_interval: Duration::from_millis(50),
+            snapshot_interval: 40,
+            retained_entries: 5,
             seed: self.rng.random(),
             run: self.rng.random(),
-            fresh: self.rng.random::<u64>().max(1),
+            new_store: self.rng.random::<u64>().max(1),
         };
         let tapes: Vec<Tape> = (0..GROUPS).map(|g| Tape::new(g, &self.ledger)).collect();
         let machines = tapes.iter().map(|t| Box::new(t.clone()) as _).collect();
--- a/src/tests/voter.rs
+++ b/src/tests/voter.rs
@@ -9,7 +9,7 @@
 use crossbeam::channel;
 
 use crate::{
-    InstanceId, Machine, Message, ProposeError, StoreError, SystemClock, Voter, VoterSettings,
+    InstanceId, Message, ProposeError, StateMachine, StoreError, SystemClock, Voter, VoterSettings,
 };
 
 /// How long a test waits before it gives up.
@@ -20,7 +20,7 @@
 #[derive(Clone, Default)]
 struct Journal(Arc<Mutex<Vec<Vec<u8>>>>);
 
-impl Machine for Journal {
+impl StateMachine for Journal {
     fn apply(&mut self, _index: u64, command: &[u8]) -> Vec<u8> {
         let mut lines = self.0.lock().unwrap();
         if !lines.iter().any(|l| l == command) {
@@ -66,13 +66,13 @@
         let size = self.journals.len() as u64;
         let settings = VoterSettings {
             instance: InstanceId(at as u64 + 1),
-            folder: folder.join(at.to_string()),
-            founders: (1..=size).map(InstanceId).collect(),
-            election: Duration::from_millis(400),
-            heartbeat: Duration::from_millis(50),
+            data_dir: folder.join(at.to_string()),
+            initial_voters: (1..=size).map(InstanceId).collect(),
+            election_timeout: Duration::from_millis(400),
+            heartbeat_interval: Duration::from_millis(50),
             contacts: Vec::new(),
-            compact: 20,
-            keep: 256,
+            snapshot_interval: 20,
+            retained_entries: 256,
             seed: 7,
         };
         let routes = self.routes.clone();
--- a/src/voter.rs
+++ b/src/voter.rs
@@ -39,11 +39,11 @@
 
 /// Application state of one group. Every store applies the same commands in
 /// the same order, so each method must depend on nothing else.
-pub trait Machine: Send {
+pub trait StateMachine: Send {
     /// Applies the committed command at `index`. The result goes to the
     /// proposer.
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8>;
-    /// The whole state, for [`Machine::restore`].
+    /// The whole state, for [`StateMachine::restore`].
     fn snapshot(&self) -> Vec<u8>;
     /// Replaces the state.
     fn restore(&mut self, snapshot: &[u8]);
@@ -54,23 +54,23 @@
 pub struct VoterSettings {
     /// This instance.
     pub instance: InstanceId,
-    /// Data folder. Must belong to this voter alone.
-    pub folder: PathBuf,
-    /// Instances that form the groups, the same list everywhere. All of them
-    /// must be up once, to record their stores; afterwards the list only
-    /// serves to find the leader. An instance that isn't in the list waits
+    /// Data directory, used by this voter alone.
+    pub data_dir: PathBuf,
+    /// Instances that bootstrap the groups; the same list on every voter. All of
+    /// them must be up once so that their stores are recorded; afterwards the
+    /// list only serves to find the leader. An instance outside the list waits
     /// until it is added with [`Change::Add`].
-    pub founders: Vec<InstanceId>,
-    /// Instances besides the founders that may know the leader.
+    pub initial_voters: Vec<InstanceId>,
+    /// Further instances that may know the leader.
     pub contacts: Vec<InstanceId>,
-    /// Shortest election timeout. Longer than a slow sync plus a round trip.
-    pub election: Duration,
-    /// Time between heartbeats, at most a third of `election`.
-    pub heartbeat: Duration,
-    /// Applied entries between two snapshots of a group, at least.
-    pub compact: u64,
-    /// Entries kept behind a snapshot for followers that lag a little.
-    pub keep: u64,
+    /// Shortest election timeout. Must exceed a slow sync plus a round trip.
+    pub election_timeout: Duration,
+    /// Time between heartbeats, at most a third of `election_timeout`.
+    pub heartbeat_interval: Duration,
+    /// Minimum number of applied entries between two snapshots of a group.
+    pub snapshot_interval: u64,
+    /// Entries before a snapshot that are retained for slightly lagging followers.
+    pub retained_entries: u64,
     /// Seed of the election timeouts.
     pub seed: u64,
 }
@@ -148,13 +148,13 @@
     /// Fails when the folder can't be opened or holds damaged files.
     pub fn spawn(
         settings: VoterSettings,
-        machines: Vec<Box<dyn Machine>>,
+        machines: Vec<Box<dyn StateMachine>>,
         peers: Peers,
         clock: Arc<dyn Clock>,
     ) -> Result<(Self, JoinHandle<Result<(), StoreError>>), StoreError> {
-        let disk = Folder::open(&settings.folder).context(crate::store::IoSnafu {
+        let disk = Folder::open(&settings.data_dir).context(crate::store::IoSnafu {
             action: "open",
-            name: settings.folder.display().to_string(),
+            name: settings.data_dir.display().to_string(),
         })?;
         Self::spawn_on(settings, Box::new(disk), machines, peers, clock)
     }
@@ -163,7 +163,7 @@
     pub(crate) fn spawn_on(
         settings: VoterSettings,
         disk: Box<dyn Disk>,
-        machines: Vec<Box<dyn Machine>>,
+        machines: Vec<Box<dyn StateMachine>>,
         peers: Peers,
         clock: Arc<dyn Clock>,
     ) -> Result<(Self, JoinHandle<Result<(), StoreError>>), StoreError> {
@@ -176,8 +176,8 @@
             peers,
             clock,
             status: status.clone(),
-            tick: settings.heartbeat / TICKS,
-            patience: 2 * settings.election,
+            tick: settings.heartbeat_interval / TICKS,
+            patience: 2 * settings.election_timeout,
             stopping: None,
         };
         let thread = thread::Builder::new().name("voter".to_owned());
@@ -260,20 +260,20 @@
 }
 
 fn config(settings: &VoterSettings) -> Config {
-    let founders: Vec<u64> = settings.founders.iter().map(|i| i.0).collect();
+    let initial_voters: Vec<u64> = settings.initial_voters.iter().map(|i| i.0).collect();
     let contacts = settings.contacts.iter().map(|i| i.0);
     Config {
         instance: settings.instance.0,
-        contacts: founders.iter().copied().chain(contacts).collect(),
-        founders,
-        election: settings.election,
-        heartbeat: settings.heartbeat,
-        compact: settings.compact,
-        keep: settings.keep,
+        contacts: initial_voters.iter().copied().chain(contacts).collect(),
+        initial_voters,
+        election_timeout: settings.election_timeout,
+        heartbeat_interval: settings.heartbeat_interval,
+        snapshot_interval: settings.snapshot_interval,
+        retained_entries: settings.retained_entries,
         seed: settings.seed,
         run: rand::random(),
         // Zero stands for an unknown store.
-        fresh: rand::random::<u64>().max(1),
+        new_store: rand::random::<u64>().max(1),
     }
 }
 
--- a/src/voter/core.rs
+++ b/src/voter/core.rs
@@ -8,7 +8,7 @@
 use super::answer::Answer;
 use super::group::{Group, Pending};
 use super::sighting::Sightings;
-use super::{ChangeError, GroupStatus, Machine, ProposeError, ReadError, watch};
+use super::{ChangeError, GroupStatus, ProposeError, ReadError, StateMachine, watch};
 use crate::clock::Time;
 use crate::disk::Disk;
 use crate::replica::{
@@ -53,20 +53,20 @@
 pub(crate) struct Config {
     pub(crate) instance: u64,
     /// Instances that form the groups.
-    pub(crate) founders: Vec<u64>,
+    pub(crate) initial_voters: Vec<u64>,
     /// Instances that may know the leaders.
     pub(crate) contacts: Vec<u64>,
-    pub(crate) election: Duration,
-    pub(crate) heartbeat: Duration,
+    pub(crate) election_timeout: Duration,
+    pub(crate) heartbeat_interval: Duration,
     /// Applied entries between snapshots.
-    pub(crate) compact: u64,
+    pub(crate) snapshot_interval: u64,
     /// Entries kept behind a snapshot.
-    pub(crate) keep: u64,
+    pub(crate) retained_entries: u64,
     pub(crate) seed: u64,
     /// Random number of this process.
     pub(crate) run: u64,
     /// Id for the store if its folder is empty.
-    pub(crate) fresh: u64,
+    pub(crate) new_store: u64,
 }
 
 /// All groups of one store.
@@ -91,10 +91,10 @@
     pub(crate) fn open(
         config: Config,
         disk: Box<dyn Disk>,
-        machines: Vec<Box<dyn Machine>>,
+        machines: Vec<Box<dyn StateMachine>>,
         now: Time,
     ) -> Result<Self, StoreError> {
-        let (store, mut contents) = Store::open(disk, config.fresh, config.run)?;
+        let (store, mut contents) = Store::open(disk, config.new_store, config.run)?;
         let me = Peer {
             id: config.instance,
             store: contents.store,
@@ -104,7 +104,7 @@
             let settings = settings(&config, me, contents.boot, group);
             let mut start = contents.groups.remove(&group).unwrap_or_default();
             if start.snapshot.index == 0 {
-                start.snapshot.members = Membership::founders(config.founders.iter().copied());
+                start.snapshot.members = Membership::initial(config.initial_voters.iter().copied());
             }
             let replica = Replica::new(settings, start, now);
             groups.push(Group::new(group, replica, machine));
@@ -267,7 +267,7 @@
     fn compact(&mut self, now: Time, send: &mut dyn FnMut(Message)) -> Result<(), StoreError> {
         for at in 0..self.groups.len() {
             let group = &mut self.groups[at];
-            if group.wants_snapshot(self.config.compact) {
+            if group.wants_snapshot(self.config.snapshot_interval) {
                 let index = group.replica.applied();
                 let data = group.snapshot();
                 self.step(at, now, Event::Compact { index, data }, send)?;
@@ -341,9 +341,9 @@
         boot,
         run: config.run,
         contacts: config.contacts.clone(),
-        election: config.election,
-        heartbeat: config.heartbeat,
+        election_timeout: config.election_timeout,
+        heartbeat_interval: config.heartbeat_interval,
         seed: config.seed ^ config.run ^ (u64::from(group) << 32) ^ me.id,
-        keep: config.keep,
+        retained_entries: config.retained_entries,
     }
 }
--- a/src/voter/group.rs
+++ b/src/voter/group.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 
 use super::answer::Answer;
-use super::{ChangeError, GroupStatus, Machine, ProposeError, ReadError};
+use super::{ChangeError, GroupStatus, ProposeError, ReadError, StateMachine};
 use crate::collections::HashMap;
 use crate::id::InstanceId;
 use crate::replica::{Cause, Entry, Kind, Persist, Replica};
@@ -19,7 +19,7 @@
 pub(super) struct Group {
     pub(super) number: u32,
     pub(super) replica: Replica,
-    pub(super) machine: Box<dyn Machine>,
+    pub(super) machine: Box<dyn StateMachine>,
     /// Requests by ticket.
     pending: HashMap<u64, Pending>,
     /// Proposals of the current batch.
@@ -34,7 +34,7 @@
 const ENTRY_BYTES: usize = 32;
 
 impl Group {
-    pub(super) fn new(number: u32, replica: Replica, machine: Box<dyn Machine>) -> Self {
+    pub(super) fn new(number: u32, replica: Replica, machine: Box<dyn StateMachine>) -> Self {
         Self {
             number,
             replica,
