--- a/src/confirm.rs
+++ b/src/confirm.rs
@@ -24,9 +24,9 @@
 
 /// Confirms questions about one group of the replicated log.
 #[derive(Clone)]
-pub(crate) struct Confirmations(mpsc::Sender<Done>);
+pub(crate) struct ReadBatcher(mpsc::Sender<Done>);
 
-impl Confirmations {
+impl ReadBatcher {
     /// Starts to confirm by reads of `voter`'s `group`, on `runtime`.
     pub(crate) fn start(voter: Voter, group: u32, runtime: &Handle) -> Self {
         let (sender, receiver) = mpsc::channel(QUEUE);
@@ -36,7 +36,7 @@
 
     /// Calls `done` once a quorum has confirmed, or failed to confirm, that all
     /// that is committed now is applied here. A full queue drops it.
-    pub(crate) fn push(&self, done: Done) {
+    pub(crate) fn confirm(&self, done: Done) {
         let _ = self.0.try_send(done);
     }
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -21,7 +21,7 @@
 use crate::gate::Gate;
 use crate::gossip::Fleet;
 use crate::http::{self, Bounds, Reply, Unreceived};
-use crate::lease::InForce;
+use crate::lease::LeasedCatalogue;
 use crate::poll::Poller;
 use crate::propose::{NotCommitted, Proposer};
 use crate::settings::Settings;
@@ -49,7 +49,7 @@
 pub(crate) struct Control {
     pub(crate) settings: Arc<Settings>,
     pub(crate) clock: Arc<dyn Clock>,
-    pub(crate) force: Arc<InForce>,
+    pub(crate) force: Arc<LeasedCatalogue>,
     pub(crate) poller: Poller,
     pub(crate) proposer: Arc<Proposer>,
     /// Registers of claims; their groups have the same voters.
@@ -188,7 +188,7 @@
     /// Waits until the catalogue here holds all that was accepted before the
     /// call, so that an operator's reads are linearizable.
     async fn confirmed(&self) -> Result<(), Problem> {
-        if self.poller.confirm(CONFIRM).await {
+        if self.poller.refresh(CONFIRM).await {
             return Ok(());
         }
         Err(problem(
@@ -200,7 +200,7 @@
 
     async fn list(&self) -> Answer {
         self.confirmed().await?;
-        let listed = self.force.last().list();
+        let listed = self.force.latest().list();
         let mut response = json(StatusCode::OK, &listed);
         tag(&mut response, listed.revision);
         Ok(response)
@@ -213,7 +213,7 @@
             kind,
             name: name.to_owned(),
         };
-        let catalogue = self.force.last();
+        let catalogue = self.force.latest();
         let record = catalogue.records.get(&key).ok_or_else(not_found)?;
         let mut response = json(StatusCode::OK, record);
         tag(&mut response, record.revision);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -33,7 +33,7 @@
 use crate::startup;
 use crate::store::StoreError;
 use crate::sync::{self, State, Sync};
-use crate::voter::{GroupStatus, Lead, Voter, VoterSettings};
+use crate::voter::{GroupStatus, LeaderInfo, Voter, VoterSettings};
 
 pub(crate) mod board;
 mod call;
@@ -282,8 +282,8 @@
         self.clock.now()
     }
 
-    fn lead(&self) -> Lead {
-        self.voter.lead(GROUP)
+    fn lead(&self) -> LeaderInfo {
+        self.voter.leader_info(GROUP)
     }
 
     /// What the voter tells of the replicated log.
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -13,7 +13,7 @@
 use crate::catalogue::{Book, Past};
 use crate::clock::Time;
 use crate::id::InstanceId;
-use crate::lease::InForce;
+use crate::lease::LeasedCatalogue;
 use crate::message::FeedReply;
 
 /// Asks `voter` for everything behind index `have`.
@@ -28,19 +28,23 @@
 }
 
 /// Follows the catalogue: a state machine without I/O.
-pub(crate) struct Follower {
+pub(crate) struct CatalogueFollower {
     book: Book,
     voters: Vec<InstanceId>,
     /// Position in `voters` of the one asked next.
     next: usize,
     lease: Duration,
-    shared: Arc<InForce>,
+    shared: Arc<LeasedCatalogue>,
 }
 
-impl Follower {
+impl CatalogueFollower {
     /// Starts with an empty catalogue. `voters` must not be empty; the first
     /// is asked first, the others only after a failure.
-    pub(crate) fn new(voters: Vec<InstanceId>, lease: Duration, shared: Arc<InForce>) -> Self {
+    pub(crate) fn new(
+        voters: Vec<InstanceId>,
+        lease: Duration,
+        shared: Arc<LeasedCatalogue>,
+    ) -> Self {
         assert!(!voters.is_empty(), "the settings name at least one voter");
         Self {
             book: Book::default(),
--- a/src/gate.rs
+++ b/src/gate.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
 use crate::clock::Time;
-use crate::lease::InForce;
+use crate::lease::LeasedCatalogue;
 
 /// Counts running requests and closes for a graceful shutdown.
 #[derive(Debug, Default)]
@@ -58,7 +58,7 @@
     }
 
     /// Why the platform's balancer should send no work here, if so.
-    pub(crate) fn not_ready(&self, force: &InForce, now: Time) -> Option<&'static str> {
+    pub(crate) fn not_ready(&self, force: &LeasedCatalogue, now: Time) -> Option<&'static str> {
         if self.closed() {
             return Some("draining\n");
         }
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -14,16 +14,16 @@
 use crate::catalogue::CatalogueMachine;
 use crate::claim::{Bounds, Claims};
 use crate::clock::{Clock, SystemClock, wall_millis};
-use crate::confirm::Confirmations;
+use crate::confirm::ReadBatcher;
 use crate::control::{self, Control};
 use crate::dump::{CatalogueDump, Dump, RequestDump};
 use crate::error::{FailedSnafu, Result};
 use crate::event;
-use crate::follow::Follower;
+use crate::follow::CatalogueFollower;
 use crate::gate::Gate;
 use crate::gossip::{Fleet, FleetSettings};
 use crate::id::Incarnation;
-use crate::lease::InForce;
+use crate::lease::LeasedCatalogue;
 use crate::log;
 use crate::node::{CATALOGUE_GROUP, CLAIM_GROUP, CLAIM_SHARDS, Node, Vote, spread};
 use crate::peer::{self, Peers};
@@ -107,8 +107,8 @@
         let node = Node::new(settings.instance, peers.clone(), vote, voters.clone());
         let fleet = start_fleet(&settings, &clock, incarnation, &supervisor)?;
 
-        let force = Arc::new(InForce::new());
-        let follower = Follower::new(voters, settings.lease, Arc::clone(&force));
+        let force = Arc::new(LeasedCatalogue::new());
+        let follower = CatalogueFollower::new(voters, settings.lease, Arc::clone(&force));
         let poller = Poller::new(
             follower,
             node.clone(),
@@ -284,7 +284,7 @@
         }
     });
     Ok(Some(Vote {
-        confirmations: Confirmations::start(voter.clone(), CATALOGUE_GROUP, peers.runtime()),
+        read_batcher: ReadBatcher::start(voter.clone(), CATALOGUE_GROUP, peers.runtime()),
         voter,
         catalogue,
         shares: Arc::default(),
@@ -345,7 +345,7 @@
 fn dumper(
     settings: &Arc<Settings>,
     node: &Node,
-    parts: (&Arc<Serving>, &Arc<InForce>, &Arc<Gate>, &Fleet),
+    parts: (&Arc<Serving>, &Arc<LeasedCatalogue>, &Arc<Gate>, &Fleet),
     clock: &Arc<dyn Clock>,
 ) -> Arc<dyn Fn() -> Dump + Send + Sync> {
     let settings = Arc::clone(settings);
@@ -355,7 +355,7 @@
     let (gate, fleet) = (Arc::clone(gate), fleet.clone());
     let clock = Arc::clone(clock);
     Arc::new(move || {
-        let catalogue = force.last();
+        let catalogue = force.latest();
         Dump {
             instance: settings.instance.0,
             domain: settings.domain.clone(),
@@ -363,7 +363,7 @@
             catalogue: CatalogueDump {
                 revision: catalogue.revision,
                 entries: catalogue.records.len(),
-                lease_left: force.left(clock.now()).as_millis(),
+                lease_left: force.remaining(clock.now()).as_millis(),
             },
             requests: RequestDump {
                 running: gate.running(),
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -12,7 +12,7 @@
 use crate::event;
 
 /// The catalogue under its lease, shared with the request path.
-pub(crate) struct InForce {
+pub(crate) struct LeasedCatalogue {
     catalogue: ArcSwap<Catalogue>,
     /// End of the lease on this instance's clock, in microseconds. Only grows.
     until: AtomicU64,
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LeaseLost;
 
-impl InForce {
+impl LeasedCatalogue {
     /// No catalogue and no lease.
     pub(crate) fn new() -> Self {
         Self {
@@ -48,12 +48,12 @@
     }
 
     /// The catalogue as last applied, whether or not it may be acted on.
-    pub(crate) fn last(&self) -> Arc<Catalogue> {
+    pub(crate) fn latest(&self) -> Arc<Catalogue> {
         self.catalogue.load_full()
     }
 
     /// Time left on the lease.
-    pub(crate) fn left(&self, now: Time) -> Duration {
+    pub(crate) fn remaining(&self, now: Time) -> Duration {
         Time(self.until.load(Ordering::Acquire)).since(now)
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -102,7 +102,8 @@
     Upstream, UpstreamDump, UpstreamState, UpstreamView,
 };
 pub use voter::{
-    ChangeError, GroupStatus, Peers, ProposeError, ReadError, StateMachine, Voter, VoterSettings,
+    ChangeError, GroupStatus, MessageSender, ProposeError, ReadError, StateMachine, Voter,
+    VoterSettings,
 };
 
 #[cfg(test)]
--- a/src/node.rs
+++ b/src/node.rs
@@ -10,7 +10,7 @@
 use crate::allocate::Allocation;
 use crate::catalogue::Shared;
 use crate::clock::Clock;
-use crate::confirm::Confirmations;
+use crate::confirm::ReadBatcher;
 use crate::id::InstanceId;
 use crate::limit;
 use crate::message::{
@@ -38,8 +38,8 @@
     pub(crate) voter: Voter,
     /// The catalogue as applied here.
     pub(crate) catalogue: Arc<Shared>,
-    /// Confirms the catalogue's group.
-    pub(crate) confirmations: Confirmations,
+    /// Confirms reads of the catalogue's group.
+    pub(crate) read_batcher: ReadBatcher,
     /// Shares of the limits, while this instance leads.
     pub(crate) shares: Arc<Allocation>,
     pub(crate) clock: Arc<dyn Clock>,
@@ -168,7 +168,7 @@
         let feed = reader.catalogue.feed(follow.have);
         done(Answer::Feed(FeedReply::new(feed, voters)));
     };
-    vote.confirmations.push(Box::new(read));
+    vote.read_batcher.confirm(Box::new(read));
 }
 
 /// Grants shares, if this instance leads in one and the same term before and
@@ -191,7 +191,7 @@
             None => done(Answer::Unavailable(true)),
         }
     };
-    vote.confirmations.push(Box::new(read));
+    vote.read_batcher.confirm(Box::new(read));
 }
 
 /// The state of a group, if this instance leads it.
--- a/src/periodic.rs
+++ b/src/periodic.rs
@@ -40,8 +40,8 @@
         let to = leader.target();
         match node.call(to, request, SHARE_LIMIT).await.map(|r| r.answer) {
             Ok(Some(Answer::Grant(grant))) => serving.grant(&grant),
-            Ok(Some(Answer::NotLeader(hint))) => leader.moved(to, hint),
-            _ => leader.moved(to, 0),
+            Ok(Some(Answer::NotLeader(hint))) => leader.set_leader_hint(to, hint),
+            _ => leader.set_leader_hint(to, 0),
         }
     }
 }
--- a/src/poll.rs
+++ b/src/poll.rs
@@ -1,4 +1,4 @@
-//! Runs a [`Follower`]: polls the voters for the catalogue.
+//! Runs a [`CatalogueFollower`]: polls the voters for the catalogue.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use crate::catalogue::Past;
 use crate::clock::Clock;
-use crate::follow::Follower;
+use crate::follow::CatalogueFollower;
 use crate::message::{Answer, Ask, Follow, Request};
 use crate::node::Node;
 
@@ -17,7 +17,7 @@
 /// Pollers the catalogue on demand and once a period.
 #[derive(Clone)]
 pub(crate) struct Poller {
-    follower: Arc<Mutex<Follower>>,
+    follower: Arc<Mutex<CatalogueFollower>>,
     node: Node,
     clock: Arc<dyn Clock>,
     /// Time for one voter to answer.
@@ -27,7 +27,7 @@
 impl Poller {
     /// `limit` is the time that one voter has to answer.
     pub(crate) fn new(
-        follower: Follower,
+        follower: CatalogueFollower,
         node: Node,
         clock: Arc<dyn Clock>,
         limit: Duration,
@@ -46,7 +46,7 @@
     }
 
     /// Pollers the catalogue within `limit`; false when no voter could.
-    pub(crate) async fn confirm(&self, limit: Duration) -> bool {
+    pub(crate) async fn refresh(&self, limit: Duration) -> bool {
         let end = Instant::now() + limit;
         loop {
             match timeout_at(end, self.once()).await {
@@ -86,7 +86,7 @@
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Follower> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, CatalogueFollower> {
         self.follower.lock().expect("no holder panics")
     }
 }
--- a/src/propose.rs
+++ b/src/propose.rs
@@ -61,7 +61,7 @@
     }
 
     /// Learns that `asked` doesn't lead, and who may; 0 when unknown.
-    pub(crate) fn moved(&self, asked: InstanceId, hint: u64) {
+    pub(crate) fn set_leader_hint(&self, asked: InstanceId, hint: u64) {
         let hint = if hint == asked.0 { 0 } else { hint };
         self.leader.store(hint, Ordering::Relaxed);
     }
@@ -77,8 +77,8 @@
                 ask: Some(ask.clone()),
             };
             match self.node.call(to, request, ONE_TRY).await.map(|r| r.answer) {
-                Ok(Some(Answer::NotLeader(hint))) => self.moved(to, hint),
-                Ok(Some(Answer::Unavailable(_)) | None) | Err(_) => self.moved(to, 0),
+                Ok(Some(Answer::NotLeader(hint))) => self.set_leader_hint(to, hint),
+                Ok(Some(Answer::Unavailable(_)) | None) | Err(_) => self.set_leader_hint(to, 0),
                 Ok(Some(answer)) => return Some(answer),
             }
             turn += 1;
@@ -119,14 +119,14 @@
                     self.leader.store(voter.0, Ordering::Relaxed);
                     return Ok(reply);
                 }
-                Ok(Ok(Some(Answer::NotLeader(hint)))) => self.moved(voter, hint),
-                Ok(Ok(Some(Answer::Unavailable(_)))) => self.moved(voter, 0),
+                Ok(Ok(Some(Answer::NotLeader(hint)))) => self.set_leader_hint(voter, hint),
+                Ok(Ok(Some(Answer::Unavailable(_)))) => self.set_leader_hint(voter, 0),
                 _ => {
                     // The voter may have taken the command before it fell
                     // silent. Told "refused", a caller would believe that
                     // nothing happened.
                     failure = NotCommitted::Unknown;
-                    self.moved(voter, 0);
+                    self.set_leader_hint(voter, 0);
                 }
             }
             if Instant::now() + PAUSE >= end {
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -25,7 +25,7 @@
 use crate::gate::Gate;
 use crate::gossip::Fleet;
 use crate::id::{Incarnation, InstanceId, UpstreamId};
-use crate::lease::InForce;
+use crate::lease::LeasedCatalogue;
 use crate::limit::{Ask, Grant, Permit, URGENT};
 use crate::propose::Proposer;
 use crate::request::RequestId;
@@ -50,7 +50,7 @@
     pub(crate) settings: Arc<Settings>,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) incarnation: Incarnation,
-    pub(crate) force: Arc<InForce>,
+    pub(crate) force: Arc<LeasedCatalogue>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) fleet: Fleet,
     /// Registers of claims, by shard.
@@ -179,7 +179,7 @@
 
     /// Tokens a second that the hardware allows for each route's model.
     pub(crate) fn bounds(&self) -> Vec<(String, f64)> {
-        let catalogue = self.parts.force.last();
+        let catalogue = self.parts.force.latest();
         let now = self.now();
         let mut dispatcher = self.dispatcher.lock().expect("no holder panics");
         catalogue
--- a/src/tests/follow.rs
+++ b/src/tests/follow.rs
@@ -12,9 +12,9 @@
     Organisation, Outcome, Pool, Route, Shared, Target, digest,
 };
 use crate::clock::Time;
-use crate::follow::{Ask, Follower};
+use crate::follow::{Ask, CatalogueFollower};
 use crate::id::InstanceId;
-use crate::lease::InForce;
+use crate::lease::LeasedCatalogue;
 use crate::message::FeedReply;
 use crate::voter::StateMachine;
 
@@ -102,8 +102,8 @@
     /// What the machine decides, once and for all.
     judge: Replica,
     replicas: Vec<Replica>,
-    follower: Follower,
-    force: Arc<InForce>,
+    follower: CatalogueFollower,
+    force: Arc<LeasedCatalogue>,
     flights: Vec<Flight>,
     seen: u64,
 }
@@ -111,13 +111,13 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let force = Arc::new(InForce::new());
+        let force = Arc::new(LeasedCatalogue::new());
         let voters = vec![InstanceId(1), InstanceId(2), InstanceId(3)];
         Self {
             seed,
             rate: rng.random_range(990..=1010),
             offset: rng.random_range(0..1 << 40),
-            follower: Follower::new(voters, LEASE, Arc::clone(&force)),
+            follower: CatalogueFollower::new(voters, LEASE, Arc::clone(&force)),
             rng,
             now: 0,
             log: Vec::new(),
@@ -219,7 +219,7 @@
 
     /// What must hold whenever the request path looks.
     fn check(&mut self) {
-        let last = self.force.last().revision;
+        let last = self.force.latest().revision;
         assert!(
             last >= self.seen,
             "revision went from {} to {last}",
@@ -268,7 +268,7 @@
                 world.replicas[0].apply(&world.log, world.log.len());
                 let feed = world.replicas[0].feed(ask.have);
                 world.follower.answered(ask, &feed);
-                world.force.last().records.clone()
+                world.force.latest().records.clone()
             },
             "seed {seed}: the follower ends with another catalogue"
         );
--- a/src/voter.rs
+++ b/src/voter.rs
@@ -113,7 +113,7 @@
 
 /// Who leads a group, as one voter sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Lead {
+pub(crate) struct LeaderInfo {
     /// The term, if this voter leads in it.
     pub(crate) term: Option<u64>,
     /// The leader, if known.
@@ -133,7 +133,7 @@
 }
 
 /// Sends a message to an instance. Must not block; may lose the message.
-pub type Peers = Box<dyn Fn(InstanceId, Message) + Send>;
+pub type MessageSender = Box<dyn Fn(InstanceId, Message) + Send>;
 
 impl Voter {
     /// Opens the data folder and starts the thread, with one group for each
@@ -149,7 +149,7 @@
     pub fn spawn(
         settings: VoterSettings,
         machines: Vec<Box<dyn StateMachine>>,
-        peers: Peers,
+        peers: MessageSender,
         clock: Arc<dyn Clock>,
     ) -> Result<(Self, JoinHandle<Result<(), StoreError>>), StoreError> {
         let disk = Folder::open(&settings.data_dir).context(crate::store::IoSnafu {
@@ -164,7 +164,7 @@
         settings: VoterSettings,
         disk: Box<dyn Disk>,
         machines: Vec<Box<dyn StateMachine>>,
-        peers: Peers,
+        peers: MessageSender,
         clock: Arc<dyn Clock>,
     ) -> Result<(Self, JoinHandle<Result<(), StoreError>>), StoreError> {
         let core = Core::open(config(&settings), disk, machines, clock.now())?;
@@ -228,10 +228,10 @@
     }
 
     /// Who leads a group, after the last batch.
-    pub(crate) fn lead(&self, group: u32) -> Lead {
+    pub(crate) fn leader_info(&self, group: u32) -> LeaderInfo {
         let status = self.status.lock().unwrap_or_else(PoisonError::into_inner);
         let status = status.iter().find(|s| s.group == group);
-        status.map_or(Lead::default(), |s| Lead {
+        status.map_or(LeaderInfo::default(), |s| LeaderInfo {
             term: s.leads.then_some(s.term),
             leader: s.leader,
         })
@@ -281,7 +281,7 @@
 struct Worker {
     core: Core,
     inbox: Receiver<Order>,
-    peers: Peers,
+    peers: MessageSender,
     clock: Arc<dyn Clock>,
     status: Arc<Mutex<Vec<GroupStatus>>>,
     tick: Duration,
