--- a/src/controller/board.rs
+++ b/src/controller/board.rs
@@ -13,8 +13,8 @@
 use crate::clock::{Time, micros};
 use crate::collections::{HashMap, HashSet};
 use crate::configuration::{Configuration, Model};
-use crate::decide::load::scatter;
-use crate::decide::pace::Turns;
+use crate::decide::load::unit_hash;
+use crate::decide::pace::Rotation;
 use crate::decide::placement::{self, Worker};
 use crate::decide::quarantine::{Crashes, CrashingRequest};
 use crate::decide::rate::RateLimiter;
@@ -101,7 +101,7 @@
     /// Departures of the register that the roster knows.
     departed: u64,
     reports: Reports,
-    turns: Turns,
+    turns: Rotation,
     crashes: Crashes,
     rate_limiter: RateLimiter,
     /// Each change of it touches the upstream in the roster, since instances
@@ -119,7 +119,7 @@
             roster: Roster::new(beat),
             departed: 0,
             reports: Reports::default(),
-            turns: Turns::default(),
+            turns: Rotation::default(),
             crashes: Crashes::default(),
             rate_limiter: RateLimiter::default(),
             pending: HashMap::default(),
@@ -227,7 +227,7 @@
 
     /// A subset of the latest limit updates, for the answer to an instance.
     fn limit_records(&self, now: Time, instance: u64) -> Vec<LimitRecord> {
-        let draw = scatter(now.0.wrapping_add(instance));
+        let draw = unit_hash(now.0.wrapping_add(instance));
         let updates = self.rate_limiter.message_updates(draw);
         let record = |(address, update)| LimitRecord::new(now, address, update);
         updates.map(record).collect()
@@ -430,7 +430,7 @@
         };
         let list = self.roster.list().into_iter();
         let engines: Vec<&Entry> = list.filter(at_work).collect();
-        let turn = self.turns.take(&engines).into_iter();
+        let turn = self.turns.next_batch(&engines).into_iter();
         turn.map(|e| Asked {
             engine: e.last.id.clone(),
             born: e.last.born,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -17,7 +17,7 @@
 use crate::auth::FleetKey;
 use crate::clock::{Clock, SystemClock, Time};
 use crate::configuration::Table;
-use crate::decide::members::{self, Seen};
+use crate::decide::members::{self, VoterStatus};
 use crate::error::{ListenSnafu, Result};
 use crate::event;
 use crate::http::{self, Bounds};
@@ -371,14 +371,14 @@
         };
         let silence = |peer| status.silences.iter().find(|(p, _)| *p == peer);
         let voting = status.members.iter().filter(|m| m.role() == Role::Voter);
-        let voters: Vec<Seen> = voting
-            .map(|m| Seen {
+        let voters: Vec<VoterStatus> = voting
+            .map(|m| VoterStatus {
                 peer: m.peer(),
-                silent: silence(m.peer()).map_or(Duration::ZERO, |s| Duration::from_millis(s.1)),
+                silence: silence(m.peer()).map_or(Duration::ZERO, |s| Duration::from_millis(s.1)),
             })
             .collect();
-        let wanted = members::wanted(self.boot.tolerated);
-        if let Some(change) = members::next(&voters, &status.strangers, wanted) {
+        let wanted = members::required_voters(self.boot.tolerated);
+        if let Some(change) = members::next_change(&voters, &status.strangers, wanted) {
             let done = move |outcome: std::result::Result<(), _>| match outcome {
                 Ok(()) => tracing::info!(event = event::VOTER_CHANGED.id, ?change, "voter changed"),
                 Err(e) => tracing::debug!(?change, "voter not changed: {e}"),
--- a/src/decide/demand.rs
+++ b/src/decide/demand.rs
@@ -12,28 +12,28 @@
     /// Here, since the last report; `None` before the first.
     asked: Option<u32>,
     /// Here, between the latest two reports; `None` before there were two.
-    own: Option<u32>,
+    local: Option<u32>,
     /// At all instances, between two reports; `None` until it was told.
     all: Option<u32>,
 }
 
 impl Demand {
     /// Notes that a request asks for room.
-    pub(crate) fn ask(&mut self) {
+    pub(crate) fn record_request(&mut self) {
         self.asked = self.asked.map(|asked| asked + 1);
     }
 
     /// Notes a report, and the requests at all instances if it tells of them. The
     /// `waiting` ones ask again.
-    pub(crate) fn learn(&mut self, all: Option<u32>, waiting: u32) {
-        self.own = self.asked.replace(waiting);
+    pub(crate) fn update(&mut self, all: Option<u32>, waiting: u32) {
+        self.local = self.asked.replace(waiting);
         self.all = all;
     }
 
     /// Requests at this instance between two reports, to be told. While instances
     /// don't know, their number stands for that of their requests.
-    pub(crate) fn own(&self) -> u32 {
-        self.own.unwrap_or(1)
+    pub(crate) fn local(&self) -> u32 {
+        self.local.unwrap_or(1)
     }
 
     /// Among how many the room is divided: the `instances`, or the requests if
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -58,19 +58,19 @@
 
 /// Whether an upstream may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
-    Sound,
+pub(crate) enum HealthStatus {
+    Healthy,
     /// Left out, but it lives: used where nothing else can serve.
     Failing,
     /// Left out, and it looks dead.
     Dead,
 }
 
-impl Standing {
+impl HealthStatus {
     /// With what the leader tells: several instances found it dead.
-    pub(crate) fn told(self, suspected: bool) -> Self {
+    pub(crate) fn with_suspicion(self, suspected: bool) -> Self {
         match self {
-            Self::Sound if suspected => Self::Failing,
+            Self::Healthy if suspected => Self::Failing,
             other => other,
         }
     }
@@ -93,7 +93,7 @@
 
 impl Health {
     /// Whether an upstream is left out now.
-    pub(crate) fn is_out(&self, now: Time, upstream: u64) -> bool {
+    pub(crate) fn is_excluded(&self, now: Time, upstream: u64) -> bool {
         self.0.get(&upstream).is_some_and(|r| now < r.until)
     }
 
@@ -105,26 +105,26 @@
     /// One that looks dead stays out: a request would wait there in vain. But a
     /// dead one is late within [`PROVED`], so that later on it is only silent to
     /// some.
-    pub(crate) fn standing(&self, now: Time, upstream: u64, late: bool) -> Standing {
+    pub(crate) fn status(&self, now: Time, upstream: u64, late: bool) -> HealthStatus {
         let Some(record) = self.0.get(&upstream).filter(|r| now < r.until) else {
-            return Standing::Sound;
+            return HealthStatus::Healthy;
         };
         let proved = |since| !late && now.since(since) >= PROVED;
         match record.dead {
-            Some(since) if !proved(since) => Standing::Dead,
-            _ => Standing::Failing,
+            Some(since) if !proved(since) => HealthStatus::Dead,
+            _ => HealthStatus::Failing,
         }
     }
 
     /// Notes that an upstream did nothing: took no connection, or kept silent.
-    pub(crate) fn silent(&mut self, now: Time, upstream: u64) {
-        self.failed(now, upstream);
+    pub(crate) fn record_unresponsive(&mut self, now: Time, upstream: u64) {
+        self.record_failure(now, upstream);
         let record = self.record(now, upstream);
         record.dead.get_or_insert(now);
     }
 
     /// Notes a failure.
-    pub(crate) fn failed(&mut self, now: Time, upstream: u64) {
+    pub(crate) fn record_failure(&mut self, now: Time, upstream: u64) {
         let record = self.record(now, upstream);
         // Requests that were under way when it was left out fail late; they
         // say nothing new.
@@ -141,7 +141,7 @@
     }
 
     /// Notes that an upstream refused a request at once.
-    pub(crate) fn refused(&mut self, now: Time, upstream: u64) {
+    pub(crate) fn record_refusal(&mut self, now: Time, upstream: u64) {
         let record = self.record(now, upstream);
         if now < record.until {
             return;
@@ -155,7 +155,7 @@
     }
 
     /// Notes that a request got through.
-    pub(crate) fn succeeded(&mut self, upstream: u64) {
+    pub(crate) fn record_success(&mut self, upstream: u64) {
         if let Some(record) = self.0.get_mut(&upstream) {
             record.refusals = 0;
             record.dead = None;
--- a/src/decide/link.rs
+++ b/src/decide/link.rs
@@ -19,13 +19,13 @@
 
 /// This instance's part of the link.
 #[derive(Debug)]
-pub(crate) struct LinkPart {
+pub(crate) struct LinkShare {
     /// Milliseconds of the link that may be used now.
     left: f64,
     paid: Time,
 }
 
-impl LinkPart {
+impl LinkShare {
     pub(crate) fn new(now: Time) -> Self {
         Self {
             left: 0.0,
@@ -35,7 +35,7 @@
 
     /// Takes `millis` of the link, or says that they aren't left. `instances`
     /// share it.
-    pub(crate) fn take(&mut self, now: Time, instances: u32, millis: f64) -> bool {
+    pub(crate) fn try_acquire(&mut self, now: Time, instances: u32, millis: f64) -> bool {
         let part = 1000.0 * SHARE / f64::from(instances.max(1));
         let passed = now.since(self.paid).as_secs_f64();
         let most = part * SAVED.as_secs_f64();
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -52,16 +52,16 @@
 
 /// Who shares the room of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Share {
+pub(crate) struct Contention {
     /// Instances that send requests.
     pub(crate) instances: u32,
     /// Engines of its domain that hold a layer, on average over the layers.
-    pub(crate) copies: f64,
+    pub(crate) replicas: f64,
 }
 
 /// Work at one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Use {
+pub(crate) struct Usage {
     /// Memory that the requests are expected to take, in megabytes.
     pub(crate) memory: f64,
     /// Requests that pass through it.
@@ -73,10 +73,10 @@
 /// Work at all engines, by address key.
 #[derive(Debug, Default)]
 pub(crate) struct Loads {
-    own: HashMap<u64, Use>,
-    others: HashMap<u64, Use>,
+    own: HashMap<u64, Usage>,
+    others: HashMap<u64, Usage>,
     /// What `own` was when `others` was last told.
-    then: HashMap<u64, Use>,
+    then: HashMap<u64, Usage>,
     /// In [0, 1); a high one makes it this instance's turn.
     draw: f64,
     /// Requests that ask for the room.
@@ -85,30 +85,30 @@
 
 impl Loads {
     /// Work at an engine.
-    pub(crate) fn at(&self, engine: u64) -> Use {
+    pub(crate) fn at(&self, engine: u64) -> Usage {
         let own = self.own.get(&engine).copied().unwrap_or_default();
         let others = self.others.get(&engine).copied().unwrap_or_default();
-        Use {
+        Usage {
             memory: own.memory + others.memory,
             requests: own.requests + others.requests,
             entered: own.entered + others.entered,
         }
     }
 
-    /// Books a request that this instance sends; [`Loads::leave`] with the
+    /// Books a request that this instance sends; [`Loads::release`] with the
     /// same arguments ends it.
-    pub(crate) fn enter(&mut self, path: &[(u64, Hop)], work: &Work) {
-        self.book(path, work, 1.0);
+    pub(crate) fn book(&mut self, path: &[(u64, Hop)], work: &Work) {
+        self.add(path, work, 1.0);
     }
 
-    /// Ends what [`Loads::enter`] booked.
-    pub(crate) fn leave(&mut self, path: &[(u64, Hop)], work: &Work) {
-        self.book(path, work, -1.0);
+    /// Ends what [`Loads::book`] booked.
+    pub(crate) fn release(&mut self, path: &[(u64, Hop)], work: &Work) {
+        self.add(path, work, -1.0);
         // Sums of fractions don't come back to zero by themselves.
         self.own.retain(|_, u| u.requests > 0.5);
     }
 
-    fn book(&mut self, path: &[(u64, Hop)], work: &Work, sign: f64) {
+    fn add(&mut self, path: &[(u64, Hop)], work: &Work, sign: f64) {
         for (at, (engine, hop)) in path.iter().enumerate() {
             let used = self.own.entry(*engine).or_default();
             used.memory += sign * work.memory(hop.range.len());
@@ -134,23 +134,29 @@
     /// the same turns at all, some instances in 300 had none for up to the 4.5 s
     /// between two reports, and refused a quarter of their requests while the
     /// engines of their domain were idle.
-    pub(crate) fn may_add(&self, engine: u64, room_mb: f64, usual_mb: f64, share: Share) -> bool {
-        let memory = |uses: &HashMap<u64, Use>| uses.get(&engine).map_or(0.0, |u| u.memory);
+    pub(crate) fn may_add(
+        &self,
+        engine: u64,
+        room_mb: f64,
+        usual_mb: f64,
+        share: Contention,
+    ) -> bool {
+        let memory = |uses: &HashMap<u64, Usage>| uses.get(&engine).map_or(0.0, |u| u.memory);
         let added = memory(&self.own) - memory(&self.then);
         let part = PART * (room_mb + added) / self.demand.sharers(share.instances);
         let requests = part / usual_mb.max(f64::MIN_POSITIVE);
-        let apart = requests < 1.0 && share.copies * requests >= PLENTY;
-        let offset = if apart { scatter(engine) } else { 0.0 };
+        let apart = requests < 1.0 && share.replicas * requests >= PLENTY;
+        let offset = if apart { unit_hash(engine) } else { 0.0 };
         let whole = (requests + (self.draw + offset).fract()).floor();
         added < whole * usual_mb
     }
 
     /// Replaces what is known of the other instances. `draw` in [0, 1) tells
     /// whose turn it is.
-    pub(crate) fn learn(&mut self, loads: &[Load], draw: f64) {
+    pub(crate) fn update(&mut self, loads: &[Load], draw: f64) {
         self.draw = draw;
         self.then.clone_from(&self.own);
-        self.others = loads.iter().map(|l| (l.engine, Use::from(l))).collect();
+        self.others = loads.iter().map(|l| (l.engine, Usage::from(l))).collect();
     }
 
     /// This instance's own work, to be told.
@@ -167,14 +173,14 @@
 }
 
 /// A number in [0, 1) for each engine, without regard to its neighbours in number.
-pub(crate) fn scatter(engine: u64) -> f64 {
+pub(crate) fn unit_hash(engine: u64) -> f64 {
     /// The golden ratio as a fraction of 2^64: multiples of it spread evenly.
     const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
     let mixed = (engine ^ (engine >> 16)).wrapping_mul(GOLDEN);
     (mixed >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-impl From<&Load> for Use {
+impl From<&Load> for Usage {
     fn from(load: &Load) -> Self {
         Self {
             memory: f64::from(load.memory),
@@ -196,12 +202,12 @@
     /// Memory for requests that is left, in megabytes.
     pub(crate) room_mb: f64,
     /// Share of the memory for requests that is in use.
-    pub(crate) used: f64,
+    pub(crate) utilisation: f64,
 }
 
 impl Speed {
     /// Of an engine that holds `range` of `model` on `accelerator`.
-    pub(crate) fn new(model: &Model, accelerator: &Accelerator, range: Range, load: Use) -> Self {
+    pub(crate) fn new(model: &Model, accelerator: &Accelerator, range: Range, load: Usage) -> Self {
         let layers = f64::from(model.layers);
         let held = f64::from(range.len());
         let memory = (accelerator.size_mb - held * model.layer_mb).max(0.0);
@@ -212,7 +218,7 @@
             read_ms: accelerator.read_factor * model.read_ms / layers,
             memory_mb: memory,
             room_mb: memory - load.memory,
-            used: (load.memory / memory.max(1.0)).min(1.0),
+            utilisation: (load.memory / memory.max(1.0)).min(1.0),
         }
     }
 }
@@ -220,7 +226,7 @@
 /// Share of an engine's memory for requests that must be free besides what a
 /// fresh request of `tokens` takes, after it waited for the part `waited` of the
 /// time that it may. `usual` are the tokens of a usual request.
-pub(crate) fn spare(tokens: f64, usual: f64, waited: f64) -> f64 {
+pub(crate) fn headroom(tokens: f64, usual: f64, waited: f64) -> f64 {
     let waits = 1.0 - SHRINKS * waited.clamp(0.0, 1.0);
     SPARE * (tokens / usual).min(LONG) * waits
 }
@@ -233,6 +239,6 @@
 /// first pipeline that is known again, whose engines refuse most. A stream that goes on
 /// alone finds its turn at once or within a report, so its caller sees no long pause.
 /// While the instance is `starting`, the herd lasts for longer than one may wait.
-pub(crate) fn begun_takes_turns(starting: bool, waited: f64) -> bool {
+pub(crate) fn retry_obeys_quota(starting: bool, waited: f64) -> bool {
     starting || waited < BEGUN_TURNS
 }
--- a/src/decide/leave.rs
+++ b/src/decide/migration.rs
@@ -27,7 +27,7 @@
 
 /// Turn of one stream.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Leave {
+pub(crate) struct Migration {
     /// Term and revision of the roster that was looked at last.
     seen: (u64, u64),
     at: Option<Time>,
@@ -35,7 +35,7 @@
     failed: u32,
 }
 
-impl Leave {
+impl Migration {
     /// Whether the stream should be led away now. `must` tells whether its path
     /// passes through an engine that gets nothing new, under the roster of this
     /// term and revision; `draw` is a random number from 0 to 1.
@@ -56,7 +56,7 @@
 
     /// Notes the outcome of an attempt to lead the stream away. Its path may
     /// pass through another such engine, so it looks again.
-    pub(crate) fn tried(&mut self, now: Time, done: bool) {
+    pub(crate) fn record_attempt(&mut self, now: Time, done: bool) {
         if done {
             *self = Self::default();
             return;
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,16 +1,14 @@
-//! Decisions under load and failure, apart from I/O.
+//! Decisions under load and failure, separate from I/O.
 //!
-//! Each module answers one load pattern, named in its head, and gives the
-//! reason for its limits.
+//! The documentation of each module describes the load or failure pattern that it handles
+//! and gives the reasons for its limits.
 
-pub(crate) mod allowance;
 pub(crate) mod demand;
 pub(crate) mod health;
-pub(crate) mod hold;
-pub(crate) mod leave;
 pub(crate) mod link;
 pub(crate) mod load;
 pub(crate) mod members;
+pub(crate) mod migration;
 pub(crate) mod pace;
 pub(crate) mod path;
 pub(crate) mod pick;
@@ -19,6 +17,8 @@
 pub(crate) mod rate;
 pub(crate) mod refusal;
 pub(crate) mod retry;
+pub(crate) mod retry_budget;
 pub(crate) mod run_history;
-pub(crate) mod silence;
+pub(crate) mod stall;
+pub(crate) mod view_wait;
 pub(crate) mod waiting;
--- a/src/decide/pace.rs
+++ b/src/decide/pace.rs
@@ -8,7 +8,7 @@
 //! answers.
 
 /// Rounds of asking in which each engine has its turn.
-const TURNS: usize = 4;
+const ROUNDS: usize = 4;
 
 /// Engines asked in one round. At a fleet of thousands the turns come more seldom,
 /// and the leader's processor stays free for heartbeats.
@@ -23,14 +23,14 @@
 
 /// Whose turn it is to be asked.
 #[derive(Debug, Default)]
-pub(crate) struct Turns {
+pub(crate) struct Rotation {
     next: usize,
 }
 
-impl Turns {
+impl Rotation {
     /// The engines that are asked in this round, out of all those at work.
-    pub(crate) fn take<T: Clone>(&mut self, engines: &[T]) -> Vec<T> {
-        let count = engines.len().div_ceil(TURNS).min(MOST);
+    pub(crate) fn next_batch<T: Clone>(&mut self, engines: &[T]) -> Vec<T> {
+        let count = engines.len().div_ceil(ROUNDS).min(MOST);
         let start = self.next.checked_rem(engines.len()).unwrap_or(0);
         self.next = start + count;
         let turned = engines.iter().cycle().skip(start);
@@ -40,7 +40,7 @@
 
 /// What instances are told of an engine whose pace was `told` to them and is
 /// `reported` now, if they should hear of it.
-pub(crate) fn news(told: f64, reported: f64) -> Option<f64> {
+pub(crate) fn significant_change(told: f64, reported: f64) -> Option<f64> {
     // Also false for what isn't a number.
     let usable = reported > 0.0;
     let pace = reported.clamp(LEAST, SLOWEST);
--- a/src/decide/path.rs
+++ b/src/decide/path.rs
@@ -51,13 +51,13 @@
     /// Memory for requests that is left, in megabytes.
     pub(crate) room_mb: f64,
     /// Share of the memory for requests that is in use.
-    pub(crate) used: f64,
+    pub(crate) utilisation: f64,
     /// Whether this instance may add another request for now.
-    pub(crate) open: bool,
+    pub(crate) has_quota: bool,
     /// Whether it takes another request as the first engine.
-    pub(crate) enters: bool,
+    pub(crate) may_enter: bool,
     /// Factor on its cost; above 1 for engines that are avoided.
-    pub(crate) penalty: f64,
+    pub(crate) cost_factor: f64,
 }
 
 /// What a request asks of a path.
@@ -72,33 +72,34 @@
     /// Milliseconds for which a token occupies the link between two domains.
     pub(crate) crossing_ms: f64,
     /// Whether its path may pass from one domain into another.
-    pub(crate) crosses: bool,
+    pub(crate) may_cross: bool,
     /// Failure domain of the caller.
-    pub(crate) home: usize,
+    pub(crate) caller_domain: usize,
     /// Share of an engine's memory for requests that must be free besides the
-    /// request's own; see [`crate::decide::load::spare`]. None for one that has
+    /// request's own; see [`crate::decide::load::headroom`]. None for one that has
     /// begun already: its caller has a part of the answer.
-    pub(crate) spare: f64,
+    pub(crate) headroom: f64,
     /// Whether it leaves the other instances their part of an engine's room; see
     /// [`crate::decide::load::Loads::may_add`].
-    pub(crate) turns: bool,
+    pub(crate) obeys_quota: bool,
 }
 
 impl Work {
     /// Milliseconds for which one crossing occupies the link between domains.
-    pub(crate) fn occupies(&self) -> f64 {
+    pub(crate) fn link_ms(&self) -> f64 {
         self.tokens() * self.crossing_ms
     }
 
     /// Cost of passing into another domain, in milliseconds.
     fn crossing(&self) -> f64 {
-        FAR_MS * self.answer + CROSSING * self.occupies()
+        FAR_MS * self.answer + CROSSING * self.link_ms()
     }
 
     /// Whether a candidate has room for the request in `layers` layers.
     fn fits(&self, candidate: &Candidate, layers: u32) -> bool {
-        let spare = self.spare * candidate.memory_mb;
-        (candidate.open || !self.turns) && self.memory(layers) + spare <= candidate.room_mb
+        let headroom = self.headroom * candidate.memory_mb;
+        (candidate.has_quota || !self.obeys_quota)
+            && self.memory(layers) + headroom <= candidate.room_mb
     }
 
     /// Tokens that it takes, with its answer.
@@ -124,7 +125,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoPath {
     /// No engine holds this layer.
-    Missing(u32),
+    MissingLayer(u32),
     /// Every engine with some layer is full.
     Full,
 }
@@ -144,7 +145,7 @@
     /// With layer 0, from the caller.
     Caller,
     /// Behind an engine in `domain` that keeps the layers before `layer`.
-    Behind { layer: u32, domain: usize },
+    After { layer: u32, domain: usize },
 }
 
 /// The path with the least expected time from `start` to layer `layers`.
@@ -160,12 +161,12 @@
 ) -> Result<Vec<Hop>, NoPath> {
     let first = match start {
         Start::Caller => 0,
-        Start::Behind { layer, .. } => layer,
+        Start::After { layer, .. } => layer,
     };
     let cuts = boundaries(first, layers, candidates);
     let domains = candidates.iter().map(|c| c.domain + 1).max().unwrap_or(0);
     let domains = match start {
-        Start::Behind { domain, .. } => domains.max(domain + 1),
+        Start::After { domain, .. } => domains.max(domain + 1),
         Start::Caller => domains,
     };
     let last = cuts.len() - 1;
@@ -175,21 +176,21 @@
     for at in (0..last).rev() {
         let from_caller = at == 0 && start == Start::Caller;
         for (i, candidate) in candidates.iter().enumerate() {
-            if !candidate.range.holds(cuts[at]) || (from_caller && !candidate.enters) {
+            if !candidate.range.holds(cuts[at]) || (from_caller && !candidate.may_enter) {
                 continue;
             }
             let Some(way) = way_on(i, candidate, at, &cuts, &best, work, noise(i)) else {
                 continue;
             };
             if from_caller {
-                let near = candidate.domain == work.home;
+                let near = candidate.domain == work.caller_domain;
                 let cost = way.cost + if near { 0.0 } else { ENTRY_MS };
                 improve(&mut enter, Way { cost, ..way });
                 continue;
             }
             for (domain, slot) in best[at].iter_mut().enumerate() {
                 let near = domain == candidate.domain;
-                if !near && !work.crosses {
+                if !near && !work.may_cross {
                     continue;
                 }
                 let cost = way.cost + if near { 0.0 } else { work.crossing() };
@@ -197,7 +198,7 @@
             }
         }
     }
-    if let Start::Behind { domain, .. } = start {
+    if let Start::After { domain, .. } = start {
         enter = best[0][domain];
     }
     let Some(way) = enter else {
@@ -231,8 +232,8 @@
     noise: f64,
 ) -> Option<Way> {
     let last = cuts.len() - 1;
-    let crowd = 1.0 + 2.0 * ((candidate.used - TIGHT).max(0.0) / (1.0 - TIGHT));
-    let factor = candidate.penalty * crowd * noise;
+    let crowd = 1.0 + 2.0 * ((candidate.utilisation - TIGHT).max(0.0) / (1.0 - TIGHT));
+    let factor = candidate.cost_factor * crowd * noise;
     let layer = candidate.step_ms * work.answer + candidate.read_ms * work.prompt;
     let hop = HOP_MS * (work.answer + work.prompt / CHUNK);
     let mut found: Option<Way> = None;
@@ -304,23 +305,23 @@
 fn missing(first: u32, layers: u32, candidates: &[Candidate]) -> NoPath {
     let held = |layer| candidates.iter().any(|c| c.range.holds(layer));
     match (first..layers).find(|&l| !held(l)) {
-        Some(layer) => NoPath::Missing(layer),
+        Some(layer) => NoPath::MissingLayer(layer),
         None => NoPath::Full,
     }
 }
 
 /// Whether the hops cover every layer from `first` on once and in order, each
 /// on an engine of its own that holds it.
-pub(crate) fn is_whole(first: u32, layers: u32, candidates: &[Candidate], hops: &[Hop]) -> bool {
+pub(crate) fn is_complete(first: u32, layers: u32, candidates: &[Candidate], hops: &[Hop]) -> bool {
     let sound = |(i, hop): (usize, &Hop)| {
         let inside = candidates[hop.engine].range.covers(hop.range);
         inside && hops[..i].iter().all(|h| h.engine != hop.engine)
     };
-    hops.iter().enumerate().all(sound) && is_gapless(first, layers, hops.iter().map(|h| h.range))
+    hops.iter().enumerate().all(sound) && is_contiguous(first, layers, hops.iter().map(|h| h.range))
 }
 
 /// Whether `parts` cover every layer from `first` on once and in order.
-pub(crate) fn is_gapless(first: u32, layers: u32, parts: impl Iterator<Item = Range>) -> bool {
+pub(crate) fn is_contiguous(first: u32, layers: u32, parts: impl Iterator<Item = Range>) -> bool {
     let mut at = Some(first);
     for part in parts {
         at = at.filter(|&a| a == part.first).map(|_| part.end);
--- a/src/decide/pick.rs
+++ b/src/decide/pick.rs
@@ -16,15 +16,15 @@
 
 /// An upstream to choose from.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Offer {
+pub(crate) struct Candidate {
     /// Requests under way there.
     pub(crate) requests: f64,
     /// Requests that it takes at once.
     pub(crate) slots: f64,
     /// Whether it is in the caller's failure domain.
-    pub(crate) near: bool,
+    pub(crate) same_domain: bool,
     pub(crate) late: bool,
-    pub(crate) out: bool,
+    pub(crate) excluded: bool,
     /// Whether this request has been there before.
     pub(crate) tried: bool,
     /// Whether its rate limit allows no request now.
@@ -33,12 +33,12 @@
 
 /// Index of the best one that wasn't tried; ties are broken by `draw` in
 /// [0, 1).
-pub(crate) fn choose(offers: &[Offer], draw: f64) -> Option<usize> {
-    let cost = |o: &Offer| {
+pub(crate) fn choose(offers: &[Candidate], draw: f64) -> Option<usize> {
+    let cost = |o: &Candidate| {
         let used = (o.requests + 1.0) / o.slots.max(1.0);
-        let far = if o.near { 0.0 } else { FAR };
+        let far = if o.same_domain { 0.0 } else { FAR };
         let late = if o.late { LATE } else { 0.0 };
-        let out = if o.out { OUT } else { 0.0 };
+        let out = if o.excluded { OUT } else { 0.0 };
         used + far + late + out
     };
     let count = offers.len();
--- a/src/decide/refusal.rs
+++ b/src/decide/refusal.rs
@@ -62,15 +62,15 @@
 
 /// Shares of the requests that found no room lately.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Refused {
+pub(crate) struct RefusalRates {
     all: f64,
     long: f64,
 }
 
-impl Refused {
+impl RefusalRates {
     /// Notes whether a request was refused for want of room. `long` is one of
     /// more than the usual length.
-    pub(crate) fn note(&mut self, refused: bool, long: bool) {
+    pub(crate) fn record(&mut self, refused: bool, long: bool) {
         let refused = if refused { 1.0 } else { 0.0 };
         self.all += WEIGHT * (refused - self.all);
         if long {
@@ -79,7 +79,7 @@
     }
 
     /// Share of all requests.
-    pub(crate) fn share(&self) -> f64 {
+    pub(crate) fn overall(&self) -> f64 {
         self.all
     }
 
@@ -100,7 +100,7 @@
 /// The ranges: a lease or a leader comes back within about a second; lost
 /// layers are loaded again in two to four; a request holds its room for about
 /// three seconds, so a third of the room is free after one.
-pub(crate) fn come_back(reason: Reason, refused: f64, draw: f64) -> Duration {
+pub(crate) fn retry_after(reason: Reason, refused: f64, draw: f64) -> Duration {
     let (least, most) = match reason {
         Reason::NoConfiguration => (0.4, 1.2),
         Reason::NoUpstream => (1.0, 3.0),
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -30,26 +30,26 @@
 
 /// Attempts so far, the failed one included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Tries {
+pub(crate) struct AttemptCounts {
     /// Attempts that may have run.
-    pub(crate) run: u32,
+    pub(crate) may_have_run: u32,
     /// Attempts that were not run.
-    pub(crate) idle: u32,
+    pub(crate) not_run: u32,
 }
 
-impl Tries {
+impl AttemptCounts {
     /// Counts a failed attempt.
-    pub(crate) fn count(&mut self, failure: Failure) {
+    pub(crate) fn record(&mut self, failure: Failure) {
         match failure {
-            Failure::NotRun => self.idle += 1,
-            Failure::Unknown | Failure::Answered => self.run += 1,
+            Failure::NotRun => self.not_run += 1,
+            Failure::Unknown | Failure::Answered => self.may_have_run += 1,
         }
     }
 }
 
 /// What comes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Next {
+pub(crate) enum NextStep {
     /// Another attempt, if the retry budget allows it.
     Again,
     /// Hand on the upstream's own failure.
@@ -60,7 +60,7 @@
     Fail,
 }
 
-impl Next {
+impl NextStep {
     /// As metrics name it.
     pub(crate) fn name(self) -> &'static str {
         match self {
@@ -72,27 +72,28 @@
     }
 }
 
-/// The step after `failure`, which `tries` counts already.
-pub(crate) fn next(
+/// The step after `failure`, which `counts` counts already.
+pub(crate) fn next_step(
     repeat: Repeat,
     attempts: u32,
-    tries: Tries,
+    counts: AttemptCounts,
     failure: Failure,
     left: Duration,
-) -> Next {
-    let may_repeat = repeat != Repeat::Never || tries.run == 0;
-    let in_bounds = tries.run < attempts && tries.idle < MOST_NOT_RUN && left >= LEAST_LEFT;
+) -> NextStep {
+    let may_repeat = repeat != Repeat::Never || counts.may_have_run == 0;
+    let in_bounds =
+        counts.may_have_run < attempts && counts.not_run < MOST_NOT_RUN && left >= LEAST_LEFT;
     if may_repeat && in_bounds {
-        return Next::Again;
+        return NextStep::Again;
     }
-    give_up(tries, failure)
+    give_up(counts, failure)
 }
 
 /// The answer when no further attempt is made.
-pub(crate) fn give_up(tries: Tries, failure: Failure) -> Next {
+pub(crate) fn give_up(counts: AttemptCounts, failure: Failure) -> NextStep {
     match failure {
-        Failure::Answered => Next::Pass,
-        _ if tries.run == 0 => Next::Refuse,
-        _ => Next::Fail,
+        Failure::Answered => NextStep::Pass,
+        _ if counts.may_have_run == 0 => NextStep::Refuse,
+        _ => NextStep::Fail,
     }
 }
--- a/src/decide/allowance.rs
+++ b/src/decide/retry_budget.rs
@@ -16,9 +16,9 @@
 /// and forget what they have used.
 const USED: f64 = 0.75;
 
-/// Bound on the retries of all instances together.
+/// Limit on the retries of all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Bound {
+pub(crate) struct RetryLimit {
     /// Retries as a share of the requests in the window.
     pub(crate) ratio: f64,
     /// Retries besides the share.
@@ -34,13 +34,13 @@
 
 /// Retries and requests of this instance by service.
 #[derive(Debug)]
-pub(crate) struct Allowance {
-    bound: Bound,
+pub(crate) struct RetryBudget {
+    bound: RetryLimit,
     services: HashMap<String, Counts>,
 }
 
-impl Allowance {
-    pub(crate) fn new(bound: Bound) -> Self {
+impl RetryBudget {
+    pub(crate) fn new(bound: RetryLimit) -> Self {
         Self {
             bound,
             services: HashMap::default(),
@@ -48,7 +48,7 @@
     }
 
     /// Counts a request to a service.
-    pub(crate) fn request(&mut self, now: Time, service: &str) {
+    pub(crate) fn record_request(&mut self, now: Time, service: &str) {
         let window = self.bound.window;
         let counts = self.counts(service);
         counts.requests.push_back(now);
@@ -56,8 +56,8 @@
     }
 
     /// Takes one retry, or says that none is left. `instances` share the bound.
-    pub(crate) fn take(&mut self, now: Time, service: &str, instances: u32) -> bool {
-        if self.left(now, service, instances) < 1.0 {
+    pub(crate) fn try_acquire(&mut self, now: Time, service: &str, instances: u32) -> bool {
+        if self.remaining(now, service, instances) < 1.0 {
             return false;
         }
         self.counts(service).retries.push_back(now);
@@ -65,7 +65,7 @@
     }
 
     /// Retries to a service that are left at `now`.
-    pub(crate) fn left(&mut self, now: Time, service: &str, instances: u32) -> f64 {
+    pub(crate) fn remaining(&mut self, now: Time, service: &str, instances: u32) -> f64 {
         let bound = self.bound;
         let counts = self.counts(service);
         trim(&mut counts.requests, now, bound.window);
--- a/src/decide/silence.rs
+++ b/src/decide/stall.rs
@@ -17,7 +17,7 @@
 
 /// Silence after which the first engine is asked. Its report lags by 200 ms;
 /// events usually come every 30 to 80 ms.
-pub(crate) const QUIET: Duration = Duration::from_millis(260);
+pub(crate) const QUERY_AFTER: Duration = Duration::from_millis(260);
 
 /// Period at which it is asked again.
 const AGAIN: Duration = Duration::from_millis(160);
@@ -35,48 +35,48 @@
 
 /// How long one sign of an attempt is awaited.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Patience {
+pub(crate) struct StallTimer {
     most: Duration,
     /// Whether the attempt can be led around an engine.
-    helped: bool,
+    reroutable: bool,
     /// Whether it was led around one that was known to be dead.
-    avoided: bool,
+    rerouted: bool,
 }
 
-impl Patience {
+impl StallTimer {
     /// A sign is awaited for at most `most`.
-    pub(crate) fn new(most: Duration, helped: bool) -> Self {
+    pub(crate) fn new(most: Duration, reroutable: bool) -> Self {
         Self {
             most,
-            helped,
-            avoided: false,
+            reroutable,
+            rerouted: false,
         }
     }
 
     /// What to do after silence for `waited`.
     pub(crate) fn step(&self, waited: Duration) -> Step {
-        match self.helped {
+        match self.reroutable {
             false => Step::Wait,
-            true if waited >= QUIET || waited >= self.most => Step::Ask,
-            true if self.avoided => Step::Wait,
+            true if waited >= QUERY_AFTER || waited >= self.most => Step::Ask,
+            true if self.rerouted => Step::Wait,
             true => Step::Avoid,
         }
     }
 
     /// Notes that the attempt was led around an engine, or that it failed: once is
     /// enough until the first engine tells more.
-    pub(crate) fn avoided(&mut self) {
-        self.avoided = true;
+    pub(crate) fn record_reroute(&mut self) {
+        self.rerouted = true;
     }
 
     /// Time until the next step; none when the sign isn't awaited any longer.
-    pub(crate) fn wait(&self, waited: Duration) -> Option<Duration> {
+    pub(crate) fn next_wait(&self, waited: Duration) -> Option<Duration> {
         let left = self.most.saturating_sub(waited);
-        let next = match self.helped {
+        let next = match self.reroutable {
             false => left,
-            true if waited >= QUIET => AGAIN,
-            true if self.avoided => QUIET - waited,
-            true if waited >= EARLY => LOOK.min(QUIET - waited),
+            true if waited >= QUERY_AFTER => AGAIN,
+            true if self.rerouted => QUERY_AFTER - waited,
+            true if waited >= EARLY => LOOK.min(QUERY_AFTER - waited),
             true => EARLY - waited,
         };
         Some(next.min(left)).filter(|wait| !wait.is_zero())
--- a/src/decide/waiting.rs
+++ b/src/decide/waiting.rs
@@ -27,7 +27,7 @@
 const WAITERS: usize = 12;
 
 /// Period at which the first in line looks for room.
-pub(crate) const LOOK: Duration = Duration::from_millis(10);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Weight of the newest observation: some ten requests tell the pace, which at a
 /// busy instance pass in half a second.
@@ -45,7 +45,7 @@
 
 /// What was seen of the line and of the engines lately.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pace {
+pub(crate) struct QueueTiming {
     /// Seconds for which a request is first in line.
     turn: f64,
     /// Seconds from sending to the first event, and their mean deviation.
@@ -53,7 +53,7 @@
     spread: f64,
 }
 
-impl Default for Pace {
+impl Default for QueueTiming {
     fn default() -> Self {
         Self {
             turn: FIRST_TURN,
@@ -63,10 +63,10 @@
     }
 }
 
-impl Pace {
+impl QueueTiming {
     /// Notes that a request was first in line for `time`, and whether it found
     /// room then.
-    pub(crate) fn turned(&mut self, time: Duration, found: bool) {
+    pub(crate) fn record_turn(&mut self, time: Duration, found: bool) {
         let time = time.as_secs_f64();
         if found || time > self.turn {
             self.turn += WEIGHT * (time - self.turn);
@@ -74,7 +74,7 @@
     }
 
     /// Notes the time from sending a request to its first event.
-    pub(crate) fn began(&mut self, time: Duration) {
+    pub(crate) fn record_first_event(&mut self, time: Duration) {
         let time = time.as_secs_f64();
         let off = (time - self.first).abs();
         self.first += WEIGHT * (time - self.first);
@@ -82,7 +82,7 @@
     }
 
     /// Time that most requests need from sending to the first event.
-    pub(crate) fn first(&self) -> Duration {
+    pub(crate) fn first_event(&self) -> Duration {
         Duration::from_secs_f64(self.first + DEVIATIONS * self.spread)
     }
 }
@@ -94,18 +94,18 @@
     spent: Duration,
     left: Duration,
     waiters: usize,
-    pace: &Pace,
+    timing: &QueueTiming,
 ) -> Option<Duration> {
     if waiters >= WAITERS {
         return None;
     }
     if spent > objective.mul_f64(FRESH) {
         let limit = objective.mul_f64(OBJECTIVES);
-        return Some(limit.min(MOST).min(left / 3)).filter(|l| *l > LOOK);
+        return Some(limit.min(MOST).min(left / 3)).filter(|l| *l > POLL_INTERVAL);
     }
-    let limit = objective.saturating_sub(spent + pace.first());
-    let limit = limit.min(MOST).min(left / 3).max(LOOK * 2);
-    let ahead = Duration::from_secs_f64(pace.turn * waiters as f64);
+    let limit = objective.saturating_sub(spent + timing.first_event());
+    let limit = limit.min(MOST).min(left / 3).max(POLL_INTERVAL * 2);
+    let ahead = Duration::from_secs_f64(timing.turn * waiters as f64);
     // One always waits: else nothing would tell that the line moves again.
     (waiters == 0 || ahead < limit).then_some(limit)
 }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -20,11 +20,11 @@
 use crate::clock::{Time, millis};
 use crate::configuration::{Model, Repeat, Route, Table};
 use crate::decide::health;
-use crate::decide::hold;
 use crate::decide::load;
 use crate::decide::path::Work;
 use crate::decide::refusal::Reason;
-use crate::decide::retry::{self, Failure, Next, Tries};
+use crate::decide::retry::{self, AttemptCounts, Failure, NextStep};
+use crate::decide::view_wait;
 use crate::engine::{Answer, Connection, Cutoff};
 use crate::event;
 use crate::fingerprint::Fingerprint;
@@ -97,7 +97,7 @@
     pub(super) entry: Arc<Entry>,
     pub(super) table: Arc<Table>,
     pub(super) call: Call,
-    tries: Tries,
+    tries: AttemptCounts,
     /// Upstreams at which it failed.
     tried: Vec<u64>,
     /// The latest answer with an upstream's own failure.
@@ -121,8 +121,8 @@
             event = event::REQUEST_ABANDONED.id,
             attempt = self.call.attempt,
             route = self.call.route.name,
-            run = self.tries.run,
-            idle = self.tries.idle,
+            run = self.tries.may_have_run,
+            idle = self.tries.not_run,
             last = self.last,
             draining = self.entry.gate.closed(),
             took_ms = millis(self.entry.now().since(self.call.began)),
@@ -147,13 +147,16 @@
 
 impl Run {
     pub(super) fn new(entry: Arc<Entry>, table: Arc<Table>, call: Call) -> Self {
-        entry.shared().allowance.request(call.began, &call.service);
+        entry
+            .shared()
+            .allowance
+            .record_request(call.began, &call.service);
         let last = head::number(&call.headers, headers::LAST_EVENT);
         Self {
             entry,
             table,
             call,
-            tries: Tries::default(),
+            tries: AttemptCounts::default(),
             tried: Vec::new(),
             kept: None,
             ended: AtomicBool::new(false),
@@ -194,7 +197,7 @@
                 return Err(self.nowhere(reason));
             }
             if self.model().is_some() {
-                self.entry.shared().loads.demand.ask();
+                self.entry.shared().loads.demand.record_request();
             }
             let found = match self.choose(0.0) {
                 Ok(chosen) => Ok(chosen),
@@ -206,7 +209,7 @@
             }
             let full = matches!(found, Err(Reason::Full));
             let long = self.is_long();
-            self.entry.shared().refused.note(full, long);
+            self.entry.shared().refused.record(full, long);
             let chosen = found.map_err(|reason| self.nowhere(reason))?;
             if !self.acquire_send(&chosen.upstream) {
                 continue;
@@ -218,7 +221,7 @@
             let outcome = match timeout(left, self.attempt(chosen)).await {
                 Ok(outcome) => outcome,
                 Err(_) => {
-                    self.tries.count(Failure::Unknown);
+                    self.tries.record(Failure::Unknown);
                     return Err(Final::Late);
                 }
             };
@@ -227,7 +230,7 @@
                 Outcome::Error(opened) => {
                     self.tried.push(first);
                     self.kept = Some(Box::new(opened));
-                    if self.fail(Failure::Answered, "upstream_error") != Next::Again {
+                    if self.fail(Failure::Answered, "upstream_error") != NextStep::Again {
                         return Err(Final::Fail);
                     }
                 }
@@ -246,12 +249,12 @@
                     }
                     self.blame(culprit, cause);
                     match self.fail(failure, cause) {
-                        Next::Again => {}
-                        Next::Refuse => return Err(Final::Refuse(Reason::NotRun)),
-                        Next::Pass | Next::Fail if self.left().is_zero() => {
+                        NextStep::Again => {}
+                        NextStep::Refuse => return Err(Final::Refuse(Reason::NotRun)),
+                        NextStep::Pass | NextStep::Fail if self.left().is_zero() => {
                             return Err(Final::Late);
                         }
-                        Next::Pass | Next::Fail => return Err(Final::Fail),
+                        NextStep::Pass | NextStep::Fail => return Err(Final::Fail),
                     }
                 }
             }
@@ -264,14 +267,14 @@
         let view = self.entry.view();
         let mut work = self.call.work;
         // Of one that has begun, the caller may have a part of the answer.
-        let begun = self.tries.run > 0 || self.last.is_some();
+        let begun = self.tries.may_have_run > 0 || self.last.is_some();
         let first = self.is_long() && self.entry.shared().refused.starves_long();
         if begun {
-            let starting = hold::is_starting(self.entry.started, self.entry.now());
-            work.turns = load::begun_takes_turns(starting, waited);
+            let starting = view_wait::is_starting(self.entry.started, self.entry.now());
+            work.obeys_quota = load::retry_obeys_quota(starting, waited);
         } else if !first && let Some(model) = self.model() {
-            work.spare = load::spare(work.tokens(), model.usual_tokens(), waited);
-            work.turns = true;
+            work.headroom = load::headroom(work.tokens(), model.usual_tokens(), waited);
+            work.obeys_quota = true;
         }
         let exclusions = Exclusions {
             tried: &self.tried,
@@ -294,10 +297,12 @@
         let now = self.entry.now();
         match cause {
             REFUSED if health::may_be_full(self.used(culprit)) => {
-                self.entry.shared().health.refused(now, culprit);
+                self.entry.shared().health.record_refusal(now, culprit);
             }
-            REFUSED | NO_CONNECTION | DEAD_PART => self.entry.shared().health.silent(now, culprit),
-            _ => self.entry.shared().health.failed(now, culprit),
+            REFUSED | NO_CONNECTION | DEAD_PART => {
+                self.entry.shared().health.record_unresponsive(now, culprit)
+            }
+            _ => self.entry.shared().health.record_failure(now, culprit),
         }
         tracing::info!(
             event = event::UPSTREAM_SUSPECTED.id,
@@ -315,23 +320,23 @@
         let upstreams = of_service(&view.services, &self.call.service);
         let upstream = upstreams.iter().find(|u| u.key == engine)?;
         let speed = pool::speed(upstream, self.model()?, &self.entry.shared().loads);
-        Some(speed?.used)
+        Some(speed?.utilisation)
     }
 
     /// Counts a failed attempt and decides what comes next.
-    pub(super) fn fail(&mut self, failure: Failure, cause: &'static str) -> Next {
-        self.tries.count(failure);
+    pub(super) fn fail(&mut self, failure: Failure, cause: &'static str) -> NextStep {
+        self.tries.record(failure);
         let route = &self.call.route;
         let left = self.left();
-        let mut next = retry::next(route.repeat, route.attempts, self.tries, failure, left);
-        if next == Next::Again && self.may_crash_engine(cause) {
+        let mut next = retry::next_step(route.repeat, route.attempts, self.tries, failure, left);
+        if next == NextStep::Again && self.may_crash_engine(cause) {
             next = retry::give_up(self.tries, failure);
         }
-        if next == Next::Again {
+        if next == NextStep::Again {
             let now = self.entry.now();
             let entries = self.entry.view().entries();
             let allowance = &mut self.entry.shared().allowance;
-            if !allowance.take(now, &self.call.service, entries) {
+            if !allowance.try_acquire(now, &self.call.service, entries) {
                 next = retry::give_up(self.tries, failure);
             }
         }
@@ -344,8 +349,8 @@
             ?failure,
             ?next,
             events = self.events,
-            run = self.tries.run,
-            idle = self.tries.idle,
+            run = self.tries.may_have_run,
+            idle = self.tries.not_run,
             left_ms = millis(left),
             last = self.last,
             "attempt failed"
@@ -354,14 +359,14 @@
     }
 
     fn late(&self) -> Final {
-        match self.tries.run {
+        match self.tries.may_have_run {
             0 => Final::Refuse(Reason::NotRun),
             _ => Final::Late,
         }
     }
 
     fn nowhere(&self, reason: Reason) -> Final {
-        match self.tries.run {
+        match self.tries.may_have_run {
             0 => Final::Refuse(reason),
             _ => Final::Fail,
         }
@@ -424,7 +429,7 @@
     pub(super) fn conclude(&self, end: &Final) -> Response<Body> {
         let (code, response) = match end {
             Final::Refuse(reason) => {
-                let refused = self.entry.shared().refused.share();
+                let refused = self.entry.shared().refused.overall();
                 let mut response = refuse(*reason, refused);
                 if let Reason::Quarantined(_) = reason {
                     *response.body_mut() = quarantined(&self.call.fingerprint);
@@ -448,8 +453,8 @@
             route = self.call.route.name,
             code,
             status = response.status().as_u16(),
-            run = self.tries.run,
-            idle = self.tries.idle,
+            run = self.tries.may_have_run,
+            idle = self.tries.not_run,
             took_ms = millis(self.entry.now().since(self.call.began)),
             "ended without an upstream's answer"
         );
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 use super::Entry;
-use crate::decide::hold;
+use crate::decide::view_wait;
 use crate::event;
 use crate::id::InstanceId;
 use crate::message::{Answer, Ask, Request};
@@ -84,7 +84,7 @@
     /// Pause after an answer.
     fn pause(&self) -> Duration {
         let view = self.view();
-        let starting = hold::is_starting(self.started, self.now()) && !view.is_complete();
+        let starting = view_wait::is_starting(self.started, self.now()) && !view.is_complete();
         if !starting && !view.has_more() {
             return self.poll;
         }
@@ -155,10 +155,10 @@
     fn take_in(&self, work: &Work, counted: bool) {
         let waiting = self.waiters.load(Ordering::Relaxed);
         let loads = &mut self.shared().loads;
-        loads.learn(&work.loads, rand::rng().random());
+        loads.update(&work.loads, rand::rng().random());
         loads
             .demand
-            .learn(counted.then_some(work.asking), waiting as u32);
+            .update(counted.then_some(work.asking), waiting as u32);
     }
 
     fn question(&self) -> Sync {
@@ -173,7 +173,7 @@
             revision,
             complete: view.is_complete(),
             loads: shared.loads.report(),
-            asking: shared.loads.demand.own(),
+            asking: shared.loads.demand.local(),
             suspects: shared.health.suspects(now, self.boot.heartbeat),
             ..Sync::default()
         }
--- a/src/entry/listen.rs
+++ b/src/entry/listen.rs
@@ -192,10 +192,10 @@
             .clamp(1.0, most.max(1.0)),
         token_mb: model.token_mb,
         crossing_ms: model.crossing_ms,
-        crosses: false,
-        home: 0,
-        spare: 0.0,
-        turns: false,
+        may_cross: false,
+        caller_domain: 0,
+        headroom: 0.0,
+        obeys_quota: false,
     }
 }
 
@@ -213,7 +213,7 @@
 pub(super) fn refuse(reason: Reason, refused: f64) -> Response<Body> {
     metrics::counter!(metric::REFUSALS.name, "reason" => reason.code()).increment(1);
     let mut response = failure(StatusCode::SERVICE_UNAVAILABLE, reason.code());
-    let after = refusal::come_back(reason, refused, rand::rng().random());
+    let after = refusal::retry_after(reason, refused, rand::rng().random());
     let after = HeaderValue::try_from(format!("{:.2}", after.as_secs_f64()));
     let name = HeaderName::from_static(headers::RETRY_AFTER);
     response
--- a/src/entry/measure.rs
+++ b/src/entry/measure.rs
@@ -26,7 +26,7 @@
             let mut states = [("usable", 0), ("late", 0), ("left_out", 0)];
             let mut booked = 0.0;
             for upstream in upstreams {
-                let state = match (shared.health.is_out(now, upstream.key), upstream.late) {
+                let state = match (shared.health.is_excluded(now, upstream.key), upstream.late) {
                     (true, _) => 2,
                     (false, true) => 1,
                     (false, false) => 0,
@@ -39,7 +39,7 @@
                 metrics::gauge!(name, "service" => service.clone(), "state" => state).set(count);
             }
             metrics::gauge!(metric::BOOKED.name, "service" => service.clone()).set(booked);
-            let left = shared.allowance.left(now, service, view.entries());
+            let left = shared.allowance.remaining(now, service, view.entries());
             metrics::gauge!(metric::RETRIES.name, "service" => service.clone()).set(left);
         }
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -11,15 +11,15 @@
 use self::view::View;
 use crate::auth::FleetKey;
 use crate::clock::{Clock, SystemClock, Time};
-use crate::decide::allowance::{Allowance, Bound};
 use crate::decide::health::Health;
-use crate::decide::hold;
-use crate::decide::link::LinkPart;
+use crate::decide::link::LinkShare;
 use crate::decide::load::Loads;
 use crate::decide::rate::RateLimiter;
-use crate::decide::refusal::Refused;
+use crate::decide::refusal::RefusalRates;
+use crate::decide::retry_budget::{RetryBudget, RetryLimit};
 use crate::decide::run_history::RunHistory;
-use crate::decide::waiting::Pace;
+use crate::decide::view_wait;
+use crate::decide::waiting::QueueTiming;
 use crate::error::Result;
 use crate::event;
 use crate::gate::Gate;
@@ -72,10 +72,10 @@
 struct Shared {
     loads: Loads,
     health: Health,
-    allowance: Allowance,
-    link: LinkPart,
-    pace: Pace,
-    refused: Refused,
+    allowance: RetryBudget,
+    link: LinkShare,
+    pace: QueueTiming,
+    refused: RefusalRates,
     run_history: RunHistory,
     rate_limiter: RateLimiter,
 }
@@ -135,7 +135,7 @@
 impl Entry {
     fn new(settings: &RoleSettings, boot: Boot, runtime: tokio::runtime::Handle) -> Self {
         let bounds = boot.bounds;
-        let allowance = Allowance::new(Bound {
+        let allowance = RetryBudget::new(RetryLimit {
             ratio: bounds.retry_ratio,
             slack: bounds.retry_slack,
             window: bounds.retry_window,
@@ -152,9 +152,9 @@
                 loads: Loads::default(),
                 health: Health::default(),
                 allowance,
-                link: LinkPart::new(SystemClock.now()),
-                pace: Pace::default(),
-                refused: Refused::default(),
+                link: LinkShare::new(SystemClock.now()),
+                pace: QueueTiming::default(),
+                refused: RefusalRates::default(),
                 run_history: RunHistory::default(),
                 rate_limiter: RateLimiter::default(),
             }),
@@ -224,7 +224,7 @@
     /// whether it does.
     async fn hold(&self, left: Duration, ready: impl Fn(&View, Time) -> bool) -> bool {
         let began = self.now();
-        let limit = hold::limit(self.started, began, left);
+        let limit = view_wait::limit(self.started, began, left);
         loop {
             let news = self.news.notified();
             if ready(&self.view(), self.now()) {
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -12,7 +12,7 @@
 use super::{head, stream};
 use crate::clock::millis;
 use crate::decide::refusal::Reason;
-use crate::decide::retry::{Failure, Next};
+use crate::decide::retry::{Failure, NextStep};
 use crate::event;
 use crate::gate::Running;
 
@@ -38,9 +38,9 @@
                     self.record_cut(&upstream);
                     self.blame(Some(upstream.key), "cut_body");
                     match self.fail(Failure::Unknown, "cut_body") {
-                        Next::Again => {}
-                        Next::Refuse => return self.conclude(&Final::Refuse(Reason::NotRun)),
-                        Next::Pass | Next::Fail => return self.conclude(&Final::Fail),
+                        NextStep::Again => {}
+                        NextStep::Refuse => return self.conclude(&Final::Refuse(Reason::NotRun)),
+                        NextStep::Pass | NextStep::Fail => return self.conclude(&Final::Fail),
                     }
                 }
             }
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -2,8 +2,8 @@
 
 use super::view::{Services, Upstream, of_service};
 use crate::configuration::Model;
-use crate::decide::health::Standing;
-use crate::decide::load::{Loads, Share, Speed};
+use crate::decide::health::HealthStatus;
+use crate::decide::load::{Contention, Loads, Speed};
 use crate::decide::path::{self, Candidate, Hop, Start, Work};
 use crate::roster::Range;
 
@@ -28,10 +28,10 @@
 
 impl Trust {
     /// Factor on the cost of an engine; none of one that may not be used.
-    pub(crate) fn factor(self, standing: Standing) -> Option<f64> {
+    pub(crate) fn factor(self, standing: HealthStatus) -> Option<f64> {
         match (self, standing) {
-            (_, Standing::Sound) => Some(1.0),
-            (Self::Living, Standing::Failing) => Some(FAILING),
+            (_, HealthStatus::Healthy) => Some(1.0),
+            (Self::Living, HealthStatus::Failing) => Some(FAILING),
             _ => None,
         }
     }
@@ -65,12 +65,12 @@
         let of = |u: &'a Upstream| {
             let factor = factor(u)?;
             let domain = domains.iter().position(|d| *d == u.domain)?;
-            let share = Share {
+            let share = Contention {
                 instances,
-                copies: copies[domain],
+                replicas: copies[domain],
             };
             let mut candidate = candidate(u, model, loads, share, domain)?;
-            candidate.penalty *= factor;
+            candidate.cost_factor *= factor;
             Some((u, candidate))
         };
         let (engines, candidates) = all.iter().filter_map(of).unzip();
@@ -85,14 +85,14 @@
     /// Restricts the engines at which a path may begin to those that `may_enter` accepts.
     pub(crate) fn restrict_entry(&mut self, may_enter: impl Fn(&Upstream) -> bool) {
         for (engine, candidate) in self.engines.iter().zip(&mut self.candidates) {
-            candidate.enters &= may_enter(engine);
+            candidate.may_enter &= may_enter(engine);
         }
     }
 
     /// Like [`Pool::restrict_entry`], for rate limits. Returns whether the limits exclude
     /// all engines at which a path could begin; false if there were none before.
     pub(crate) fn limit_entry(&mut self, may_send: impl Fn(&Upstream) -> bool) -> bool {
-        let begins = |c: &Candidate| c.enters && c.range.first == 0;
+        let begins = |c: &Candidate| c.may_enter && c.range.first == 0;
         let before = self.candidates.iter().any(begins);
         self.restrict_entry(may_send);
         before && !self.candidates.iter().any(begins)
@@ -125,7 +125,7 @@
         let before = booked.get(at.checked_sub(1)?)?;
         let home = self.all.iter().find(|u| u.key == before.0)?;
         let range = booked[at].1.range;
-        let start = Start::Behind {
+        let start = Start::After {
             layer: range.first,
             domain: self.domain(&home.domain)?,
         };
@@ -191,7 +191,7 @@
     upstream: &Upstream,
     model: &Model,
     loads: &Loads,
-    share: Share,
+    share: Contention,
     domain: usize,
 ) -> Option<Candidate> {
     let range = upstream.layers?;
@@ -204,9 +204,9 @@
         read_ms: speed.read_ms * upstream.pace,
         memory_mb: speed.memory_mb,
         room_mb: speed.room_mb,
-        open: loads.may_add(upstream.key, speed.room_mb, usual, share),
-        used: speed.used,
-        enters: loads.at(upstream.key).entered < f64::from(upstream.slots),
-        penalty: if upstream.late { LATE } else { 1.0 },
+        has_quota: loads.may_add(upstream.key, speed.room_mb, usual, share),
+        utilisation: speed.utilisation,
+        may_enter: loads.at(upstream.key).entered < f64::from(upstream.slots),
+        cost_factor: if upstream.late { LATE } else { 1.0 },
     })
 }
--- a/src/entry/reroute.rs
+++ b/src/entry/reroute.rs
@@ -16,8 +16,8 @@
 use super::select::Chosen;
 use super::view::of_service;
 use crate::configuration::Repeat;
-use crate::decide::health::Standing;
-use crate::decide::silence::{Patience, Step};
+use crate::decide::health::HealthStatus;
+use crate::decide::stall::{StallTimer, Step};
 use crate::engine::call;
 use crate::event;
 use crate::metric;
@@ -49,15 +49,15 @@
         let since = self.entry.now();
         // What may not run again, or has one upstream only, can't be helped.
         let helped = self.call.route.repeat != Repeat::Never && chosen.path.is_some();
-        let mut patience = Patience::new(patience, helped);
-        let mut wait = patience.wait(Duration::ZERO).unwrap_or_default();
+        let mut patience = StallTimer::new(patience, helped);
+        let mut wait = patience.next_wait(Duration::ZERO).unwrap_or_default();
         loop {
             if let Ok(output) = timeout(wait, sign.as_mut()).await {
                 return Ok(output);
             }
             let waited = self.entry.now().since(since);
             match patience.step(waited) {
-                Step::Avoid if self.avoid_dead(chosen).await => patience.avoided(),
+                Step::Avoid if self.avoid_dead(chosen).await => patience.record_reroute(),
                 Step::Ask => {
                     if let Some(culprit) = self.reroute(chosen).await {
                         return Err(Silence::Lost(culprit));
@@ -65,7 +65,7 @@
                 }
                 Step::Avoid | Step::Wait => {}
             }
-            let Some(next) = patience.wait(waited) else {
+            let Some(next) = patience.next_wait(waited) else {
                 return Err(Silence::Unexplained);
             };
             wait = next;
@@ -91,7 +91,7 @@
     async fn reroute(&self, chosen: &mut Chosen) -> Option<u64> {
         let culprit = self.culprit(chosen).await?;
         let now = self.entry.now();
-        self.entry.shared().health.silent(now, culprit);
+        self.entry.shared().health.record_unresponsive(now, culprit);
         let done = self.lead_around(&[culprit], chosen, DEAD_PART).await;
         (!done).then_some(culprit)
     }
@@ -154,7 +154,7 @@
         let told = upstreams.iter().filter(|u| u.suspected).map(|u| u.key);
         let health = &self.entry.shared().health;
         // One that is only failing may be used, and may just be slow now.
-        let is_dead = |d: &u64| health.standing(now, *d, false) == Standing::Dead;
+        let is_dead = |d: &u64| health.status(now, *d, false) == HealthStatus::Dead;
         let found = health.dead(now).into_iter().filter(is_dead);
         found.chain(told).find(|d| chosen.passes(*d))
     }
--- a/src/entry/select.rs
+++ b/src/entry/select.rs
@@ -10,7 +10,7 @@
 use crate::clock::Time;
 use crate::configuration::Model;
 use crate::decide::path::{self, Hop, NoPath, Start, Work};
-use crate::decide::pick::{self, Offer};
+use crate::decide::pick::{self, Candidate};
 use crate::decide::quarantine::suspect_may_enter;
 use crate::decide::refusal::Reason;
 use crate::fingerprint::Fingerprint;
@@ -47,7 +47,7 @@
 
 impl Drop for Chosen {
     fn drop(&mut self) {
-        self.entry.shared().loads.leave(&self.booked, &self.work);
+        self.entry.shared().loads.release(&self.booked, &self.work);
     }
 }
 
@@ -90,8 +90,8 @@
         let shared = self.entry.shared();
         let mut hops = self.booked.clone();
         let work = Work {
-            spare: 0.0,
-            turns: false,
+            headroom: 0.0,
+            obeys_quota: false,
             ..self.work
         };
         for lost in lost {
@@ -102,7 +102,7 @@
         }
         drop(shared);
         assert!(
-            path::is_gapless(0, model.layers, hops.iter().map(|(_, h)| h.range)),
+            path::is_contiguous(0, model.layers, hops.iter().map(|(_, h)| h.range)),
             "a detour with a gap: {hops:?}"
         );
         let text = encode(&hops);
@@ -112,8 +112,8 @@
     /// Books another path for the rest of the attempt.
     pub(super) fn follow(&mut self, detour: Detour) {
         let mut shared = self.entry.shared();
-        shared.loads.leave(&self.booked, &self.work);
-        shared.loads.enter(&detour.hops, &self.work);
+        shared.loads.release(&self.booked, &self.work);
+        shared.loads.book(&detour.hops, &self.work);
         drop(shared);
         self.booked = detour.hops;
         self.path = Some(detour.text);
@@ -123,7 +123,7 @@
     pub(super) fn succeeded(&self) {
         let health = &mut self.entry.shared().health;
         for (upstream, _) in &self.booked {
-            health.succeeded(*upstream);
+            health.record_success(*upstream);
         }
     }
 }
@@ -141,8 +141,8 @@
         usable: impl Fn(&Upstream) -> bool,
     ) -> Pool<'a> {
         let factor = |u: &Upstream| {
-            let standing = self.health.standing(now, u.key, u.late);
-            let standing = standing.told(u.suspected);
+            let standing = self.health.status(now, u.key, u.late);
+            let standing = standing.with_suspicion(u.suspected);
             trust.factor(standing).filter(|_| usable(u))
         };
         let (services, instances) = (&view.services, view.entries());
@@ -156,10 +156,10 @@
     answer: 0.0,
     token_mb: 0.0,
     crossing_ms: 0.0,
-    crosses: false,
-    home: 0,
-    spare: 0.0,
-    turns: false,
+    may_cross: false,
+    caller_domain: 0,
+    headroom: 0.0,
+    obeys_quota: false,
 };
 
 impl Entry {
@@ -196,14 +196,14 @@
         let upstreams = of_service(&view.services, service);
         let now = self.now();
         let shared = self.shared();
-        let offers: Vec<Offer> = upstreams
+        let offers: Vec<Candidate> = upstreams
             .iter()
-            .map(|u| Offer {
+            .map(|u| Candidate {
                 requests: shared.loads.at(u.key).requests,
                 slots: u.slots.into(),
-                near: u.domain == self.boot.domain,
+                same_domain: u.domain == self.boot.domain,
                 late: u.late,
-                out: u.suspected || shared.health.is_out(now, u.key),
+                excluded: u.suspected || shared.health.is_excluded(now, u.key),
                 tried: exclusions.tried.contains(&u.key) || !exclusions.may_enter(u.key),
                 limited: !shared.rate_limiter.may_send(now, u.key, &u.id, u.born),
             })
@@ -257,7 +257,7 @@
         let limited = pool.limit_entry(|u| limiter.may_send(now, u.key, &u.id, u.born));
         drop(shared);
         // A caller's domain without engines is none of theirs.
-        work.home = pool.domain(&self.boot.domain).unwrap_or(usize::MAX);
+        work.caller_domain = pool.domain(&self.boot.domain).unwrap_or(usize::MAX);
         let mut rng = rand::rng();
         let noise: Vec<f64> = pool
             .candidates
@@ -270,22 +270,22 @@
         };
         let mut found = search(&work);
         if found.is_err() {
-            work.crosses = true;
+            work.may_cross = true;
             found = search(&work).and_then(|hops| {
                 let crossings = path::crossings(&pool.candidates, &hops) as f64;
-                let occupied = crossings * work.occupies();
+                let occupied = crossings * work.link_ms();
                 let link = &mut self.shared().link;
-                let free = link.take(now, view.entries(), occupied);
+                let free = link.try_acquire(now, view.entries(), occupied);
                 if free { Ok(hops) } else { Err(NoPath::Full) }
             });
         }
         let hops = found.map_err(|e| match e {
-            NoPath::Missing(_) => Reason::NoUpstream,
+            NoPath::MissingLayer(_) => Reason::NoUpstream,
             NoPath::Full if limited => Reason::Limited,
             NoPath::Full => Reason::Full,
         })?;
         assert!(
-            path::is_whole(0, model.layers, &pool.candidates, &hops),
+            path::is_complete(0, model.layers, &pool.candidates, &hops),
             "a path that doesn't cover each layer once and in order: {hops:?}"
         );
         let booked = pool.booking(&hops);
@@ -301,7 +301,7 @@
         booked: Vec<(u64, Hop)>,
         work: Work,
     ) -> Chosen {
-        self.shared().loads.enter(&booked, &work);
+        self.shared().loads.book(&booked, &work);
         Chosen {
             entry: Arc::clone(self),
             upstream,
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -17,10 +17,10 @@
 use super::reroute::Silence;
 use crate::clock::{Time, millis};
 use crate::configuration::Repeat;
-use crate::decide::leave::Leave;
-use crate::decide::retry::{Failure, Next};
+use crate::decide::migration::Migration;
+use crate::decide::retry::{Failure, NextStep};
 use crate::decide::run_history::HARMLESS_EVENTS;
-use crate::decide::silence;
+use crate::decide::stall;
 use crate::event;
 use crate::gate::Running;
 
@@ -30,7 +30,7 @@
 
 /// Least time after which a silent stream is taken up elsewhere, however short
 /// a pause its route allows: the time after which its engine is asked.
-const LEAST: Duration = silence::QUIET;
+const LEAST: Duration = stall::QUERY_AFTER;
 
 /// Why a stream is led away from an engine that still serves it.
 const GIVEN_UP: &str = "given_up";
@@ -50,7 +50,7 @@
     /// Longest pause between two events.
     pause: Duration,
     last_at: Time,
-    leave: Leave,
+    leave: Migration,
     _running: Running,
 }
 
@@ -67,7 +67,7 @@
         first: None,
         pause: Duration::ZERO,
         last_at,
-        leave: Leave::default(),
+        leave: Migration::default(),
         _running: running,
     };
     let pieces = stream::unfold(streaming, |mut s| async move {
@@ -149,7 +149,7 @@
         }
         let engines = chosen.given_up(service);
         let done = engines.is_empty() || run.lead_around(&engines, chosen, GIVEN_UP).await;
-        self.leave.tried(now, done);
+        self.leave.record_attempt(now, done);
     }
 
     async fn read(&mut self) -> Input {
@@ -191,7 +191,7 @@
             None => {
                 self.first = Some(now.since(self.run.call.began));
                 let took = now.since(self.opened.chosen.since);
-                self.run.entry.shared().pace.began(took);
+                self.run.entry.shared().pace.record_first_event(took);
             }
         }
         self.last_at = now;
@@ -222,7 +222,7 @@
         let first = self.opened.chosen.upstream.key;
         let first_failed = !matches!(cause, "stalled" | DEAD_PART);
         self.run.blame(first_failed.then_some(first), cause);
-        if self.run.fail(Failure::Unknown, cause) != Next::Again {
+        if self.run.fail(Failure::Unknown, cause) != NextStep::Again {
             return false;
         }
         match self.run.open().await {
--- a/src/entry/wait.rs
+++ b/src/entry/wait.rs
@@ -74,7 +74,7 @@
             loop {
                 let waited = entry.now().since(began).div_duration_f64(limit);
                 match self.choose(waited) {
-                    Err(Reason::Full) => sleep(waiting::LOOK).await,
+                    Err(Reason::Full) => sleep(waiting::POLL_INTERVAL).await,
                     found => return found,
                 }
             }
@@ -83,7 +83,7 @@
         let found = found.unwrap_or(Err(Reason::Full));
         if let Some(first) = first {
             let turn = entry.now().since(first);
-            entry.shared().pace.turned(turn, found.is_ok());
+            entry.shared().pace.record_turn(turn, found.is_ok());
         }
         tracing::info!(
             event = event::REQUEST_WAITED.id,
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -259,7 +259,7 @@
     pub(crate) fn paced(&mut self, id: &str, born: u64, reported: f64) -> bool {
         let entry = self.entries.get_mut(id).filter(|e| e.last.born == born);
         let Some(entry) = entry else { return false };
-        let Some(pace) = pace::news(entry.pace, reported) else {
+        let Some(pace) = pace::significant_change(entry.pace, reported) else {
             return false;
         };
         entry.pace = pace;
--- a/src/tests/decide.rs
+++ b/src/tests/decide.rs
@@ -7,21 +7,22 @@
 use super::platform::CONFIGURATION;
 use super::{at, board};
 use crate::configuration::{Model, Repeat};
-use crate::decide::allowance::{Allowance, Bound};
-use crate::decide::health::{Health, Standing};
-use crate::decide::hold;
-use crate::decide::members::{self, Seen};
-use crate::decide::pick::{self, Offer};
+use crate::decide::health::{Health, HealthStatus};
+use crate::decide::members::{self, VoterStatus};
+use crate::decide::pick::{self, Candidate};
 use crate::decide::refusal::{self, Reason};
-use crate::decide::retry::{Failure, Next, Tries, next};
-use crate::decide::waiting::{self, Pace};
+use crate::decide::retry::{AttemptCounts, Failure, NextStep, next_step};
+use crate::decide::retry_budget::{RetryBudget, RetryLimit};
+use crate::decide::view_wait;
+use crate::decide::waiting::{self, QueueTiming};
 use crate::platform::configuration::decode;
 use crate::replica::{Change, Peer};
 use crate::roster::Roster;
 use crate::sync::address_key;
 
 mod demand;
-mod leave;
+mod migration;
+
 mod overload;
 mod pace;
 mod path;
@@ -36,50 +37,56 @@
 }
 
 #[rstest]
-#[case::idempotent(Repeat::Always, 1, 0, Failure::Unknown, Next::Again)]
-#[case::attempts_used(Repeat::Always, 2, 0, Failure::Unknown, Next::Fail)]
-#[case::stream(Repeat::Resume, 1, 0, Failure::Unknown, Next::Again)]
-#[case::once_may_have_run(Repeat::Never, 1, 0, Failure::Unknown, Next::Fail)]
-#[case::once_not_run(Repeat::Never, 0, 1, Failure::NotRun, Next::Again)]
-#[case::refused_often(Repeat::Always, 0, 4, Failure::NotRun, Next::Refuse)]
-#[case::error_passed_on(Repeat::Never, 1, 0, Failure::Answered, Next::Pass)]
-#[case::refused_after_run(Repeat::Always, 2, 1, Failure::NotRun, Next::Fail)]
-fn next_step(
+#[case::idempotent(Repeat::Always, 1, 0, Failure::Unknown, NextStep::Again)]
+#[case::attempts_used(Repeat::Always, 2, 0, Failure::Unknown, NextStep::Fail)]
+#[case::stream(Repeat::Resume, 1, 0, Failure::Unknown, NextStep::Again)]
+#[case::once_may_have_run(Repeat::Never, 1, 0, Failure::Unknown, NextStep::Fail)]
+#[case::once_not_run(Repeat::Never, 0, 1, Failure::NotRun, NextStep::Again)]
+#[case::refused_often(Repeat::Always, 0, 4, Failure::NotRun, NextStep::Refuse)]
+#[case::error_passed_on(Repeat::Never, 1, 0, Failure::Answered, NextStep::Pass)]
+#[case::refused_after_run(Repeat::Always, 2, 1, Failure::NotRun, NextStep::Fail)]
+fn next_step_after_failure(
     #[case] repeat: Repeat,
     #[case] run: u32,
     #[case] idle: u32,
     #[case] failure: Failure,
-    #[case] step: Next,
+    #[case] step: NextStep,
 ) {
-    let tries = Tries { run, idle };
+    let tries = AttemptCounts {
+        may_have_run: run,
+        not_run: idle,
+    };
     let left = Duration::from_secs(1);
-    assert_eq!(next(repeat, 2, tries, failure, left), step);
+    assert_eq!(next_step(repeat, 2, tries, failure, left), step);
 }
 
 #[test]
-fn next_no_time() {
-    let tries = Tries { run: 1, idle: 0 };
+fn next_step_no_time() {
+    let tries = AttemptCounts {
+        may_have_run: 1,
+        not_run: 0,
+    };
     let left = Duration::from_millis(10);
-    let step = next(Repeat::Always, 2, tries, Failure::Unknown, left);
-    assert_eq!(step, Next::Fail);
+    let step = next_step(Repeat::Always, 2, tries, Failure::Unknown, left);
+    assert_eq!(step, NextStep::Fail);
 }
 
 #[test]
 fn take_bounded() {
     // Engines fail in numbers: all instances together must stay within the
     // bound, whatever each of them sees.
-    let bound = Bound {
+    let bound = RetryLimit {
         ratio: 0.2,
         slack: 200.0,
         window: Duration::from_secs(10),
     };
     let mut taken = 0;
     for _ in 0..10 {
-        let mut allowance = Allowance::new(bound);
+        let mut allowance = RetryBudget::new(bound);
         for i in 0..100 {
-            allowance.request(at(i), "models");
-            taken += u32::from(allowance.take(at(i), "models", 10));
-            taken += u32::from(allowance.take(at(i), "models", 10));
+            allowance.record_request(at(i), "models");
+            taken += u32::from(allowance.try_acquire(at(i), "models", 10));
+            taken += u32::from(allowance.try_acquire(at(i), "models", 10));
         }
     }
     assert!(
@@ -90,28 +97,28 @@
 
 #[test]
 fn take_window_slides() {
-    let bound = Bound {
+    let bound = RetryLimit {
         ratio: 0.0,
         slack: 4.0,
         window: Duration::from_secs(10),
     };
-    let mut allowance = Allowance::new(bound);
-    assert!((0..3).all(|_| allowance.take(at(0), "s", 1)));
-    assert!(!allowance.take(at(9_999), "s", 1));
-    assert!(allowance.take(at(10_000), "s", 1));
+    let mut allowance = RetryBudget::new(bound);
+    assert!((0..3).all(|_| allowance.try_acquire(at(0), "s", 1)));
+    assert!(!allowance.try_acquire(at(9_999), "s", 1));
+    assert!(allowance.try_acquire(at(10_000), "s", 1));
 }
 
 #[test]
 fn failed_doubles() {
     let mut health = Health::default();
-    health.failed(at(0), 1);
-    assert!(health.is_out(at(1_499), 1));
-    assert!(!health.is_out(at(1_500), 1));
-    health.failed(at(1_500), 1);
-    assert!(health.is_out(at(4_499), 1));
+    health.record_failure(at(0), 1);
+    assert!(health.is_excluded(at(1_499), 1));
+    assert!(!health.is_excluded(at(1_500), 1));
+    health.record_failure(at(1_500), 1);
+    assert!(health.is_excluded(at(4_499), 1));
     // What was under way when it was left out says nothing new.
-    health.failed(at(2_000), 1);
-    assert!(!health.is_out(at(4_500), 1));
+    health.record_failure(at(2_000), 1);
+    assert!(!health.is_excluded(at(4_500), 1));
 }
 
 #[test]
@@ -121,15 +128,15 @@
     // would take the whole domain's pipeline away while it serves well.
     let mut health = Health::default();
     for i in 0..20 {
-        health.refused(at(i * 1000), 1);
-        assert!(health.is_out(at(i * 1000 + 199), 1));
-        assert!(!health.is_out(at(i * 1000 + 200), 1));
-        health.succeeded(1);
+        health.record_refusal(at(i * 1000), 1);
+        assert!(health.is_excluded(at(i * 1000 + 199), 1));
+        assert!(!health.is_excluded(at(i * 1000 + 200), 1));
+        health.record_success(1);
     }
     // It shortens no time out of a failure.
-    health.failed(at(30_000), 1);
-    health.refused(at(30_100), 1);
-    assert!(health.is_out(at(31_400), 1));
+    health.record_failure(at(30_000), 1);
+    health.record_refusal(at(30_100), 1);
+    assert!(health.is_excluded(at(31_400), 1));
 }
 
 #[test]
@@ -138,9 +145,9 @@
     // at once. No request gets through, so it must be asked ever more rarely.
     let mut health = Health::default();
     let asked = (0..6_000).filter(|&now| {
-        let free = !health.is_out(at(now), 1);
+        let free = !health.is_excluded(at(now), 1);
         if free {
-            health.refused(at(now), 1);
+            health.record_refusal(at(now), 1);
         }
         free
     });
@@ -153,19 +160,19 @@
     // Their heartbeats come. Where nothing else serves both must be used; one
     // that has just gone dark must not, as a request would wait there in vain.
     let mut health = Health::default();
-    health.failed(at(0), 1);
-    assert_eq!(health.standing(at(1), 1, false), Standing::Failing);
-    health.silent(at(0), 2);
-    assert_eq!(health.standing(at(1_499), 2, false), Standing::Dead);
-    health.silent(at(1_600), 2);
-    assert_eq!(health.standing(at(1_601), 2, false), Standing::Failing);
-    assert_eq!(health.standing(at(1_601), 2, true), Standing::Dead);
-    assert_eq!(health.standing(at(20_000), 2, true), Standing::Sound);
+    health.record_failure(at(0), 1);
+    assert_eq!(health.status(at(1), 1, false), HealthStatus::Failing);
+    health.record_unresponsive(at(0), 2);
+    assert_eq!(health.status(at(1_499), 2, false), HealthStatus::Dead);
+    health.record_unresponsive(at(1_600), 2);
+    assert_eq!(health.status(at(1_601), 2, false), HealthStatus::Failing);
+    assert_eq!(health.status(at(1_601), 2, true), HealthStatus::Dead);
+    assert_eq!(health.status(at(20_000), 2, true), HealthStatus::Healthy);
     // Long after that, a sign of death counts from then on.
-    health.silent(at(20_000), 2);
-    assert_eq!(health.standing(at(20_001), 2, false), Standing::Dead);
-    health.succeeded(2);
-    assert_eq!(health.standing(at(20_002), 2, false), Standing::Failing);
+    health.record_unresponsive(at(20_000), 2);
+    assert_eq!(health.status(at(20_001), 2, false), HealthStatus::Dead);
+    health.record_success(2);
+    assert_eq!(health.status(at(20_002), 2, false), HealthStatus::Failing);
 }
 
 #[test]
@@ -184,7 +191,7 @@
     let mut lost = None;
     for now in (0..6_000).step_by(250) {
         if now == 500 {
-            health.silent(at(now), key);
+            health.record_unresponsive(at(now), key);
         }
         let told = health.suspects(at(now), beat).contains(&key);
         let suspects = told.then_some((address, 2)).into_iter().collect();
@@ -195,7 +202,7 @@
     }
     assert!(lost.is_some_and(|at| at <= 2_750), "{lost:?}");
     // One that answers again is suspected no more.
-    health.succeeded(key);
+    health.record_success(key);
     assert_eq!(health.suspects(at(2_900), beat), [0; 0]);
 }
 
@@ -203,22 +210,22 @@
 fn standing_refused_again_and_again() {
     // The neighbours of a dead engine refuse what should pass through it.
     let mut health = Health::default();
-    health.refused(at(0), 1);
-    assert_eq!(health.standing(at(1), 1, false), Standing::Failing);
-    health.refused(at(300), 1);
-    health.refused(at(900), 1);
-    assert_eq!(health.standing(at(901), 1, false), Standing::Dead);
+    health.record_refusal(at(0), 1);
+    assert_eq!(health.status(at(1), 1, false), HealthStatus::Failing);
+    health.record_refusal(at(300), 1);
+    health.record_refusal(at(900), 1);
+    assert_eq!(health.status(at(901), 1, false), HealthStatus::Dead);
 }
 
 #[test]
 fn pick_free_place() {
-    let offer = |requests, near| Offer {
+    let offer = |requests, near| Candidate {
         limited: false,
         requests,
         slots: 6.0,
-        near,
+        same_domain: near,
         late: false,
-        out: false,
+        excluded: false,
         tried: false,
     };
     assert_eq!(
@@ -229,17 +236,17 @@
         pick::choose(&[offer(0.0, false), offer(5.0, true)], 0.9),
         Some(0)
     );
-    let tried = Offer {
+    let tried = Candidate {
         tried: true,
         ..offer(0.0, true)
     };
     assert_eq!(pick::choose(&[tried], 0.5), None);
 }
 
-fn seen(id: u64, silent: u64) -> Seen {
-    Seen {
+fn seen(id: u64, silent: u64) -> VoterStatus {
+    VoterStatus {
         peer: Peer { id, store: id },
-        silent: Duration::from_secs(silent),
+        silence: Duration::from_secs(silent),
     }
 }
 
@@ -249,9 +256,9 @@
 fn members_grow() {
     // Three seeds found the group; two losses at once need five.
     let voters = [seen(1, 0), seen(2, 0), seen(3, 0)];
-    let change = members::next(&voters, &WAITING, members::wanted(2));
+    let change = members::next_change(&voters, &WAITING, members::required_voters(2));
     assert_eq!(change, Some(Change::Add(WAITING[0])));
-    assert_eq!(members::next(&voters, &[], 5), None);
+    assert_eq!(members::next_change(&voters, &[], 5), None);
 }
 
 #[test]
@@ -259,17 +266,17 @@
     // A machine comes back with an empty disk. Its old store holds nothing any
     // more and must give way, though the group is full.
     let voters = [seen(1, 0), seen(2, 0), seen(9, 0)];
-    let change = members::next(&voters, &WAITING, 3);
+    let change = members::next_change(&voters, &WAITING, 3);
     assert_eq!(change, Some(Change::Add(WAITING[0])));
 }
 
 #[test]
 fn members_replaced_machine() {
     let voters = [seen(1, 0), seen(2, 9), seen(3, 5)];
-    let change = members::next(&voters, &WAITING, 3);
+    let change = members::next_change(&voters, &WAITING, 3);
     assert_eq!(change, Some(Change::Remove(Peer { id: 2, store: 2 })));
     let voters = [seen(1, 0), seen(2, 0), seen(3, 0)];
-    assert_eq!(members::next(&voters, &WAITING, 3), None);
+    assert_eq!(members::next_change(&voters, &WAITING, 3), None);
 }
 
 #[test]
@@ -278,11 +285,11 @@
     // off comes with its last try before the first configuration does.
     let left = Duration::from_secs(12);
     let started = at(1_000);
-    assert!(hold::limit(started, at(1_200), left) >= Duration::from_secs(2));
-    assert!(hold::limit(started, at(9_000), left) < Duration::from_millis(400));
+    assert!(view_wait::limit(started, at(1_200), left) >= Duration::from_secs(2));
+    assert!(view_wait::limit(started, at(9_000), left) < Duration::from_millis(400));
     let short = Duration::from_millis(300);
     assert_eq!(
-        hold::limit(started, at(1_200), short),
+        view_wait::limit(started, at(1_200), short),
         Duration::from_millis(200)
     );
 }
@@ -298,7 +305,7 @@
     let objective = Duration::from_millis(500);
     let (spent, left) = (Duration::from_millis(200), Duration::from_millis(left));
     let limit = limit.map(Duration::from_millis);
-    let pace = Pace::default();
+    let pace = QueueTiming::default();
     assert_eq!(
         waiting::limit(objective, spent, left, waiters, &pace),
         limit
@@ -316,7 +323,13 @@
     let objective = Duration::from_millis(500);
     let left = Duration::from_millis(left);
     let limit = limit.map(Duration::from_millis);
-    let found = waiting::limit(objective, Duration::ZERO, left, waiters, &Pace::default());
+    let found = waiting::limit(
+        objective,
+        Duration::ZERO,
+        left,
+        waiters,
+        &QueueTiming::default(),
+    );
     let rounded = found.map(|f| Duration::from_millis(f.as_micros().div_ceil(1000) as u64));
     assert_eq!(rounded, limit);
 }
@@ -326,9 +339,9 @@
     // Each request that found room had been first in line for 150 ms: whoever
     // is third would find it after its objective. Sent away at once, its caller
     // knows when to come back instead of waiting for nothing.
-    let mut pace = Pace::default();
+    let mut pace = QueueTiming::default();
     for _ in 0..40 {
-        pace.turned(Duration::from_millis(150), true);
+        pace.record_turn(Duration::from_millis(150), true);
     }
     let objective = Duration::from_millis(500);
     let left = Duration::from_secs(20);
@@ -337,7 +350,7 @@
     assert_eq!(limit(3), None);
     // It moves again as soon as one finds room at once.
     for _ in 0..20 {
-        pace.turned(Duration::ZERO, true);
+        pace.record_turn(Duration::ZERO, true);
     }
     let limit = waiting::limit(objective, Duration::ZERO, left, 3, &pace);
     assert!(limit.is_some());
@@ -346,9 +359,9 @@
 #[test]
 fn pace_gives_up() {
     // Nothing comes free: who gives up tells it, though it found nothing.
-    let mut pace = Pace::default();
+    let mut pace = QueueTiming::default();
     for _ in 0..40 {
-        pace.turned(Duration::from_millis(300), false);
+        pace.record_turn(Duration::from_millis(300), false);
     }
     let objective = Duration::from_millis(500);
     let left = Duration::from_secs(20);
@@ -362,7 +375,7 @@
 #[case::half(0.5, 600, 4_500)]
 #[case::all(1.0, 600, 6_600)]
 fn come_back_full(#[case] refused: f64, #[case] least: u64, #[case] most: u64) {
-    let at = |draw| refusal::come_back(Reason::Full, refused, draw);
+    let at = |draw| refusal::retry_after(Reason::Full, refused, draw);
     assert_eq!(at(0.0), Duration::from_millis(least));
     assert_eq!(at(1.0), Duration::from_millis(most));
 }
--- a/src/tests/decide/demand.rs
+++ b/src/tests/decide/demand.rs
@@ -4,7 +4,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::overload::{ENGINE, LAYERS, USUAL, USUAL_TOKENS, candidate, few, work};
-use crate::decide::load::{Loads, begun_takes_turns};
+use crate::decide::load::{Loads, retry_obeys_quota};
 use crate::decide::path::{Hop, Start, Work, choose};
 use crate::roster::Range;
 
@@ -21,7 +21,7 @@
 /// A usual request.
 fn usual() -> Work {
     Work {
-        turns: true,
+        obeys_quota: true,
         ..work(USUAL_TOKENS)
     }
 }
@@ -33,15 +33,15 @@
     let place = |own: &u32| {
         let mut placed = 0;
         let mut loads = Loads::default();
-        loads.demand.learn(None, 0);
-        (0..*own).for_each(|_| loads.demand.ask());
-        loads.learn(&[], rng.random());
-        loads.demand.learn(Some(all), 0);
-        assert_eq!(loads.demand.own(), *own);
+        loads.demand.update(None, 0);
+        (0..*own).for_each(|_| loads.demand.record_request());
+        loads.update(&[], rng.random());
+        loads.demand.update(Some(all), 0);
+        assert_eq!(loads.demand.local(), *own);
         for _ in 0..*own {
             let left = room * USUAL - loads.at(ENGINE).memory;
             if loads.may_add(ENGINE, left, USUAL, few(INSTANCES)) {
-                loads.enter(&[(ENGINE, HOP)], &usual());
+                loads.book(&[(ENGINE, HOP)], &usual());
                 placed += 1;
             }
         }
@@ -110,8 +110,8 @@
         let mut open = 0;
         for _ in 0..INSTANCES {
             let mut loads = Loads::default();
-            loads.learn(&[], rng.random());
-            loads.demand.learn(Some(asking.iter().sum()), 3);
+            loads.update(&[], rng.random());
+            loads.demand.update(Some(asking.iter().sum()), 3);
             open += u32::from(loads.may_add(ENGINE, 40.0 * USUAL, USUAL, few(INSTANCES)));
         }
         assert!((30..=95).contains(&open), "{open} of {INSTANCES}");
@@ -122,26 +122,26 @@
 fn sharers_unknown() {
     // A new leader hasn't heard how many requests ask: each may be one of many.
     let mut loads = Loads::default();
-    loads.learn(&[], 0.5);
+    loads.update(&[], 0.5);
     assert!(!loads.may_add(ENGINE, 40.0 * USUAL, USUAL, few(INSTANCES)));
 }
 
 #[test]
 fn learn_waiting_ask_again() {
     let mut loads = Loads::default();
-    loads.demand.learn(Some(9), 0);
-    loads.demand.ask();
-    loads.demand.learn(Some(9), 2);
-    assert_eq!(loads.demand.own(), 1);
-    loads.demand.ask();
-    loads.demand.learn(Some(9), 0);
-    assert_eq!(loads.demand.own(), 3);
+    loads.demand.update(Some(9), 0);
+    loads.demand.record_request();
+    loads.demand.update(Some(9), 2);
+    assert_eq!(loads.demand.local(), 1);
+    loads.demand.record_request();
+    loads.demand.update(Some(9), 0);
+    assert_eq!(loads.demand.local(), 3);
 }
 
 /// Whether an instance finds room for a stream that goes on, after it waited.
 fn goes_on(loads: &mut Loads, instances: u32, room: f64, waited: f64) -> bool {
     let work = Work {
-        turns: begun_takes_turns(false, waited),
+        obeys_quota: retry_obeys_quota(false, waited),
         ..usual()
     };
     let room_mb = room * USUAL - loads.at(ENGINE).memory;
@@ -149,7 +149,7 @@
     let candidate = candidate(room * USUAL, room_mb, open);
     let found = choose(LAYERS, Start::Caller, &[candidate], &work, |_| 1.0).is_ok();
     if found {
-        loads.enter(&[(ENGINE, HOP)], &work);
+        loads.book(&[(ENGINE, HOP)], &work);
     }
     found
 }
@@ -165,7 +165,7 @@
     let mut sent = 0;
     for _ in 0..87 {
         let mut loads = Loads::default();
-        loads.learn(&[], rng.random());
+        loads.update(&[], rng.random());
         let found = (0..4).filter(|_| goes_on(&mut loads, 87, 100.0, 0.0));
         sent += found.count();
     }
@@ -179,5 +179,5 @@
     assert!(!goes_on(&mut loads, 295, 100.0, 0.0));
     assert!(goes_on(&mut loads, 295, 100.0, 0.9));
     // But while all come back at once, each such exemption is one of hundreds.
-    assert!(begun_takes_turns(true, 0.9));
+    assert!(retry_obeys_quota(true, 0.9));
 }
--- a/src/tests/decide/overload.rs
+++ b/src/tests/decide/overload.rs
@@ -7,10 +7,10 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::super::at;
-use crate::decide::load::{Loads, Share, spare};
+use crate::decide::load::{Contention, Loads, headroom};
 use crate::decide::path::{Candidate, Hop, Start, Work, choose};
-use crate::decide::refusal::Refused;
-use crate::decide::waiting::{self, Pace};
+use crate::decide::refusal::RefusalRates;
+use crate::decide::waiting::{self, QueueTiming};
 use crate::roster::Range;
 use crate::sync::Load;
 
@@ -26,10 +26,10 @@
 const REPORT: u64 = 250;
 
 /// Instances before a domain that holds each layer once.
-pub(super) fn few(instances: u32) -> Share {
-    Share {
+pub(super) fn few(instances: u32) -> Contention {
+    Contention {
         instances,
-        copies: 1.0,
+        replicas: 1.0,
     }
 }
 
@@ -57,10 +57,10 @@
         answer: 0.0,
         token_mb: 0.005,
         crossing_ms: 0.0,
-        crosses: false,
-        home: 0,
-        spare: 0.0,
-        turns: false,
+        may_cross: false,
+        caller_domain: 0,
+        headroom: 0.0,
+        obeys_quota: false,
     }
 }
 
@@ -69,12 +69,12 @@
     seed: u64,
     per_s: f64,
     seconds: u64,
-    admit: impl Fn(&Loads, f64, &Work, &Refused) -> bool,
+    admit: impl Fn(&Loads, f64, &Work, &RefusalRates) -> bool,
 ) -> Tally {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut tally = Tally::default();
     let mut loads: Vec<Loads> = (0..INSTANCES).map(|_| Loads::default()).collect();
-    let mut refused = [Refused::default(); INSTANCES];
+    let mut refused = [RefusalRates::default(); INSTANCES];
     let mut running: Vec<Running> = Vec::new();
     let hop = Hop {
         engine: 0,
@@ -82,7 +82,7 @@
     };
     for now in 0..seconds * 1000 {
         for r in running.iter().filter(|r| r.ends == now) {
-            loads[r.instance].leave(&[(ENGINE, hop)], &r.work);
+            loads[r.instance].release(&[(ENGINE, hop)], &r.work);
         }
         running.retain(|r| r.ends > now);
         for (i, loads) in loads.iter_mut().enumerate() {
@@ -99,7 +99,7 @@
                     requests,
                     entered: 0,
                 };
-                loads.learn(&[told], rng.random());
+                loads.update(&[told], rng.random());
             }
         }
         if rng.random::<f64>() < per_s / 1000.0 {
@@ -110,11 +110,11 @@
             tally.arrived_long += usize::from(long);
             let room = MEMORY - loads[instance].at(ENGINE).memory;
             let placed = admit(&loads[instance], room, &work, &refused[instance]);
-            refused[instance].note(!placed, tokens > USUAL_TOKENS);
+            refused[instance].record(!placed, tokens > USUAL_TOKENS);
             if placed {
                 tally.placed += 1;
                 tally.placed_long += usize::from(long);
-                loads[instance].enter(&[(ENGINE, hop)], &work);
+                loads[instance].book(&[(ENGINE, hop)], &work);
                 // A token of the answer takes some 15 ms, and is as one in six.
                 let ends = now + (tokens * 2.5) as u64;
                 running.push(Running {
@@ -139,25 +139,25 @@
         read_ms: 0.1,
         memory_mb,
         room_mb,
-        open,
-        used: 0.0,
-        enters: true,
-        penalty: 1.0,
+        has_quota: open,
+        utilisation: 0.0,
+        may_enter: true,
+        cost_factor: 1.0,
     }
 }
 
 /// As instances decide it for a fresh request.
-fn admitted(loads: &Loads, room_mb: f64, work: &Work, refused: &Refused) -> bool {
+fn admitted(loads: &Loads, room_mb: f64, work: &Work, refused: &RefusalRates) -> bool {
     let open = loads.may_add(ENGINE, room_mb, USUAL, few(INSTANCES as u32));
     let candidate = candidate(MEMORY, room_mb, open);
     let first = work.tokens() > USUAL_TOKENS && refused.starves_long();
     let work = Work {
-        spare: if first {
+        headroom: if first {
             0.0
         } else {
-            spare(work.tokens(), USUAL_TOKENS, 0.0)
+            headroom(work.tokens(), USUAL_TOKENS, 0.0)
         },
-        turns: !first,
+        obeys_quota: !first,
         ..*work
     };
     choose(LAYERS, Start::Caller, &[candidate], &work, |_| 1.0).is_ok()
@@ -170,7 +170,7 @@
     // refused or late. With room asked for by size more are placed, while the
     // longest tenth finds about as much as before.
     for seed in 0..5 {
-        let alike = |_: &Loads, room: f64, work: &Work, _: &Refused| {
+        let alike = |_: &Loads, room: f64, work: &Work, _: &RefusalRates| {
             work.memory(LAYERS) <= room - 0.08 * MEMORY
         };
         let before = play(seed, 160.0, 30, alike);
@@ -190,15 +190,15 @@
     let (mut sent, mut requests) = (0.0, 0);
     for i in 0..INSTANCES {
         let mut loads = Loads::default();
-        loads.learn(&[], (i as f64 + 0.5) / INSTANCES as f64);
+        loads.update(&[], (i as f64 + 0.5) / INSTANCES as f64);
         let hop = Hop {
             engine: 0,
             range: Range::new(0, LAYERS),
         };
         for _ in 0..60 {
             let room = MEMORY - loads.at(ENGINE).memory;
-            if admitted(&loads, room, &work(USUAL_TOKENS), &Refused::default()) {
-                loads.enter(&[(ENGINE, hop)], &work(USUAL_TOKENS));
+            if admitted(&loads, room, &work(USUAL_TOKENS), &RefusalRates::default()) {
+                loads.book(&[(ENGINE, hop)], &work(USUAL_TOKENS));
                 sent += USUAL;
                 requests += 1;
             }
@@ -219,7 +219,7 @@
         for (i, turns) in turns.iter_mut().enumerate() {
             let mut loads = Loads::default();
             let own = (f64::from(draw) * 0.37 + i as f64 / 73.0).fract();
-            loads.learn(&[], own);
+            loads.update(&[], own);
             let may = loads.may_add(ENGINE, 40.0 * USUAL, USUAL, few(73));
             open += usize::from(may);
             *turns += usize::from(may);
@@ -233,9 +233,9 @@
 fn spare_shrinks() {
     // What waits needs less and less, and a very long request no more than one
     // of twice the usual length: no length is shut out.
-    assert!(spare(900.0, 900.0, 1.0) < spare(900.0, 900.0, 0.5));
-    assert!(spare(300.0, 900.0, 0.0) < spare(900.0, 900.0, 0.0));
-    assert!((spare(3000.0, 900.0, 0.0) - spare(1800.0, 900.0, 0.0)).abs() < 1e-9);
+    assert!(headroom(900.0, 900.0, 1.0) < headroom(900.0, 900.0, 0.5));
+    assert!(headroom(300.0, 900.0, 0.0) < headroom(900.0, 900.0, 0.0));
+    assert!((headroom(3000.0, 900.0, 0.0) - headroom(1800.0, 900.0, 0.0)).abs() < 1e-9);
 }
 
 #[test]
@@ -244,7 +244,7 @@
     // 16 places come free. Each waited 400 ms of its 500 and then needed 100 for
     // its first event: nearly all that were served were late.
     let objective = Duration::from_millis(500);
-    let (mut pace, mut waiting) = (Pace::default(), Vec::<(u64, u64)>::new());
+    let (mut pace, mut waiting) = (QueueTiming::default(), Vec::<(u64, u64)>::new());
     let (mut on_time, mut late) = (0, 0);
     let mut head = None;
     let mut rng = ChaCha8Rng::seed_from_u64(3);
@@ -263,12 +263,12 @@
         if let (Some(&(came, until)), Some(since)) = (waiting.first(), head)
             && (free || until <= now)
         {
-            pace.turned(at(now).since(at(since)), free);
+            pace.record_turn(at(now).since(at(since)), free);
             waiting.remove(0);
             head = None;
             if free {
                 let first = 60 + rng.random_range(0..80);
-                pace.began(Duration::from_millis(first));
+                pace.record_first_event(Duration::from_millis(first));
                 match now - came + first <= 500 {
                     true => on_time += 1,
                     false => late += 1,
@@ -289,7 +289,7 @@
     let mut placed = 0;
     for i in 0..87 {
         let mut loads = Loads::default();
-        loads.learn(&[], (f64::from(i) + 0.5) / 87.0);
+        loads.update(&[], (f64::from(i) + 0.5) / 87.0);
         let engines = 1..=10;
         let open = |e| loads.may_add(e, 40.0 * USUAL, USUAL, few(87));
         placed += usize::from(engines.into_iter().all(open));
@@ -304,14 +304,14 @@
     // at none of them, and heard of the others only every 4.5 s: until then it
     // refused its requests after 400 ms (410 with `found` false from 1.1 to 4.8 s
     // on one instance) beside a domain that was idle.
-    let share = Share {
+    let share = Contention {
         instances: 300,
-        copies: 75.0,
+        replicas: 75.0,
     };
     let mut at_engine = [0; 975];
     for i in 0..300 {
         let mut loads = Loads::default();
-        loads.learn(&[], (f64::from(i) * 0.618).fract());
+        loads.update(&[], (f64::from(i) * 0.618).fract());
         let open = |e: &u64| loads.may_add(*e << 16 | 8666, 40.0 * USUAL, USUAL, share);
         for range in 0..13 {
             let holders: Vec<u64> = (0..75).map(|copy| copy * 13 + range).collect();
--- a/src/tests/decide/pace.rs
+++ b/src/tests/decide/pace.rs
@@ -4,7 +4,7 @@
 use super::super::{at, board};
 use super::model;
 use crate::decide::load::Loads;
-use crate::decide::pace::{Turns, news};
+use crate::decide::pace::{Rotation, significant_change};
 use crate::decide::path::{self, Start};
 use crate::entry::pool::Pool;
 use crate::entry::view::{Services, Upstream};
@@ -60,27 +60,27 @@
 
 #[test]
 fn news_of_differences() {
-    assert_eq!(news(1.0, 4.5), Some(4.5));
-    assert_eq!(news(4.5, 4.7), None);
-    assert_eq!(news(4.5, 1.0), Some(1.0));
+    assert_eq!(significant_change(1.0, 4.5), Some(4.5));
+    assert_eq!(significant_change(4.5, 4.7), None);
+    assert_eq!(significant_change(4.5, 1.0), Some(1.0));
     // An engine that works faster than its kind is as good as usual.
-    assert_eq!(news(1.0, 0.3), None);
-    assert_eq!(news(1.0, 1e9), Some(100.0));
+    assert_eq!(significant_change(1.0, 0.3), None);
+    assert_eq!(significant_change(1.0, 1e9), Some(100.0));
     for bad in [0.0, -3.0, f64::NAN] {
-        assert_eq!(news(1.0, bad), None);
+        assert_eq!(significant_change(1.0, bad), None);
     }
 }
 
 #[test]
 fn turns_reach_all() {
     let engines: Vec<u32> = (0..99).collect();
-    let mut turns = Turns::default();
-    let mut asked: Vec<u32> = (0..4).flat_map(|_| turns.take(&engines)).collect();
+    let mut turns = Rotation::default();
+    let mut asked: Vec<u32> = (0..4).flat_map(|_| turns.next_batch(&engines)).collect();
     asked.sort_unstable();
     asked.dedup();
     assert_eq!(asked, engines);
-    assert!(turns.take::<u32>(&[]).is_empty());
-    assert_eq!(turns.take(&[7]), [7]);
+    assert!(turns.next_batch::<u32>(&[]).is_empty());
+    assert_eq!(turns.next_batch(&[7]), [7]);
 }
 
 #[test]
@@ -88,10 +88,10 @@
     // 3,000 engines at work: asked all in one round, they would take the leader's
     // processor away from heartbeats. Each still has its turn.
     let engines: Vec<u32> = (0..3000).collect();
-    let mut turns = Turns::default();
+    let mut turns = Rotation::default();
     let mut asked = vec![0; 3000];
     for _ in 0..63 {
-        let round = turns.take(&engines);
+        let round = turns.next_batch(&engines);
         assert!(round.len() <= 48);
         round.iter().for_each(|e| asked[*e as usize] += 1);
     }
--- a/src/tests/decide/path.rs
+++ b/src/tests/decide/path.rs
@@ -1,7 +1,7 @@
 //! Tests of the choice of paths, and of what bounds them.
 
 use super::{at, model};
-use crate::decide::link::LinkPart;
+use crate::decide::link::LinkShare;
 use crate::decide::load::{Loads, Speed};
 use crate::decide::path::{self, Candidate, Hop, NoPath, Start, Work};
 use crate::roster::Range;
@@ -12,10 +12,10 @@
     answer: 170.0,
     token_mb: 0.007_375,
     crossing_ms: 0.0215,
-    crosses: true,
-    home: 0,
-    spare: 0.0,
-    turns: false,
+    may_cross: true,
+    caller_domain: 0,
+    headroom: 0.0,
+    obeys_quota: false,
 };
 
 fn candidate(first: u32, end: u32) -> Candidate {
@@ -26,16 +26,16 @@
         read_ms: 0.001,
         memory_mb: 10_000.0,
         room_mb: 10_000.0,
-        used: 0.0,
-        open: true,
-        enters: true,
-        penalty: 1.0,
+        utilisation: 0.0,
+        has_quota: true,
+        may_enter: true,
+        cost_factor: 1.0,
     }
 }
 
 fn choose(candidates: &[Candidate]) -> Result<Vec<(usize, u32, u32)>, NoPath> {
     let hops = path::choose(80, Start::Caller, candidates, &WORK, |_| 1.0)?;
-    assert!(path::is_whole(0, 80, candidates, &hops));
+    assert!(path::is_complete(0, 80, candidates, &hops));
     let parts = hops.iter().map(|h| (h.engine, h.range.first, h.range.end));
     Ok(parts.collect())
 }
@@ -50,7 +50,7 @@
 #[test]
 fn choose_missing_layer() {
     let none = choose(&[candidate(0, 50), candidate(60, 80)]);
-    assert_eq!(none, Err(NoPath::Missing(50)));
+    assert_eq!(none, Err(NoPath::MissingLayer(50)));
 }
 
 #[test]
@@ -114,7 +114,7 @@
     far.domain = 1;
     let candidates = [candidate(0, 40), far];
     let home = Work {
-        crosses: false,
+        may_cross: false,
         ..WORK
     };
     let none = path::choose(80, Start::Caller, &candidates, &home, |_| 1.0);
@@ -128,12 +128,12 @@
     // An engine of a running request's path dies. The first engine stays, as
     // it has the caller's connection; only the rest is chosen anew.
     let candidates = [candidate(40, 80), candidate(20, 60)];
-    let start = Start::Behind {
+    let start = Start::After {
         layer: 30,
         domain: 0,
     };
     let hops = path::choose(80, start, &candidates, &WORK, |_| 1.0).unwrap();
-    assert!(path::is_whole(30, 80, &candidates, &hops));
+    assert!(path::is_complete(30, 80, &candidates, &hops));
     assert_eq!(hops[0].engine, 1);
 }
 
@@ -143,9 +143,9 @@
     // half of the link free, or every token on it waits.
     let mut used = 0.0;
     for _ in 0..9 {
-        let mut part = LinkPart::new(at(0));
+        let mut part = LinkShare::new(at(0));
         for i in 0..1000 {
-            if part.take(at(i * 10), 9, 20.8) {
+            if part.try_acquire(at(i * 10), 9, 20.8) {
                 used += 20.8;
             }
         }
@@ -159,7 +159,7 @@
 #[test]
 fn choose_first_entered() {
     let mut full = candidate(0, 40);
-    full.enters = false;
+    full.may_enter = false;
     let other = candidate(0, 40);
     let parts = choose(&[full, other, candidate(40, 80)]).unwrap();
     assert_eq!(parts[0].0, 1);
@@ -185,19 +185,19 @@
         range: Range::new(0, 7),
     };
     let booked = [(5, hop)];
-    loads.enter(&booked, &WORK);
-    loads.enter(&booked, &WORK);
+    loads.book(&booked, &WORK);
+    loads.book(&booked, &WORK);
     let told = Load {
         engine: 5,
         memory: 10,
         requests: 3,
         entered: 1,
     };
-    loads.learn(&[told], 0.0);
+    loads.update(&[told], 0.0);
     assert!((loads.at(5).requests - 5.0).abs() < 1e-9);
     assert!((loads.at(5).entered - 3.0).abs() < 1e-9);
-    loads.leave(&booked, &WORK);
-    loads.leave(&booked, &WORK);
+    loads.release(&booked, &WORK);
+    loads.release(&booked, &WORK);
     assert!(loads.report().is_empty());
     assert!((loads.at(5).memory - 10.0).abs() < 1e-9);
 }
--- a/src/tests/decide/suspicion.rs
+++ b/src/tests/decide/suspicion.rs
@@ -5,8 +5,8 @@
 
 use super::super::{at, board};
 use crate::collections::HashMap;
-use crate::decide::health::{Health, Standing, may_be_full};
-use crate::decide::silence::{Patience, Step};
+use crate::decide::health::{Health, HealthStatus, may_be_full};
+use crate::decide::stall::{StallTimer, Step};
 use crate::entry::view::Upstream;
 use crate::roster::{Announcement, Roster};
 use crate::sync::UpstreamRecord;
@@ -23,9 +23,9 @@
     assert!(may_be_full(Some(0.9)));
     assert!(may_be_full(None));
     let mut health = Health::default();
-    health.silent(at(0), 1);
+    health.record_unresponsive(at(0), 1);
     for now in (200..1500).step_by(100) {
-        assert_eq!(health.standing(at(now), 1, false), Standing::Dead);
+        assert_eq!(health.status(at(now), 1, false), HealthStatus::Dead);
     }
 }
 
@@ -68,21 +68,27 @@
 #[test]
 fn standing_told() {
     // Where nothing else holds a layer, an engine that others suspect is used.
-    assert_eq!(Standing::Sound.told(true), Standing::Failing);
-    assert_eq!(Standing::Sound.told(false), Standing::Sound);
-    assert_eq!(Standing::Dead.told(true), Standing::Dead);
+    assert_eq!(
+        HealthStatus::Healthy.with_suspicion(true),
+        HealthStatus::Failing
+    );
+    assert_eq!(
+        HealthStatus::Healthy.with_suspicion(false),
+        HealthStatus::Healthy
+    );
+    assert_eq!(HealthStatus::Dead.with_suspicion(true), HealthStatus::Dead);
 }
 
 /// Steps of an attempt that stays silent, with the milliseconds of each.
-fn steps(mut patience: Patience, known_at: Option<u64>) -> Vec<(u64, Step)> {
+fn steps(mut patience: StallTimer, known_at: Option<u64>) -> Vec<(u64, Step)> {
     let mut waited = Duration::ZERO;
     let mut steps = Vec::new();
-    while let Some(wait) = patience.wait(waited) {
+    while let Some(wait) = patience.next_wait(waited) {
         waited += wait;
         let now = waited.as_millis() as u64;
         let step = patience.step(waited);
         if step == Step::Avoid && known_at.is_some_and(|at| at <= now) {
-            patience.avoided();
+            patience.record_reroute();
         }
         steps.push((now, step));
     }
@@ -94,7 +100,7 @@
     // An engine dies under a stream. 120 ms later a new request is refused in its
     // name. The stream went on waiting until 260 ms, and its caller saw a pause of
     // over 300 where 200 are allowed.
-    let patience = Patience::new(Duration::from_millis(1000), true);
+    let patience = StallTimer::new(Duration::from_millis(1000), true);
     let led = steps(patience, Some(120));
     assert_eq!(led[..2], [(100, Step::Avoid), (140, Step::Avoid)]);
     assert_eq!(led[2], (260, Step::Ask));
@@ -104,7 +110,7 @@
 #[test]
 fn patience_nothing_known() {
     // Its first engine is asked as soon as its report can tell.
-    let patience = Patience::new(Duration::from_millis(500), true);
+    let patience = StallTimer::new(Duration::from_millis(500), true);
     let asked: Vec<_> = steps(patience, None);
     let first = asked.iter().find(|s| s.1 == Step::Ask);
     assert_eq!(first, Some(&(260, Step::Ask)));
@@ -112,14 +118,14 @@
 
 #[test]
 fn patience_not_helped() {
-    let patience = Patience::new(Duration::from_millis(240), false);
+    let patience = StallTimer::new(Duration::from_millis(240), false);
     assert_eq!(steps(patience, None), [(240, Step::Wait)]);
 }
 
 #[test]
 fn patience_short() {
     // What is awaited for less than the first engine needs to tell is still asked.
-    let patience = Patience::new(Duration::from_millis(150), true);
+    let patience = StallTimer::new(Duration::from_millis(150), true);
     let steps = steps(patience, None);
     assert_eq!(steps.last(), Some(&(150, Step::Ask)));
 }
--- a/src/tests/pool.rs
+++ b/src/tests/pool.rs
@@ -15,10 +15,10 @@
     answer: 50.0,
     token_mb: 0.001,
     crossing_ms: 0.02,
-    crosses: false,
-    home: 0,
-    spare: 0.0,
-    turns: false,
+    may_cross: false,
+    caller_domain: 0,
+    headroom: 0.0,
+    obeys_quota: false,
 };
 
 pub(super) fn engine(host: u8, domain: &str, first: u32, end: u32) -> Upstream {
