--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -334,7 +334,7 @@
         }
         if next == NextStep::Again {
             let now = self.entry.now();
-            let entries = self.entry.view().entries();
+            let entries = self.entry.view().entry_count();
             let allowance = &mut self.entry.shared().allowance;
             if !allowance.try_acquire(now, &self.call.service, entries) {
                 next = retry::give_up(self.tries, failure);
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -14,16 +14,16 @@
 use crate::catalogue::CatalogueMachine;
 use crate::claim::{Bounds, Claims};
 use crate::clock::{Clock, SystemClock, wall_millis};
-use crate::confirm::Confirmations;
+use crate::confirm::ReadBatcher;
 use crate::control::{self, Control};
 use crate::dump::{CatalogueDump, Dump, RequestDump};
 use crate::error::{FailedSnafu, Result};
 use crate::event;
-use crate::follow::Follower;
+use crate::follow::CatalogueFollower;
 use crate::gate::Gate;
 use crate::gossip::{Fleet, FleetSettings};
 use crate::id::Incarnation;
-use crate::lease::InForce;
+use crate::lease::LeasedCatalogue;
 use crate::log;
 use crate::node::{CATALOGUE_GROUP, CLAIM_GROUP, CLAIM_SHARDS, Node, Vote, spread};
 use crate::peer::{self, Peers};
@@ -34,7 +34,7 @@
 use crate::settings::Settings;
 use crate::startup::{install_metrics, listen, start_error};
 use crate::supervise::{Policy, Supervisor};
-use crate::voter::{Machine, Voter, VoterSettings};
+use crate::voter::{StateMachine, Voter, VoterSettings};
 
 /// Period of looking whether the last request has ended while draining.
 const DRAIN_LOOK: Duration = Duration::from_millis(20);
@@ -107,8 +107,8 @@
         let node = Node::new(settings.instance, peers.clone(), vote, voters.clone());
         let fleet = start_fleet(&settings, &clock, incarnation, &supervisor)?;
 
-        let force = Arc::new(InForce::new());
-        let follower = Follower::new(voters, settings.lease, Arc::clone(&force));
+        let force = Arc::new(LeasedCatalogue::new());
+        let follower = CatalogueFollower::new(voters, settings.lease, Arc::clone(&force));
         let poller = Poller::new(
             follower,
             node.clone(),
@@ -256,19 +256,20 @@
     let (machine, catalogue) = CatalogueMachine::new();
     let voter_settings = VoterSettings {
         instance: settings.instance,
-        folder: data,
-        founders: settings.voters.keys().copied().collect(),
-        election: settings.election,
-        heartbeat: settings.election / HEARTBEATS,
+        data_dir: data,
+        initial_voters: settings.voters.keys().copied().collect(),
+        election_timeout: settings.election,
+        heartbeat_interval: settings.election / HEARTBEATS,
         contacts: Vec::new(),
-        compact: COMPACT,
-        keep: KEEP,
+        snapshot_interval: COMPACT,
+        retained_entries: KEEP,
         seed: rand::random(),
     };
     let links = peers.clone();
-    let mut machines: Vec<Box<dyn Machine>> = vec![Box::new(machine)];
+    let mut machines: Vec<Box<dyn StateMachine>> = vec![Box::new(machine)];
     machines.extend(
-        (0..CLAIM_SHARDS).map(|_| -> Box<dyn Machine> { Box::new(Claims::new(Bounds::default())) }),
+        (0..CLAIM_SHARDS)
+            .map(|_| -> Box<dyn StateMachine> { Box::new(Claims::new(Bounds::default())) }),
     );
     let spawned = Voter::spawn(
         voter_settings,
@@ -283,7 +284,7 @@
         }
     });
     Ok(Some(Vote {
-        confirmations: Confirmations::start(voter.clone(), CATALOGUE_GROUP, peers.runtime()),
+        read_batcher: ReadBatcher::start(voter.clone(), CATALOGUE_GROUP, peers.runtime()),
         voter,
         catalogue,
         shares: Arc::default(),
@@ -344,7 +345,7 @@
 fn dumper(
     settings: &Arc<Settings>,
     node: &Node,
-    parts: (&Arc<Serving>, &Arc<InForce>, &Arc<Gate>, &Fleet),
+    parts: (&Arc<Serving>, &Arc<LeasedCatalogue>, &Arc<Gate>, &Fleet),
     clock: &Arc<dyn Clock>,
 ) -> Arc<dyn Fn() -> Dump + Send + Sync> {
     let settings = Arc::clone(settings);
@@ -354,7 +355,7 @@
     let (gate, fleet) = (Arc::clone(gate), fleet.clone());
     let clock = Arc::clone(clock);
     Arc::new(move || {
-        let catalogue = force.last();
+        let catalogue = force.latest();
         Dump {
             instance: settings.instance.0,
             domain: settings.domain.clone(),
@@ -362,7 +363,7 @@
             catalogue: CatalogueDump {
                 revision: catalogue.revision,
                 entries: catalogue.records.len(),
-                lease_left: force.left(clock.now()).as_millis(),
+                lease_left: force.remaining(clock.now()).as_millis(),
             },
             requests: RequestDump {
                 running: gate.running(),
--- a/src/tests/roster.rs
+++ b/src/tests/roster.rs
@@ -18,7 +18,7 @@
 use crate::register::{self, Register};
 use crate::roster::{Announcement, Heard, Range, Roster};
 use crate::sync::{Load, Sync};
-use crate::voter::Machine;
+use crate::voter::StateMachine;
 
 const BEAT: Duration = Duration::from_millis(1200);
 
@@ -270,7 +270,7 @@
         };
         let state = board.sync(now, ask, Duration::ZERO, None, register);
         most = most.max(state.encoded_len());
-        assert!(view.learn(now, state, BEAT));
+        assert!(view.apply(now, state, BEAT));
         if !view.has_more() {
             return most;
         }
