--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -20,11 +20,11 @@
 use crate::clock::{Time, millis};
 use crate::configuration::{Model, Repeat, Route, Table};
 use crate::decide::health;
-use crate::decide::hold;
 use crate::decide::load;
 use crate::decide::path::Work;
 use crate::decide::refusal::Reason;
-use crate::decide::retry::{self, Failure, Next, Tries};
+use crate::decide::retry::{self, AttemptCounts, Failure, NextStep};
+use crate::decide::view_wait;
 use crate::engine::{Answer, Connection, Cutoff};
 use crate::event;
 use crate::fingerprint::Fingerprint;
@@ -96,7 +96,7 @@
     pub(super) entry: Arc<Entry>,
     pub(super) table: Arc<Table>,
     pub(super) call: Call,
-    tries: Tries,
+    attempts: AttemptCounts,
     /// Upstreams at which the request failed; they are not tried again.
     failed_upstreams: Vec<u64>,
     /// The latest server error from an upstream.
@@ -120,8 +120,8 @@
             event = event::REQUEST_ABANDONED.id,
             attempt = self.call.attempt,
             route = self.call.route.name,
-            run = self.tries.run,
-            idle = self.tries.idle,
+            run = self.attempts.may_have_run,
+            idle = self.attempts.not_run,
             last = self.last_event,
             draining = self.entry.gate.closed(),
             took_ms = millis(self.entry.now().since(self.call.began)),
@@ -146,13 +146,16 @@
 
 impl Run {
     pub(super) fn new(entry: Arc<Entry>, table: Arc<Table>, call: Call) -> Self {
-        entry.shared().allowance.request(call.began, &call.service);
+        entry
+            .shared()
+            .allowance
+            .record_request(call.began, &call.service);
         let last_event = head::number(&call.headers, headers::LAST_EVENT);
         Self {
             entry,
             table,
             call,
-            tries: Tries::default(),
+            attempts: AttemptCounts::default(),
             failed_upstreams: Vec::new(),
             upstream_error: None,
             ended: AtomicBool::new(false),
@@ -196,7 +199,7 @@
                 return Err(self.unsent(reason));
             }
             if self.model().is_some() {
-                self.entry.shared().loads.demand.ask();
+                self.entry.shared().loads.demand.record_request();
             }
             let found = match self.choose(0.0) {
                 Ok(selection) => Ok(selection),
@@ -208,7 +211,7 @@
             }
             let full = matches!(found, Err(Reason::Full));
             let long = self.is_long();
-            self.entry.shared().refused.note(full, long);
+            self.entry.shared().refused.record(full, long);
             let selection = found.map_err(|reason| self.unsent(reason))?;
             if !self.acquire_send(&selection.upstream) {
                 continue;
@@ -220,7 +223,7 @@
             let outcome = match timeout(left, self.attempt(selection)).await {
                 Ok(outcome) => outcome,
                 Err(_) => {
-                    self.tries.count(Failure::Unknown);
+                    self.attempts.record(Failure::Unknown);
                     return Err(RunError::TimedOut);
                 }
             };
@@ -229,7 +232,7 @@
                 Outcome::UpstreamError(opened) => {
                     self.failed_upstreams.push(first);
                     self.upstream_error = Some(Box::new(opened));
-                    if self.record_failure(Failure::Answered, "upstream_error") != Next::Again {
+                    if self.record_failure(Failure::Answered, "upstream_error") != NextStep::Again {
                         return Err(RunError::MayHaveRun);
                     }
                 }
@@ -248,12 +251,12 @@
                     }
                     self.exclude_upstream(culprit, cause);
                     match self.record_failure(failure, cause) {
-                        Next::Again => {}
-                        Next::Refuse => return Err(RunError::NotRun(Reason::NotRun)),
-                        Next::Pass | Next::Fail if self.left().is_zero() => {
+                        NextStep::Again => {}
+                        NextStep::Refuse => return Err(RunError::NotRun(Reason::NotRun)),
+                        NextStep::Pass | NextStep::Fail if self.left().is_zero() => {
                             return Err(RunError::TimedOut);
                         }
-                        Next::Pass | Next::Fail => return Err(RunError::MayHaveRun),
+                        NextStep::Pass | NextStep::Fail => return Err(RunError::MayHaveRun),
                     }
                 }
             }
@@ -266,14 +269,14 @@
         let view = self.entry.view();
         let mut work = self.call.work;
         // The caller may already have a part of the response.
-        let begun = self.tries.run > 0 || self.last_event.is_some();
+        let begun = self.attempts.may_have_run > 0 || self.last_event.is_some();
         let starved = self.is_long() && self.entry.shared().refused.starves_long();
         if begun {
-            let starting = hold::is_starting(self.entry.started, self.entry.now());
-            work.turns = load::begun_takes_turns(starting, waited);
+            let starting = view_wait::is_starting(self.entry.started, self.entry.now());
+            work.obeys_quota = load::retry_obeys_quota(starting, waited);
         } else if !starved && let Some(model) = self.model() {
-            work.spare = load::spare(work.tokens(), model.usual_tokens(), waited);
-            work.turns = true;
+            work.headroom = load::headroom(work.tokens(), model.usual_tokens(), waited);
+            work.obeys_quota = true;
         }
         let exclusions = Exclusions {
             failed: &self.failed_upstreams,
@@ -296,13 +299,13 @@
         self.failed_upstreams.push(culprit);
         let now = self.entry.now();
         match cause {
-            REFUSED if health::may_be_full(self.memory_used(culprit)) => {
-                self.entry.shared().health.refused(now, culprit);
+            REFUSED if health::may_be_full(self.utilisation(culprit)) => {
+                self.entry.shared().health.record_refusal(now, culprit);
             }
             REFUSED | NO_CONNECTION | DEAD_ENGINE => {
-                self.entry.shared().health.silent(now, culprit)
+                self.entry.shared().health.record_unresponsive(now, culprit)
             }
-            _ => self.entry.shared().health.failed(now, culprit),
+            _ => self.entry.shared().health.record_failure(now, culprit),
         }
         tracing::info!(
             event = event::UPSTREAM_SUSPECTED.id,
@@ -315,29 +318,29 @@
     }
 
     /// Share of an engine's memory for requests that is booked.
-    fn memory_used(&self, engine: u64) -> Option<f64> {
+    fn utilisation(&self, engine: u64) -> Option<f64> {
         let view = self.entry.view();
         let upstreams = of_service(&view.services, &self.call.service);
         let upstream = upstreams.iter().find(|u| u.key == engine)?;
         let speed = pool::speed(upstream, self.model()?, &self.entry.shared().loads);
-        Some(speed?.used)
+        Some(speed?.utilisation)
     }
 
     /// Counts a failed attempt and decides on the next step.
-    pub(super) fn record_failure(&mut self, failure: Failure, cause: &'static str) -> Next {
-        self.tries.count(failure);
+    pub(super) fn record_failure(&mut self, failure: Failure, cause: &'static str) -> NextStep {
+        self.attempts.record(failure);
         let route = &self.call.route;
         let left = self.left();
-        let mut next = retry::next(route.repeat, route.attempts, self.tries, failure, left);
-        if next == Next::Again && self.may_crash_engine(cause) {
-            next = retry::give_up(self.tries, failure);
+        let mut next = retry::next_step(route.repeat, route.attempts, self.attempts, failure, left);
+        if next == NextStep::Again && self.may_crash_engine(cause) {
+            next = retry::give_up(self.attempts, failure);
         }
-        if next == Next::Again {
+        if next == NextStep::Again {
             let now = self.entry.now();
             let entries = self.entry.view().entry_count();
             let allowance = &mut self.entry.shared().allowance;
-            if !allowance.take(now, &self.call.service, entries) {
-                next = retry::give_up(self.tries, failure);
+            if !allowance.try_acquire(now, &self.call.service, entries) {
+                next = retry::give_up(self.attempts, failure);
             }
         }
         let failures = metric::FAILURES.name;
@@ -349,8 +352,8 @@
             ?failure,
             ?next,
             events = self.events,
-            run = self.tries.run,
-            idle = self.tries.idle,
+            run = self.attempts.may_have_run,
+            idle = self.attempts.not_run,
             left_ms = millis(left),
             last = self.last_event,
             "attempt failed"
@@ -359,14 +362,14 @@
     }
 
     fn timed_out(&self) -> RunError {
-        match self.tries.run {
+        match self.attempts.may_have_run {
             0 => RunError::NotRun(Reason::NotRun),
             _ => RunError::TimedOut,
         }
     }
 
     fn unsent(&self, reason: Reason) -> RunError {
-        match self.tries.run {
+        match self.attempts.may_have_run {
             0 => RunError::NotRun(reason),
             _ => RunError::MayHaveRun,
         }
@@ -429,7 +432,7 @@
     pub(super) fn final_response(&self, end: &RunError) -> Response<Body> {
         let (code, response) = match end {
             RunError::NotRun(reason) => {
-                let refused = self.entry.shared().refused.share();
+                let refused = self.entry.shared().refused.overall();
                 let mut response = refuse(*reason, refused);
                 if let Reason::Quarantined(_) = reason {
                     *response.body_mut() = quarantine_body(&self.call.fingerprint);
@@ -453,8 +456,8 @@
             route = self.call.route.name,
             code,
             status = response.status().as_u16(),
-            run = self.tries.run,
-            idle = self.tries.idle,
+            run = self.attempts.may_have_run,
+            idle = self.attempts.not_run,
             took_ms = millis(self.entry.now().since(self.call.began)),
             "ended without an upstream response"
         );
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -12,7 +12,7 @@
 use super::{head, stream};
 use crate::clock::millis;
 use crate::decide::refusal::Reason;
-use crate::decide::retry::{Failure, Next};
+use crate::decide::retry::{Failure, NextStep};
 use crate::event;
 use crate::gate::Running;
 
@@ -38,11 +38,11 @@
                     self.record_cut(&upstream);
                     self.exclude_upstream(Some(upstream.key), "cut_body");
                     match self.record_failure(Failure::Unknown, "cut_body") {
-                        Next::Again => {}
-                        Next::Refuse => {
+                        NextStep::Again => {}
+                        NextStep::Refuse => {
                             return self.final_response(&RunError::NotRun(Reason::NotRun));
                         }
-                        Next::Pass | Next::Fail => {
+                        NextStep::Pass | NextStep::Fail => {
                             return self.final_response(&RunError::MayHaveRun);
                         }
                     }
--- a/src/entry/reroute.rs
+++ b/src/entry/reroute.rs
@@ -16,8 +16,8 @@
 use super::select::Selection;
 use super::view::of_service;
 use crate::configuration::Repeat;
-use crate::decide::health::Standing;
-use crate::decide::silence::{Patience, Step};
+use crate::decide::health::HealthStatus;
+use crate::decide::stall::{StallTimer, Step};
 use crate::engine::call;
 use crate::event;
 use crate::metric;
@@ -50,15 +50,15 @@
         // A request that may not be repeated, or that has a single upstream, can't be
         // rerouted.
         let can_reroute = self.call.route.repeat != Repeat::Never && selection.path.is_some();
-        let mut patience = Patience::new(patience, can_reroute);
-        let mut wait = patience.wait(Duration::ZERO).unwrap_or_default();
+        let mut timer = StallTimer::new(patience, can_reroute);
+        let mut wait = timer.next_wait(Duration::ZERO).unwrap_or_default();
         loop {
             if let Ok(output) = timeout(wait, progress.as_mut()).await {
                 return Ok(output);
             }
             let waited = self.entry.now().since(since);
-            match patience.step(waited) {
-                Step::Avoid if self.avoid_known_dead(selection).await => patience.avoided(),
+            match timer.step(waited) {
+                Step::Avoid if self.avoid_known_dead(selection).await => timer.record_reroute(),
                 Step::Ask => {
                     if let Some(culprit) = self.reroute_stalled(selection).await {
                         return Err(Stall::DeadEngine(culprit));
@@ -66,7 +66,7 @@
                 }
                 Step::Avoid | Step::Wait => {}
             }
-            let Some(next) = patience.wait(waited) else {
+            let Some(next) = timer.next_wait(waited) else {
                 return Err(Stall::Unknown);
             };
             wait = next;
@@ -92,7 +92,7 @@
     async fn reroute_stalled(&self, selection: &mut Selection) -> Option<u64> {
         let culprit = self.stalled_engine(selection).await?;
         let now = self.entry.now();
-        self.entry.shared().health.silent(now, culprit);
+        self.entry.shared().health.record_unresponsive(now, culprit);
         let done = self
             .reroute_around(&[culprit], selection, DEAD_ENGINE)
             .await;
@@ -159,7 +159,7 @@
         let told = upstreams.iter().filter(|u| u.suspected).map(|u| u.key);
         let health = &self.entry.shared().health;
         // A failing engine may still be used, and may only be slow now.
-        let is_dead = |d: &u64| health.standing(now, *d, false) == Standing::Dead;
+        let is_dead = |d: &u64| health.status(now, *d, false) == HealthStatus::Dead;
         let found = health.dead(now).into_iter().filter(is_dead);
         found.chain(told).find(|d| selection.passes_through(*d))
     }
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -17,10 +17,10 @@
 use super::reroute::Stall;
 use crate::clock::{Time, millis};
 use crate::configuration::Repeat;
-use crate::decide::leave::Leave;
-use crate::decide::retry::{Failure, Next};
+use crate::decide::migration::Migration;
+use crate::decide::retry::{Failure, NextStep};
 use crate::decide::run_history::HARMLESS_EVENTS;
-use crate::decide::silence;
+use crate::decide::stall;
 use crate::event;
 use crate::gate::Running;
 
@@ -30,7 +30,7 @@
 
 /// Minimum silence after which a stream is resumed elsewhere, even if its route allows only
 /// shorter pauses: the time after which its first engine is asked.
-const MIN_STALL: Duration = silence::QUIET;
+const MIN_STALL: Duration = stall::QUERY_AFTER;
 
 /// Cause of rerouting a stream away from an engine that still serves it.
 const WITHDRAWN: &str = "given_up";
@@ -49,7 +49,7 @@
     first: Option<Duration>,
     longest_pause: Duration,
     last_at: Time,
-    leave: Leave,
+    migration: Migration,
     _running: Running,
 }
 
@@ -66,7 +66,7 @@
         first: None,
         longest_pause: Duration::ZERO,
         last_at,
-        leave: Leave::default(),
+        migration: Migration::default(),
         _running: running,
     };
     let pieces = stream::unfold(state, |mut s| async move {
@@ -143,12 +143,15 @@
         let roster = run.entry.view().roster();
         let selection = &mut opened.selection;
         let must = || !selection.withdrawn(service).is_empty();
-        if !self.leave.is_due(now, roster, must, rand::rng().random()) {
+        if !self
+            .migration
+            .is_due(now, roster, must, rand::rng().random())
+        {
             return;
         }
         let engines = selection.withdrawn(service);
         let done = engines.is_empty() || run.reroute_around(&engines, selection, WITHDRAWN).await;
-        self.leave.tried(now, done);
+        self.migration.record_attempt(now, done);
     }
 
     async fn read(&mut self) -> Received {
@@ -190,7 +193,7 @@
             None => {
                 self.first = Some(now.since(self.run.call.began));
                 let took = now.since(self.opened.selection.selected_at);
-                self.run.entry.shared().pace.began(took);
+                self.run.entry.shared().pace.record_first_event(took);
             }
         }
         self.last_at = now;
@@ -222,7 +225,7 @@
         let first_failed = !matches!(cause, "stalled" | DEAD_ENGINE);
         self.run
             .exclude_upstream(first_failed.then_some(first), cause);
-        if self.run.record_failure(Failure::Unknown, cause) != Next::Again {
+        if self.run.record_failure(Failure::Unknown, cause) != NextStep::Again {
             return false;
         }
         match self.run.open().await {
--- a/src/entry/wait.rs
+++ b/src/entry/wait.rs
@@ -73,7 +73,7 @@
             loop {
                 let waited = entry.now().since(began).div_duration_f64(limit);
                 match self.choose(waited) {
-                    Err(Reason::Full) => sleep(waiting::LOOK).await,
+                    Err(Reason::Full) => sleep(waiting::POLL_INTERVAL).await,
                     found => return found,
                 }
             }
@@ -82,7 +82,7 @@
         let found = found.unwrap_or(Err(Reason::Full));
         if let Some(reached) = reached_front {
             let at_front = entry.now().since(reached);
-            entry.shared().pace.turned(at_front, found.is_ok());
+            entry.shared().pace.record_turn(at_front, found.is_ok());
         }
         tracing::info!(
             event = event::REQUEST_WAITED.id,
