--- a/src/limit/allocator.rs
+++ b/src/limit/allocator.rs
@@ -1,4 +1,4 @@
-//! The leader's side of the limits: who may use how much until when.
+//! The leader's side of the limits: divides each limit among the holders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,57 +9,58 @@
 use crate::clock::Time;
 use crate::collections::{HashMap, HashSet};
 
-/// Time between two sweeps for grants that ran out.
-const SWEEP: Duration = Duration::from_millis(250);
+/// Interval between sweeps for expired grants.
+const SWEEP_PERIOD: Duration = Duration::from_millis(250);
 
 /// Instance and incarnation.
 type HolderKey = (u64, u64);
 
-/// Grants all shares of a fleet.
+/// Grants the shares of all limits of a fleet.
 ///
-/// One allocator at a time may answer: the caller runs it only while its
-/// leadership is confirmed by a quorum, and starts a new one per term: a new
-/// allocator trusts that no earlier one answers any more.
+/// At most one allocator may grant at a time: the caller uses it only while a
+/// quorum confirms its leadership, and creates a new one for each term. A new
+/// allocator relies on no earlier one granting any more.
 #[derive(Debug)]
 pub struct Allocator {
-    /// Until then shares may be in use that this allocator doesn't know.
-    quiet: Time,
+    /// Time until which shares granted by earlier allocators may be in use.
+    unknown_until: Time,
     routes: HashMap<Arc<str>, Route>,
-    holders: HashMap<HolderKey, Known>,
-    swept: Time,
+    holders: HashMap<HolderKey, HolderState>,
+    last_sweep: Time,
 }
 
-/// What is remembered of a holder.
+/// State kept for a holder.
 #[derive(Debug, Default)]
-struct Known {
-    /// Latest question answered. Older ones are late copies.
+struct HolderState {
+    /// Sequence of the latest share request answered. Requests up to it are late
+    /// or duplicate copies.
     sequence: u64,
-    /// Routes with a stake of this holder.
+    /// Routes on which this holder has an account.
     routes: Vec<Arc<str>>,
-    heard: Time,
+    last_request: Time,
 }
 
 #[derive(Debug)]
 struct Route {
     limit: [u32; 4],
-    /// Counts the lowerings of the limit.
+    /// Number of times the limit was lowered.
     epoch: u64,
-    stakes: HashMap<HolderKey, Stake>,
-    /// Sums over `stakes` of the fields of the same names.
+    accounts: HashMap<HolderKey, Account>,
+    /// Sums over `accounts` of the fields of the same names.
     exposed: [u64; 4],
     fresh: [u64; 4],
     wanted: [u64; 4],
     excess: u64,
 }
 
-/// One holder's part of a route.
+/// Grants and demand of one holder on one route.
 #[derive(Debug, Default)]
-struct Stake {
-    /// Grants that the holder may use now or when a late answer reaches it.
+struct Account {
+    /// Grants that the holder uses or may still use when a delayed grant arrives.
     issued: Vec<Issued>,
-    /// Largest of `issued`, by kind.
+    /// Maximum over `issued`, by kind.
     exposed: [u32; 4],
-    /// Largest of those of the present epoch, by kind.
+    /// Maximum over those of the present epoch, by kind.
     fresh: [u32; 4],
     wanted: [u32; 4],
     /// Running requests beyond `exposed`.
@@ -70,36 +71,36 @@
 #[derive(Debug)]
 struct Issued {
     sequence: u64,
-    /// Epoch of the limit that it was granted under.
+    /// Epoch of the limit at the time of the grant.
     epoch: u64,
-    /// Counted until then: the lease from the receipt of the question, plus
-    /// what the clocks may drift apart meanwhile.
+    /// Time until which the grant counts: the lease from the receipt of the share
+    /// request, plus the possible clock drift.
     until: Time,
     amounts: [u32; 4],
 }
 
 impl Allocator {
-    /// An allocator of a new leader. Shares that an earlier leader granted
-    /// may be in use for a lease more; until then only reported shares are
-    /// renewed, at the same amount.
+    /// Creates the allocator of a new leader. Shares that an earlier leader
+    /// granted may be in use for one more lease; until then reported shares are
+    /// only renewed, at the same amount.
     #[must_use]
     pub fn new(now: Time) -> Self {
         Self {
-            quiet: now + LEASE + DRIFT_MARGIN,
+            unknown_until: now + LEASE + DRIFT_MARGIN,
             routes: HashMap::default(),
             holders: HashMap::default(),
-            swept: now,
+            last_sweep: now,
         }
     }
 
-    /// Takes over the limits of the catalogue. Routes that aren't listed get
-    /// nothing any more. A lowered limit is in force one lease later, or one
-    /// lease after the next takeover when that comes first: a new allocator
-    /// can't tell which of the reported shares are older than the lowering.
+    /// Sets the limits from the catalogue. Routes that aren't listed get no more
+    /// shares. A lowered limit is in force one lease later, or one lease after
+    /// the next change of leader if that comes first: a new allocator can't tell
+    /// which of the reported shares were granted before the limit was lowered.
     pub fn set_limits<'a>(&mut self, limits: impl IntoIterator<Item = (&'a str, Limits)>) {
-        let mut rest: HashSet<Arc<str>> = self.routes.keys().cloned().collect();
+        let mut unlisted: HashSet<Arc<str>> = self.routes.keys().cloned().collect();
         for (name, limits) in limits {
-            rest.remove(name);
+            unlisted.remove(name);
             let limit = Amounts::from(limits).array();
             match self.routes.get_mut(name) {
                 Some(route) => route.set_limit(limit),
@@ -108,48 +109,48 @@
                 }
             }
         }
-        for name in &rest {
+        for name in &unlisted {
             if let Some(route) = self.routes.get_mut(name) {
                 route.set_limit([0; 4]);
             }
         }
         self.routes
-            .retain(|name, r| !rest.contains(name) || !r.stakes.is_empty());
+            .retain(|name, r| !unlisted.contains(name) || !r.accounts.is_empty());
     }
 
-    /// Answers a question, or nothing when it is a late or doubled copy.
+    /// Answers a share request; `None` if it is a late or duplicate copy.
     ///
-    /// A late copy reports a demand that is past; answering it would grant what
-    /// its sender has no use for and, being older, doesn't take.
-    pub fn allocate(&mut self, now: Time, ask: &ShareRequest) -> Option<Grant> {
+    /// A late copy reports outdated demand. A grant for it would reserve shares
+    /// that the holder doesn't want, and would ignore as outdated.
+    pub fn allocate(&mut self, now: Time, request: &ShareRequest) -> Option<Grant> {
         self.sweep(now);
-        let key = (ask.instance, ask.incarnation);
-        let known = self.holders.entry(key).or_default();
-        if ask.sequence <= known.sequence {
+        let key = (request.instance, request.incarnation);
+        let state = self.holders.entry(key).or_default();
+        if request.sequence <= state.sequence {
             return None;
         }
-        known.sequence = ask.sequence;
-        known.heard = now;
-        let before = std::mem::take(&mut known.routes);
+        state.sequence = request.sequence;
+        state.last_request = now;
+        let before = std::mem::take(&mut state.routes);
         for name in &before {
             if let Some(route) = self.routes.get_mut(name) {
-                route.hear(now, key, ask.applied, &Demand::default());
+                route.apply_report(now, key, request.applied, &Demand::default());
             }
         }
-        let mut shares = Vec::with_capacity(ask.demands.len());
-        for demand in &ask.demands {
-            let amounts = self.grant(now, key, ask, demand);
+        let mut shares = Vec::with_capacity(request.demands.len());
+        for demand in &request.demands {
+            let amounts = self.grant(now, key, request, demand);
             shares.extend(amounts.map(|amounts| Share {
                 route: demand.route.clone(),
                 amounts: Amounts::from_array(amounts),
             }));
         }
-        self.remember(key, before, &ask.demands);
+        self.record_routes(key, before, &request.demands);
         Some(Grant {
-            instance: ask.instance,
-            incarnation: ask.incarnation,
-            sequence: ask.sequence,
-            renewal: now < self.quiet,
+            instance: request.instance,
+            incarnation: request.incarnation,
+            sequence: request.sequence,
+            renewal: now < self.unknown_until,
             shares,
         })
     }
@@ -158,22 +159,22 @@
         &mut self,
         now: Time,
         key: HolderKey,
-        ask: &ShareRequest,
+        request: &ShareRequest,
         demand: &Demand,
     ) -> Option<[u32; 4]> {
         let fleet = self.holders.len();
         let route = self.routes.get_mut(demand.route.as_str())?;
-        route.hear(now, key, ask.applied, demand);
-        let target = if now < self.quiet {
+        route.apply_report(now, key, request.applied, demand);
+        let target = if now < self.unknown_until {
             demand.held.array()
         } else {
             route.target(key, fleet)
         };
-        let amounts = route.issue(now, key, ask.sequence, target);
+        let amounts = route.issue(now, key, request.sequence, target);
         Some(amounts).filter(|a| *a != [0; 4])
     }
 
-    fn remember(&mut self, key: HolderKey, before: Vec<Arc<str>>, demands: &[Demand]) {
+    fn record_routes(&mut self, key: HolderKey, before: Vec<Arc<str>>, demands: &[Demand]) {
         let mut routes = before;
         for demand in demands {
             let found = self.routes.get_key_value(demand.route.as_str());
@@ -183,27 +184,27 @@
         routes.dedup();
         routes.retain(|name| {
             let route = self.routes.get(name);
-            route.is_some_and(|r| r.stakes.contains_key(&key))
+            route.is_some_and(|r| r.accounts.contains_key(&key))
         });
-        if let Some(known) = self.holders.get_mut(&key) {
-            known.routes = routes;
+        if let Some(state) = self.holders.get_mut(&key) {
+            state.routes = routes;
         }
     }
 
-    /// Drops grants that ran out and silent holders, now and then.
+    /// Periodically drops expired grants and holders that stopped requesting.
     fn sweep(&mut self, now: Time) {
-        if now.since(self.swept) < SWEEP {
+        if now.since(self.last_sweep) < SWEEP_PERIOD {
             return;
         }
-        self.swept = now;
+        self.last_sweep = now;
         for route in self.routes.values_mut() {
             route.sweep(now);
         }
         self.holders
-            .retain(|_, known| now.since(known.heard) < 4 * LEASE);
+            .retain(|_, state| now.since(state.last_request) < 4 * LEASE);
     }
 
-    /// Sum of the shares of a route that may be in use.
+    /// Sum of the shares of a route that may be in use, by kind.
     #[must_use]
     pub fn exposed(&self, route: &str) -> [u64; 4] {
         self.routes
@@ -218,7 +219,7 @@
         Self {
             limit,
             epoch: 0,
-            stakes: HashMap::default(),
+            accounts: HashMap::default(),
             exposed: [0; 4],
             fresh: [0; 4],
             wanted: [0; 4],
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Sets the limit. When any part of it is lowered, no grant counts as
+    /// Sets the limit. If any kind of it is lowered, no earlier grant counts as
     /// fresh any more: see [`issue`](Self::issue).
     fn set_limit(&mut self, limit: [u32; 4]) {
         let lowered = limit.iter().zip(self.limit).any(|(new, old)| *new < old);
@@ -236,36 +237,41 @@
         }
         self.epoch += 1;
         self.fresh = [0; 4];
-        for stake in self.stakes.values_mut() {
-            stake.fresh = [0; 4];
+        for account in self.accounts.values_mut() {
+            account.fresh = [0; 4];
         }
     }
 
-    /// Takes in what a holder reports: grants before the one in use won't be
-    /// used again.
-    fn hear(&mut self, now: Time, key: HolderKey, applied: u64, demand: &Demand) {
+    /// Applies a holder's report: grants older than the one in use won't be
+    /// used again, so they are dropped.
+    fn apply_report(&mut self, now: Time, key: HolderKey, applied: u64, demand: &Demand) {
         let epoch = self.epoch;
-        let mut stake = self.take(key);
-        stake
+        let mut account = self.remove(key);
+        account
             .issued
             .retain(|i| i.sequence >= applied && i.until > now);
-        stake.wanted = demand.wanted.array();
-        stake.running = demand.running;
-        stake.count(epoch);
-        self.put(key, stake);
+        account.wanted = demand.wanted.array();
+        account.running = demand.running;
+        account.recompute(epoch);
+        self.insert(key, account);
     }
 
-    /// The part of the limit that a holder should have: its demand and an
-    /// equal part of what nobody asks for, or its part of the limit by demand
-    /// when all ask for more than there is, but at least one.
+    /// The share that a holder should have: its demand plus an equal part of the
+    /// unclaimed rest of the limit. If the total demand exceeds the limit, it is
+    /// a part in proportion to the demand, but at least one.
     ///
-    /// The equal part counts all `fleet` holders, also those that have no
-    /// stake in the route yet. Divided among the stakes alone, the first few
-    /// took the whole limit, and when the first requests came to all instances
-    /// at once, the last ones waited two periods for the first to give back.
+    /// The rest is divided by all `fleet` holders, including those without an
+    /// account on the route. If it were divided among the accounts alone, the
+    /// first few holders would take the whole limit, and when the first requests
+    /// reach all instances at once, the last ones would wait two periods until
+    /// the first ones give shares back.
     fn target(&self, key: HolderKey, fleet: usize) -> [u32; 4] {
-        let own = self.stakes.get(&key).map(|s| s.wanted).unwrap_or_default();
-        let holders = self.stakes.len().max(fleet).max(1) as u64;
+        let own = self
+            .accounts
+            .get(&key)
+            .map(|s| s.wanted)
+            .unwrap_or_default();
+        let holders = self.accounts.len().max(fleet).max(1) as u64;
         std::array::from_fn(|k| {
             let limit = u64::from(self.limit[k]);
             let want = u64::from(own[k]);
@@ -279,31 +285,30 @@
 
     /// Grants as much of `target` as is free.
     ///
-    /// Guards against granting the same unit twice, which would show as more
-    /// admitted in the fleet than the limit: what any other holder may use is
-    /// never granted. After a limit was lowered the old grants exceed it; then
-    /// a holder keeps of its own what fits the new limit beside all grants
-    /// issued since, and as every old grant runs out within a lease, the sum
-    /// of what is left fits the limit.
+    /// Nothing that another holder may use is granted, or the fleet would admit
+    /// more than the limit. After a limit was lowered, the earlier grants exceed
+    /// it. Then a holder keeps as much of its own share as fits the new limit
+    /// beside all grants issued since. Every earlier grant expires within a
+    /// lease, after which the sum of all grants fits the limit.
     fn issue(&mut self, now: Time, key: HolderKey, sequence: u64, target: [u32; 4]) -> [u32; 4] {
         let epoch = self.epoch;
-        let mut stake = self.take(key);
+        let mut account = self.remove(key);
         let amounts = std::array::from_fn(|k| {
             let limit = u64::from(self.limit[k]);
             let excess = if k == 2 { self.excess } else { 0 };
             let free = limit.saturating_sub(self.exposed[k] + excess);
             let kept = limit.saturating_sub(self.fresh[k]);
-            let most = free.max(kept.min(u64::from(stake.exposed[k])));
+            let most = free.max(kept.min(u64::from(account.exposed[k])));
             target[k].min(u32::try_from(most).unwrap_or(u32::MAX))
         });
-        stake.issued.push(Issued {
+        account.issued.push(Issued {
             sequence,
             epoch,
             until: now + LEASE + DRIFT_MARGIN,
             amounts,
         });
-        stake.count(epoch);
-        self.put(key, stake);
+        account.recompute(epoch);
+        self.insert(key, account);
         for k in 0..4 {
             assert!(
                 self.fresh[k] <= u64::from(self.limit[k]),
@@ -315,61 +320,62 @@
 
     fn sweep(&mut self, now: Time) {
         let epoch = self.epoch;
-        let ran_out = |s: &Stake| s.issued.iter().any(|i| i.until <= now);
-        let stakes = self.stakes.iter().filter(|(_, s)| ran_out(s));
-        let keys: Vec<HolderKey> = stakes.map(|(key, _)| *key).collect();
+        let has_expired = |s: &Account| s.issued.iter().any(|i| i.until <= now);
+        let accounts = self.accounts.iter().filter(|(_, s)| has_expired(s));
+        let keys: Vec<HolderKey> = accounts.map(|(key, _)| *key).collect();
         for key in keys {
-            let mut stake = self.take(key);
-            stake.issued.retain(|i| i.until > now);
-            if stake.issued.is_empty() {
-                stake.running = 0;
-                stake.wanted = [0; 4];
+            let mut account = self.remove(key);
+            account.issued.retain(|i| i.until > now);
+            if account.issued.is_empty() {
+                account.running = 0;
+                account.wanted = [0; 4];
             }
-            stake.count(epoch);
-            self.put(key, stake);
+            account.recompute(epoch);
+            self.insert(key, account);
         }
     }
 
-    /// Takes a stake out of the map and of the sums.
-    fn take(&mut self, key: HolderKey) -> Stake {
-        let stake = self.stakes.remove(&key).unwrap_or_default();
+    /// Removes an account from the map and from the sums.
+    fn remove(&mut self, key: HolderKey) -> Account {
+        let account = self.accounts.remove(&key).unwrap_or_default();
         for k in 0..4 {
-            self.exposed[k] -= u64::from(stake.exposed[k]);
-            self.fresh[k] -= u64::from(stake.fresh[k]);
-            self.wanted[k] -= u64::from(stake.wanted[k]);
+            self.exposed[k] -= u64::from(account.exposed[k]);
+            self.fresh[k] -= u64::from(account.fresh[k]);
+            self.wanted[k] -= u64::from(account.wanted[k]);
         }
-        self.excess -= u64::from(stake.excess);
-        stake
+        self.excess -= u64::from(account.excess);
+        account
     }
 
-    /// Puts a stake back, unless nothing of it is left.
-    fn put(&mut self, key: HolderKey, stake: Stake) {
-        if stake.issued.is_empty() && stake.wanted == [0; 4] && stake.running == 0 {
+    /// Inserts an account into the map and the sums, unless it is empty.
+    fn insert(&mut self, key: HolderKey, account: Account) {
+        if account.issued.is_empty() && account.wanted == [0; 4] && account.running == 0 {
             return;
         }
         for k in 0..4 {
-            self.exposed[k] += u64::from(stake.exposed[k]);
-            self.fresh[k] += u64::from(stake.fresh[k]);
-            self.wanted[k] += u64::from(stake.wanted[k]);
+            self.exposed[k] += u64::from(account.exposed[k]);
+            self.fresh[k] += u64::from(account.fresh[k]);
+            self.wanted[k] += u64::from(account.wanted[k]);
         }
-        self.excess += u64::from(stake.excess);
-        self.stakes.insert(key, stake);
+        self.excess += u64::from(account.excess);
+        self.accounts.insert(key, account);
     }
 }
 
-/// Divides, rounding up for as many holders as the remainder says. Rounded down
-/// for all, many small parts would leave much of a limit unused; the number of
-/// the instance decides, so that parts stay the same from grant to grant.
+/// Divides, rounding up for a fraction of the holders that matches the
+/// remainder. If all rounded down, many small parts would leave much of a limit
+/// unused. A hash of the instance id decides, so that a holder's part stays the
+/// same from grant to grant.
 fn divide(part: u64, by: u64, key: HolderKey) -> u64 {
     const GOLDEN: u64 = 0x9E37_79B9_7F4A_7C15;
-    let place = key.0.wrapping_mul(GOLDEN) as f64 / u64::MAX as f64;
+    let hash = key.0.wrapping_mul(GOLDEN) as f64 / u64::MAX as f64;
     let remainder = (part % by) as f64 / by as f64;
-    part / by + u64::from(place < remainder)
+    part / by + u64::from(hash < remainder)
 }
 
-impl Stake {
-    /// Recounts what the issued grants expose.
-    fn count(&mut self, epoch: u64) {
+impl Account {
+    /// Recomputes the totals from the issued grants.
+    fn recompute(&mut self, epoch: u64) {
         self.exposed = [0; 4];
         self.fresh = [0; 4];
         for issued in &self.issued {
--- a/src/limit/holder.rs
+++ b/src/limit/holder.rs
@@ -1,4 +1,4 @@
-//! An instance's side of the limits: admission by the shares it holds.
+//! An instance's side of the limits: admits requests within the shares it holds.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,14 +13,14 @@
 use crate::collections::HashMap;
 use crate::id::{Incarnation, InstanceId};
 
-/// Questions whose answers may still come. Older ones are forgotten.
-const PENDING: usize = 128;
+/// Share requests whose grant is still accepted. Older ones are dropped.
+const MAX_PENDING: usize = 128;
 
-/// Time after which a route without use is asked for no longer.
-const FORGET: Duration = Duration::from_secs(10);
+/// Time after which shares of an unused route are no longer requested.
+const ROUTE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Leave to run one request. Given back when it is dropped or settled, by its
-/// type exactly once, and even when the thread that held it panicked.
+/// Permission to run one request. It is returned when it is dropped or settled:
+/// exactly once, as its type ensures, and also if the holding thread panics.
 #[derive(Debug)]
 #[must_use = "the request counts as running while its permit lives"]
 pub struct Permit {
@@ -39,31 +39,31 @@
 struct Pending {
     sequence: u64,
     sent: Time,
-    /// Grant in use when it was sent.
+    /// Sequence of the grant in use when the request was sent.
     applied: u64,
 }
 
-/// Shares of one instance.
+/// The shares of one instance.
 #[derive(Debug)]
 pub struct Holder {
     instance: InstanceId,
     incarnation: Incarnation,
     routes: HashMap<Arc<str>, Local>,
-    /// Last question sent.
+    /// Sequence of the last share request sent.
     sequence: u64,
-    /// Question whose grant is in use.
+    /// Sequence of the share request whose grant is in use.
     applied: u64,
-    /// End of all shares held.
+    /// Expiry of all shares held.
     until: Time,
-    /// Questions without an answer, oldest first.
+    /// Unanswered share requests, oldest first.
     pending: VecDeque<Pending>,
-    asked: Option<Time>,
+    last_request: Option<Time>,
     urgent: bool,
     returns: Arc<SegQueue<Arc<str>>>,
 }
 
 impl Holder {
-    /// A holder without shares.
+    /// Creates a holder without shares.
     #[must_use]
     pub fn new(instance: InstanceId, incarnation: Incarnation) -> Self {
         Self {
@@ -74,41 +74,41 @@
             applied: 0,
             until: Time::default(),
             pending: VecDeque::new(),
-            asked: None,
+            last_request: None,
             urgent: false,
             returns: Arc::default(),
         }
     }
 
-    /// Admits a request of `tokens` (prompt and expected answer).
+    /// Admits a request of `tokens` tokens (prompt and expected answer).
     ///
     /// # Errors
-    /// [`Denial`] with the limit met. With [`DenialReason::NoShare`](super::DenialReason::NoShare) a question
-    /// is due at once, and the request may wait for its answer.
+    /// [`Denial`] with the limit reached. With
+    /// [`DenialReason::NoShare`](super::DenialReason::NoShare) a share request is
+    /// due, and the denied request may wait for its grant.
     pub fn admit(&mut self, now: Time, route: &str, tokens: u32) -> Result<Permit, Denial> {
-        self.wish(now, route, tokens);
+        self.count_demand(now, route, tokens);
         let admitted = self.readmit(now, route, tokens);
         if admitted.is_err() {
             let local = entry(&mut self.routes, route);
-            local.seen.denied += 1;
+            local.usage.denied += 1;
             self.urgent |= local.first_denial(now);
         }
         admitted
     }
 
-    /// Counts a request as wanted.
-    fn wish(&mut self, now: Time, route: &str, tokens: u32) {
+    fn count_demand(&mut self, now: Time, route: &str, tokens: u32) {
         let local = entry(&mut self.routes, route);
-        local.seen.requests += 1;
-        local.seen.tokens += u64::from(tokens);
+        local.usage.requests += 1;
+        local.usage.tokens += u64::from(tokens);
         local.used = now;
     }
 
-    /// Tries again to admit a request that was denied and waits. It counts as
-    /// wanted only once, however often it is tried.
+    /// Retries to admit a request that was denied and waits. Retries don't add to
+    /// the demand.
     ///
     /// # Errors
-    /// [`Denial`] with the limit met.
+    /// [`Denial`] with the limit reached.
     pub fn readmit(&mut self, now: Time, route: &str, tokens: u32) -> Result<Permit, Denial> {
         self.collect();
         let valid = now < self.until;
@@ -122,7 +122,7 @@
         local.requests.take(1.0);
         local.tokens.take(f64::from(tokens));
         local.running += 1;
-        local.seen.peak = local.seen.peak.max(local.running);
+        local.usage.peak = local.usage.peak.max(local.running);
         let route = self.routes.get_key_value(route).map(|(k, _)| k.clone());
         Ok(Permit {
             route: route.unwrap_or_default(),
@@ -131,7 +131,7 @@
         })
     }
 
-    /// Gives a permit back and books what the request really used.
+    /// Returns a permit and charges the tokens that the request actually used.
     pub fn settle(&mut self, permit: Permit, tokens: u32) {
         if let Some(local) = self.routes.get_mut(&permit.route) {
             local
@@ -142,7 +142,7 @@
         self.collect();
     }
 
-    /// The share of a route in force at `now`; zero once the lease has run out.
+    /// The share of a route in force at `now`; zero once the lease has expired.
     #[must_use]
     pub fn share(&self, now: Time, route: &str) -> Amounts {
         if now >= self.until {
@@ -151,14 +151,14 @@
         self.routes.get(route).map(|l| l.share).unwrap_or_default()
     }
 
-    /// Requests of a route that run on this instance.
+    /// Number of running requests of a route on this instance.
     #[must_use]
     pub fn running(&mut self, route: &str) -> u32 {
         self.collect();
         self.routes.get(route).map_or(0, |l| l.running)
     }
 
-    /// Tells how many requests of a route wait in the queue.
+    /// Sets the number of requests of a route that wait in the queue.
     pub fn set_waiting(&mut self, now: Time, route: &str, waiting: u32) {
         let local = entry(&mut self.routes, route);
         local.waiting = waiting;
@@ -167,25 +167,25 @@
         }
     }
 
-    /// When [`share_request`](Self::share_request) should be called next.
+    /// Time at which [`share_request`](Self::share_request) should be called next.
     #[must_use]
     pub fn due(&self) -> Time {
         let gap = match (self.urgent, self.routes.is_empty()) {
             (true, _) => MIN_REQUEST_GAP,
             (false, false) => REQUEST_PERIOD,
-            // Nothing is wanted or held; the allocator only has to know that
+            // Without demand or shares, the allocator only needs to know that
             // this holder exists.
             (false, true) => LEASE,
         };
-        self.asked.map_or(Time::default(), |at| at + gap)
+        self.last_request.map_or(Time::default(), |at| at + gap)
     }
 
-    /// The next question. Its sending counts from `now`, so call it right
-    /// before the message leaves.
+    /// Creates the next share request. Its lease starts at `now`, so call it right
+    /// before the message is sent.
     pub fn share_request(&mut self, now: Time) -> ShareRequest {
         self.collect();
-        let passed = self.asked.map_or(REQUEST_PERIOD, |at| now.since(at));
-        self.asked = Some(now);
+        let elapsed = self.last_request.map_or(REQUEST_PERIOD, |at| now.since(at));
+        self.last_request = Some(now);
         self.urgent = false;
         self.sequence += 1;
         self.pending.push_back(Pending {
@@ -193,14 +193,14 @@
             sent: now,
             applied: self.applied,
         });
-        if self.pending.len() > PENDING {
+        if self.pending.len() > MAX_PENDING {
             self.pending.pop_front();
         }
         let valid = now < self.until;
         self.routes
-            .retain(|_, l| l.running > 0 || now.since(l.used) < FORGET);
+            .retain(|_, l| l.running > 0 || now.since(l.used) < ROUTE_IDLE_TIMEOUT);
         let demands = self.routes.iter_mut();
-        let demands = demands.map(|(route, l)| l.demand(route, valid, passed));
+        let demands = demands.map(|(route, l)| l.demand(route, valid, elapsed));
         ShareRequest {
             instance: self.instance.0,
             incarnation: self.incarnation.0,
@@ -210,48 +210,47 @@
         }
     }
 
-    /// Takes an answer in. Returns whether it is now in use.
+    /// Applies a grant. Returns whether it is now in use.
     ///
-    /// Guards against late and doubled answers: an answer to an older question
-    /// would bring back a share that the allocator counts no longer, which
-    /// would show as two instances using the same share. With an answer, its
-    /// question and all before it are forgotten, and nothing else is taken.
+    /// Late and duplicate grants are ignored: a grant for an older share request
+    /// would bring back a share that the allocator no longer counts, and two
+    /// instances would use the same share. So only a grant for a pending request
+    /// is applied, and that request and all older ones are dropped with it.
     pub fn grant(&mut self, now: Time, grant: &Grant) -> bool {
         let own = grant.instance == self.instance.0 && grant.incarnation == self.incarnation.0;
         if !own {
             return false;
         }
         let found = self.pending.iter().find(|p| p.sequence == grant.sequence);
-        let Some(&asked) = found else {
+        let Some(&request) = found else {
             return false;
         };
-        if grant.renewal && !self.renews(now, asked) {
+        if grant.renewal && !self.renews(now, request) {
             return false;
         }
         self.applied = grant.sequence;
         self.pending.retain(|p| p.sequence > grant.sequence);
-        self.replace(now, asked.sent + LEASE, grant);
+        self.replace(now, request.sent + LEASE, grant);
         true
     }
 
-    /// Whether the share that `asked` reported is still the one in use.
+    /// Whether the share reported in `request` is still the one in use.
     ///
-    /// A new allocator renews what a question reported. When the question was
-    /// on its way for long, the share may have run out or been given up since,
-    /// and the earlier allocator may have granted it to another instance,
-    /// which would show as both using it. While the share is still in use
-    /// here, the earlier allocator counted it.
-    fn renews(&self, now: Time, asked: Pending) -> bool {
-        now < self.until && self.applied == asked.applied
+    /// A new allocator renews what a share request reported. If the request was
+    /// delayed, the share may have expired or been given up since, and the
+    /// earlier allocator may have granted it to another instance; both would use
+    /// it. As long as the share is in use here, the earlier allocator counted it.
+    fn renews(&self, now: Time, request: Pending) -> bool {
+        now < self.until && self.applied == request.applied
     }
 
     fn replace(&mut self, now: Time, until: Time, grant: &Grant) {
-        let lapsed = now >= self.until;
+        let expired = now >= self.until;
         self.urgent |= self.shrinks(grant);
         for local in self.routes.values_mut() {
             local.refill(now.min(self.until));
             local.share = Amounts::default();
-            if lapsed {
+            if expired {
                 local.drain();
             }
         }
@@ -264,8 +263,9 @@
         self.until = until;
     }
 
-    /// Whether a grant takes a noticeable part of a share away. The allocator
-    /// may give it to others only once it hears that the grant is in use.
+    /// Whether a grant takes more than half of a share away. The allocator can
+    /// grant that part to others only after this holder reports that the new
+    /// grant is in use.
     fn shrinks(&self, grant: &Grant) -> bool {
         grant.shares.iter().any(|share| {
             let held = self.routes.get(share.route.as_str());
@@ -275,11 +275,11 @@
         })
     }
 
-    /// Books the permits that were dropped.
+    /// Processes returned permits.
     fn collect(&mut self) {
         while let Some(route) = self.returns.pop() {
             let local = entry(&mut self.routes, &route);
-            assert!(local.running > 0, "a permit of {route} came back twice");
+            assert!(local.running > 0, "permit of {route} returned twice");
             local.running -= 1;
         }
     }
--- a/src/limit/message.rs
+++ b/src/limit/message.rs
@@ -1,18 +1,18 @@
 //! Messages between holders and the allocator.
 
-/// One figure for each kind of limit of a route.
+/// One value for each kind of limit of a route.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, prost::Message)]
 pub struct Amounts {
-    /// Requests a second.
+    /// Requests per second.
     #[prost(uint32, tag = "1")]
     pub requests: u32,
-    /// Tokens a second.
+    /// Tokens per second.
     #[prost(uint32, tag = "2")]
     pub tokens: u32,
-    /// Requests that run at the same time.
+    /// Requests running concurrently.
     #[prost(uint32, tag = "3")]
     pub concurrent: u32,
-    /// Requests that wait for a place.
+    /// Requests waiting for admission.
     #[prost(uint32, tag = "4")]
     pub queued: u32,
 }
@@ -43,39 +43,40 @@
     }
 }
 
-/// A holder's state and wishes for one route.
+/// A holder's present share, usage and demand for one route.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Demand {
     /// Route of the catalogue.
     #[prost(string, tag = "1")]
     pub route: String,
-    /// Share held and unexpired when the question was sent.
+    /// Share held and unexpired when the share request was sent.
     #[prost(message, required, tag = "2")]
     pub held: Amounts,
-    /// Use that callers ask for at present.
+    /// Usage that callers ask for at present.
     #[prost(message, required, tag = "3")]
     pub wanted: Amounts,
-    /// Requests running, which may be more than the share held.
+    /// Requests running, which may exceed the share held.
     #[prost(uint32, tag = "4")]
     pub running: u32,
 }
 
-/// A holder's question for shares.
+/// A holder's request for shares.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct ShareRequest {
-    /// Asking instance.
+    /// Requesting instance.
     #[prost(uint64, tag = "1")]
     pub instance: u64,
-    /// Its incarnation. Two incarnations are two holders.
+    /// Incarnation of the instance. Two incarnations are two holders.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Grows with every question of the incarnation.
+    /// Increases with every share request of the incarnation.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// Question whose grant is in use; no earlier grant will be used again.
+    /// Sequence of the share request whose grant is in use; no earlier grant
+    /// will be used again.
     #[prost(uint64, tag = "4")]
     pub applied: u64,
-    /// Routes with demand or shares. Others are given up.
+    /// Routes with demand or shares. The holder gives up its shares of all others.
     #[prost(message, repeated, tag = "5")]
     pub demands: Vec<Demand>,
 }
@@ -91,19 +92,20 @@
     pub amounts: Amounts,
 }
 
-/// The allocator's answer. It replaces every share that the holder has.
+/// The allocator's reply. It replaces all shares of the holder.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Grant {
-    /// Instance that asked.
+    /// Requesting instance.
     #[prost(uint64, tag = "1")]
     pub instance: u64,
-    /// Its incarnation.
+    /// Incarnation of the instance.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The question answered.
+    /// Sequence of the share request answered.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// The allocator is new and only renews what the question reported.
+    /// Whether the allocator is new and only renews the shares reported in the
+    /// share request.
     #[prost(bool, tag = "4")]
     pub renewal: bool,
     /// Granted shares.
--- a/src/tests/limit.rs
+++ b/src/tests/limit.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// An allocator past its quiet time, and a holder.
+/// An allocator that knows all shares in use, and a holder.
 fn pair(n: u32) -> (Allocator, Holder, Time) {
     let mut allocator = Allocator::new(Time(0));
     allocator.set_limits([("r", limits(n))]);
@@ -36,8 +36,8 @@
 }
 
 fn exchange(allocator: &mut Allocator, holder: &mut Holder, now: Time) -> bool {
-    let ask = holder.share_request(now);
-    let grant = allocator.allocate(now, &ask);
+    let request = holder.share_request(now);
+    let grant = allocator.allocate(now, &request);
     grant.is_some_and(|g| holder.grant(now, &g))
 }
 
@@ -46,7 +46,7 @@
     let (mut allocator, mut holder, now) = pair(10);
     let denial = holder.admit(now, "r", 10).unwrap_err();
     assert_eq!(denial.reason, DenialReason::NoShare);
-    assert_eq!(holder.due(), Time(0), "a question is due at once");
+    assert_eq!(holder.due(), Time(0), "a share request is due at once");
     assert!(exchange(&mut allocator, &mut holder, now));
     let permit = holder.admit(now + REQUEST_PERIOD, "r", 10).unwrap();
     assert_eq!(holder.running("r"), 1);
@@ -96,15 +96,15 @@
 fn grant_lease_counts_from_sending() {
     let (mut allocator, mut holder, now) = pair(10);
     let _ = holder.admit(now, "r", 1);
-    let ask = holder.share_request(now);
-    let grant = allocator.allocate(now, &ask).unwrap();
+    let request = holder.share_request(now);
+    let grant = allocator.allocate(now, &request).unwrap();
     assert!(holder.grant(now + LEASE / 2, &grant));
     assert_ne!(holder.share(now + LEASE - MIN_REQUEST_GAP, "r").requests, 0);
     assert_eq!(holder.share(now + LEASE, "r").requests, 0);
 }
 
-/// Two instances show up together at twice the limit. Callers of either must
-/// not find it starved: after a few periods both have about half.
+/// Two instances with a total demand of twice the limit: after a few periods
+/// each holds about half, so that neither starves its callers.
 #[test]
 fn allocate_share_follows_demand() {
     let (mut allocator, mut a, mut now) = pair(100);
@@ -124,8 +124,8 @@
     assert!(shares.iter().all(|s| (40..=60).contains(s)), "{shares:?}");
 }
 
-/// One random run: its own clock and drift for each process, and a network
-/// that loses, doubles and reorders.
+/// One random run: each process has its own clock and drift, and the network
+/// loses, duplicates and reorders messages.
 struct Run {
     rng: ChaCha8Rng,
     holders: Vec<Process>,
@@ -137,8 +137,8 @@
     now: u64,
     limit: u32,
     /// Limits of the past lease, with the true time at which each ended. A
-    /// change of leader within a lease of a lowering starts that lease anew:
-    /// the new leader can't tell shares granted before the lowering.
+    /// change of leader within a lease after a limit was lowered restarts that
+    /// lease: the new leader can't tell which shares were granted before.
     past: VecDeque<(u64, u32)>,
     admitted: u64,
     seed: u64,
@@ -149,7 +149,7 @@
     drift: Drift,
     frozen: u64,
     permits: Vec<Permit>,
-    eager: f64,
+    request_chance: f64,
 }
 
 #[derive(Clone, Copy)]
@@ -187,7 +187,7 @@
             drift: Drift::draw(rng),
             frozen: 0,
             permits: Vec::new(),
-            eager: rng.random_range(0.0..1.0),
+            request_chance: rng.random_range(0.0..1.0),
         };
         let holders = (1..=5).map(|i| process(&mut rng, i)).collect();
         Self {
@@ -209,7 +209,7 @@
             self.now += TICK;
             self.deliver();
             self.check();
-            self.upset();
+            self.inject_fault();
             for i in 0..self.holders.len() {
                 self.work(i);
             }
@@ -217,8 +217,8 @@
         }
     }
 
-    /// Sends once, twice or not at all, most often at once but now and then
-    /// for longer than a lease.
+    /// Sends a message once, twice or not at all, mostly with a short delay but
+    /// sometimes with one of up to more than a lease.
     fn send(&mut self, message: &Message) {
         let copies = [0, 1, 1, 1, 1, 1, 1, 1, 1, 2][self.rng.random_range(0..10)];
         for _ in 0..copies {
@@ -236,18 +236,18 @@
                 return;
             }
             match entry.remove() {
-                Message::Request(ask) => self.answer(&ask),
+                Message::Request(request) => self.answer(&request),
                 Message::Grant(grant) => self.apply(&grant),
             }
         }
     }
 
-    fn answer(&mut self, ask: &ShareRequest) {
+    fn answer(&mut self, request: &ShareRequest) {
         let now = self.now;
         let Some((allocator, drift)) = &mut self.leader else {
             return;
         };
-        if let Some(grant) = allocator.allocate(drift.at(now), ask) {
+        if let Some(grant) = allocator.allocate(drift.at(now), request) {
             self.send(&Message::Grant(grant));
         }
     }
@@ -264,7 +264,7 @@
     }
 
     /// Changes the leader, the limit, the demand, or freezes a process.
-    fn upset(&mut self) {
+    fn inject_fault(&mut self) {
         if self.leader.is_none() || self.rng.random_ratio(1, 400) {
             let drift = Drift::draw(&mut self.rng);
             let allocator = Allocator::new(drift.at(self.now));
@@ -282,7 +282,7 @@
             process.frozen = self.now + self.rng.random_range(0..8_000_000);
         }
         if self.rng.random_ratio(1, 100) {
-            process.eager = self.rng.random_range(0.0..1.0);
+            process.request_chance = self.rng.random_range(0.0..1.0);
         }
     }
 
@@ -300,7 +300,7 @@
             return;
         }
         let now = process.drift.at(self.now);
-        if self.rng.random_bool(process.eager)
+        if self.rng.random_bool(process.request_chance)
             && let Ok(permit) = process.holder.admit(now, "r", 10)
         {
             process.permits.push(permit);
@@ -310,13 +310,13 @@
             process.permits.pop();
         }
         if process.holder.due() <= now {
-            let ask = process.holder.share_request(now);
-            self.send(&Message::Request(ask));
+            let request = process.holder.share_request(now);
+            self.send(&Message::Request(request));
         }
     }
 
-    /// The shares in use, by each holder's own clock, fit the largest limit
-    /// of the past lease.
+    /// Asserts that the shares in use, by each holder's own clock, fit the
+    /// largest limit of the past lease.
     fn check(&mut self) {
         let lease = LEASE + LEASE / 50;
         let from = self.now.saturating_sub(lease.as_micros() as u64);
@@ -343,10 +343,10 @@
     }
 }
 
-/// Instances with drifting clocks ask over a network that loses, doubles and
-/// delays messages beyond a lease, while leaders and limits change and
-/// processes freeze. An organisation would see more than its limit admitted
-/// as soon as the shares in use add up to more.
+/// Instances with drifting clocks request shares over a network that loses,
+/// duplicates and delays messages beyond a lease, while leaders and limits change
+/// and processes freeze. If the shares in use ever exceeded the limit, more than
+/// the limit would be admitted.
 #[test]
 fn grant_random_runs_within_limit() {
     let mut admitted = 0;
@@ -355,13 +355,13 @@
         run.run(6000);
         admitted += run.admitted;
     }
-    assert!(admitted > 10_000, "only {admitted} admitted: no real run");
+    assert!(admitted > 10_000, "only {admitted} admitted");
 }
 
-/// Instance A reports its share and then hangs in the network. Its lease ends,
-/// the share goes to B, and the leader changes. Only now A's old question
-/// reaches the new leader, who renews what it reports. Were A to take that up,
-/// A and B would both use the share and callers get twice the limit.
+/// A's share request is delayed until A's lease expired, the share went to B and
+/// the leader changed; the new leader then renews what it reports. If A applied
+/// that grant, A and B would both use the share, and twice the limit would be
+/// admitted.
 #[test]
 fn grant_renewal_of_lost_share() {
     let (mut old, mut a, now) = pair(10);
@@ -384,8 +384,8 @@
     assert_eq!(a.share(now, "r").concurrent, 0);
 }
 
-/// As above, but A gave its share up before its lease ended: its question was
-/// under way when the answer to an earlier one took the share away.
+/// As above, but A gave up its share before its lease expired: the request was
+/// in transit when the grant for an earlier one took the share away.
 #[test]
 fn grant_renewal_of_returned_share() {
     let (mut old, mut a, now) = pair(10);
@@ -408,9 +408,9 @@
     assert_eq!(a.share(now + REQUEST_PERIOD, "r").concurrent, 0);
 }
 
-/// An instance saves up a second's worth of requests and is then cut off. By
-/// the time it is back another one may have saved up the same share; both
-/// bursts together would exceed the limit.
+/// An instance accumulates one second of requests and is then partitioned. When
+/// it returns, another instance may have accumulated tokens for the same share;
+/// both bursts together would exceed the limit.
 #[test]
 fn grant_after_lapse_without_burst() {
     let (mut allocator, mut holder, now) = pair(10);
@@ -433,8 +433,8 @@
     assert_eq!(allocator.allocate(now + MIN_REQUEST_GAP, &second), None);
 }
 
-/// A cut-off instance holds the whole limit. Its callers go on until its lease
-/// ends; then the others must get all of it.
+/// A partitioned instance holds the whole limit and may use it until its lease
+/// expires; after that, the others must get all of it.
 #[test]
 fn allocate_share_of_silent_instance_comes_back() {
     let (mut allocator, mut silent, now) = pair(10);
@@ -457,9 +457,9 @@
     assert_eq!(got[9], 10, "{got:?}");
 }
 
-/// The limit falls and takes most of a share away. The allocator can give it
-/// to no one before it hears that the smaller share is in use, so the holder
-/// says so at once instead of a period later.
+/// A lowered limit takes most of a share away. The allocator can't grant that
+/// part to others before the holder reports that the smaller share is in use, so
+/// the holder reports it early instead of a period later.
 #[test]
 fn due_after_shrunk_share() {
     let (mut allocator, mut holder, now) = pair(100);
@@ -482,10 +482,10 @@
     assert_eq!(holder.due(), now + REQUEST_PERIOD);
 }
 
-/// The first requests of a route come to all nine instances at once, as after
-/// a pause. The first askers used to get all of the limit that nobody asked
-/// for, so the last ones waited two periods until it was given back; a caller
-/// saw its first token after two seconds.
+/// The first requests of a route reach all nine instances at once, as after a
+/// pause. If the first holders got the whole unclaimed limit, the last ones
+/// would wait two periods until it is given back, and a caller would get its
+/// first token after two seconds.
 #[test]
 fn allocate_first_requests_everywhere() {
     let (mut allocator, _, now) = pair(100);
