--- a/src/allocate.rs
+++ b/src/allocate.rs
@@ -1,4 +1,4 @@
-//! Grants shares of the limits beside the leader of the catalogue's log.
+//! Grants shares of the limits on the leader of the catalogue's log.
 
 use std::sync::Mutex;
 
@@ -6,47 +6,48 @@
 use crate::clock::Time;
 use crate::limit::{Allocator, Grant, ShareRequest};
 
-/// The allocator of the term that this instance leads, if it does.
+/// The allocator of the term in which this instance leads, if any.
 #[derive(Default)]
 pub(crate) struct LeaderAllocator(Mutex<Option<TermAllocator>>);
 
 struct TermAllocator {
     term: u64,
     allocator: Allocator,
-    /// Catalogue revision whose limits are in use.
+    /// Revision of the catalogue whose limits are in use.
     revision: Option<u64>,
 }
 
 impl LeaderAllocator {
-    /// Answers a question for shares in `term`.
+    /// Answers a share request in `term`.
     ///
-    /// The caller has proved by a quorum, after the question arrived, that
-    /// this instance leads in `term`. A new term starts a new allocator, which
-    /// waits until shares of former leaders have run out.
+    /// The caller must have confirmed by a quorum, after the request arrived,
+    /// that this instance leads in `term`. A new term starts a new allocator,
+    /// which only renews reported shares until those granted by earlier leaders
+    /// have expired.
     pub(crate) fn grant(
         &self,
         now: Time,
         term: u64,
         catalogue: &Catalogue,
-        ask: &ShareRequest,
+        request: &ShareRequest,
     ) -> Option<Grant> {
         let mut slot = self.0.lock().expect("no holder panics");
-        if slot.as_ref().is_some_and(|led| led.term > term) {
+        if slot.as_ref().is_some_and(|current| current.term > term) {
             return None;
         }
-        let led = match slot.take() {
-            Some(led) if led.term == term => slot.insert(led),
+        let current = match slot.take() {
+            Some(current) if current.term == term => slot.insert(current),
             _ => slot.insert(TermAllocator {
                 term,
                 allocator: Allocator::new(now),
                 revision: None,
             }),
         };
-        if led.revision != Some(catalogue.revision) {
+        if current.revision != Some(catalogue.revision) {
             let routes = catalogue.routes().map(|r| (r.name.as_str(), r.limits));
-            led.allocator.set_limits(routes);
-            led.revision = Some(catalogue.revision);
+            current.allocator.set_limits(routes);
+            current.revision = Some(catalogue.revision);
         }
-        led.allocator.allocate(now, ask)
+        current.allocator.allocate(now, request)
     }
 }
--- a/src/budget.rs
+++ b/src/budget.rs
@@ -1,4 +1,4 @@
-//! Retry budget: bounds the share of work that retries may add.
+//! Retry budget: bounds the additional load caused by retries.
 
 use std::time::Duration;
 
@@ -6,85 +6,86 @@
 use crate::collections::HashMap;
 use crate::id::OrganisationId;
 
-/// One retry, in the unit of the buckets.
-const RETRY: u32 = 1000;
+/// Cost of one retry, in units of the buckets.
+const RETRY_COST: u32 = 1000;
 
-/// What a success earns: a tenth of a retry.
-const EARNED: u32 = RETRY / 10;
+/// Units earned by a success: a tenth of a retry.
+const SUCCESS_CREDIT: u32 = RETRY_COST / 10;
 
-/// Size and floor of one bucket.
+/// Capacity and minimum refill rate of a bucket.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Rate {
-    /// Retries that may be saved up.
+    /// Maximum number of retries accumulated.
     pub(crate) burst: u32,
-    /// Time after which one retry is earned without any success. It lets an
-    /// organisation with little work, or after an outage, try again.
-    pub(crate) floor: Duration,
+    /// Interval at which one retry is earned without any success. It allows
+    /// retries for an organisation with little work or after an outage.
+    pub(crate) refill_interval: Duration,
 }
 
-/// Bucket of an organisation.
+/// Rate of the bucket of each organisation.
 pub(crate) const ORGANISATION: Rate = Rate {
     burst: 50,
-    floor: Duration::from_secs(1),
+    refill_interval: Duration::from_secs(1),
 };
 
-/// Bucket of the instance.
+/// Rate of the bucket of the instance.
 pub(crate) const INSTANCE: Rate = Rate {
     burst: 200,
-    floor: Duration::from_millis(200),
+    refill_interval: Duration::from_millis(200),
 };
 
 #[derive(Debug)]
 struct Bucket {
     rate: Rate,
-    /// At most `rate.burst` retries.
-    saved: u32,
-    /// Time up to which the floor is paid out.
-    paid: Time,
+    /// Units available; at most `rate.burst` retries.
+    available: u32,
+    /// Time up to which the refill is credited.
+    refilled: Time,
 }
 
 impl Bucket {
     fn new(rate: Rate, now: Time) -> Self {
         Self {
             rate,
-            saved: rate.burst * RETRY,
-            paid: now,
+            available: rate.burst * RETRY_COST,
+            refilled: now,
         }
     }
 
-    fn add(&mut self, earned: u32) {
-        self.saved = self
-            .saved
-            .saturating_add(earned)
-            .min(self.rate.burst * RETRY);
+    fn add(&mut self, units: u32) {
+        self.available = self
+            .available
+            .saturating_add(units)
+            .min(self.rate.burst * RETRY_COST);
     }
 
     fn refill(&mut self, now: Time) {
-        // Only whole units are paid; the rest of the time counts later, so that
-        // frequent calls lose nothing.
-        let unit = self.rate.floor / RETRY;
-        let units = now.since(self.paid).as_micros() / unit.as_micros().max(1);
+        // Only whole units are credited. The remaining time counts at the next
+        // call, so that frequent calls lose nothing.
+        let unit = self.rate.refill_interval / RETRY_COST;
+        let units = now.since(self.refilled).as_micros() / unit.as_micros().max(1);
         let units = u32::try_from(units).unwrap_or(u32::MAX);
-        self.paid = self.paid + unit * units;
+        self.refilled = self.refilled + unit * units;
         self.add(units);
     }
 }
 
 /// Retry budget of one instance and of each organisation on it.
 ///
-/// Guards against retries that finish off a sick fleet: when most attempts
-/// fail, every request would bring several times its load. A retry costs one
-/// token of both buckets, and tokens come from successes (one for ten) and a
-/// small floor, so retries stay near a tenth of the work that succeeds.
+/// Without it, retries could overload a degraded fleet: when most attempts fail,
+/// every request would cause several times its load. A retry takes one token
+/// from both buckets. Tokens are earned by successes (one for ten) and at a low
+/// fixed rate, so that retries stay near a tenth of the work that succeeds.
 #[derive(Debug)]
 pub(crate) struct Budget {
     instance: Bucket,
-    /// One for each organisation that retried; the catalogue bounds them.
+    /// Buckets of the organisations that have retried. The catalogue bounds their
+    /// number.
     organisations: HashMap<OrganisationId, Bucket>,
 }
 
 impl Budget {
-    /// Full buckets.
+    /// Creates a budget with full buckets.
     pub(crate) fn new(now: Time) -> Self {
         Self {
             instance: Bucket::new(INSTANCE, now),
@@ -92,15 +93,15 @@
         }
     }
 
-    /// Counts a request that was answered whole.
+    /// Credits a request that was answered completely.
     pub(crate) fn succeeded(&mut self, organisation: &OrganisationId) {
-        self.instance.add(EARNED);
+        self.instance.add(SUCCESS_CREDIT);
         if let Some(bucket) = self.organisations.get_mut(organisation) {
-            bucket.add(EARNED);
+            bucket.add(SUCCESS_CREDIT);
         }
     }
 
-    /// Takes one retry for `organisation`, or says that none is left.
+    /// Takes one retry for `organisation`. Returns false if none is left.
     pub(crate) fn take(&mut self, now: Time, organisation: &OrganisationId) -> bool {
         let bucket = self
             .organisations
@@ -108,11 +109,11 @@
             .or_insert_with(|| Bucket::new(ORGANISATION, now));
         bucket.refill(now);
         self.instance.refill(now);
-        if bucket.saved < RETRY || self.instance.saved < RETRY {
+        if bucket.available < RETRY_COST || self.instance.available < RETRY_COST {
             return false;
         }
-        bucket.saved -= RETRY;
-        self.instance.saved -= RETRY;
+        bucket.available -= RETRY_COST;
+        self.instance.available -= RETRY_COST;
         true
     }
 }
--- a/src/flow.rs
+++ b/src/flow.rs
@@ -1,30 +1,30 @@
-//! Maximum flow: the throughput bound that engines and links allow.
+//! Maximum flow, the bound that engines and links set to the throughput.
 //!
 //! Dinic's algorithm over integer capacities.
 
 use std::collections::VecDeque;
 
-/// A capacity without a limit.
+/// Capacity of an unlimited arc.
 pub(crate) const UNLIMITED: u64 = u64::MAX / 4;
 
-/// A directed network with capacities.
+/// A directed flow network.
 #[derive(Debug, Default)]
 pub(crate) struct Network {
     /// Arc `i ^ 1` is the reverse of arc `i`.
     arcs: Vec<Arc>,
-    /// Arcs that leave each node.
+    /// Indices of the arcs that leave each node.
     nodes: Vec<Vec<usize>>,
 }
 
 #[derive(Debug)]
 struct Arc {
     to: usize,
-    /// Capacity left.
-    left: u64,
+    /// Residual capacity.
+    residual: u64,
 }
 
 impl Network {
-    /// A network of `nodes` nodes without arcs.
+    /// Creates a network of `nodes` nodes without arcs.
     pub(crate) fn new(nodes: usize) -> Self {
         Self {
             arcs: Vec::new(),
@@ -32,23 +32,29 @@
         }
     }
 
-    /// Adds an arc and returns its number for [`flow`](Self::flow).
+    /// Adds an arc and returns its index for [`flow`](Self::flow).
     pub(crate) fn connect(&mut self, from: usize, to: usize, capacity: u64) -> usize {
-        let number = self.arcs.len();
-        self.nodes[from].push(number);
-        self.nodes[to].push(number + 1);
-        self.arcs.push(Arc { to, left: capacity });
-        self.arcs.push(Arc { to: from, left: 0 });
-        number
+        let index = self.arcs.len();
+        self.nodes[from].push(index);
+        self.nodes[to].push(index + 1);
+        self.arcs.push(Arc {
+            to,
+            residual: capacity,
+        });
+        self.arcs.push(Arc {
+            to: from,
+            residual: 0,
+        });
+        index
     }
 
-    /// Flow over an arc after [`maximise`](Self::maximise).
+    /// Flow through an arc after [`maximise`](Self::maximise).
     #[cfg(test)]
-    pub(crate) fn flow(&self, number: usize) -> u64 {
-        self.arcs[number ^ 1].left
+    pub(crate) fn flow(&self, index: usize) -> u64 {
+        self.arcs[index ^ 1].residual
     }
 
-    /// Pushes as much as possible from `source` to `sink`; returns how much.
+    /// Computes the maximum flow from `source` to `sink`.
     pub(crate) fn maximise(&mut self, source: usize, sink: usize) -> u64 {
         let mut total = 0;
         loop {
@@ -67,15 +73,15 @@
         }
     }
 
-    /// Distance of each node from `source` over arcs with capacity left.
+    /// Distance of each node from `source` over arcs with residual capacity.
     fn levels(&self, source: usize) -> Vec<usize> {
         let mut levels = vec![usize::MAX; self.nodes.len()];
         levels[source] = 0;
         let mut queue = VecDeque::from([source]);
         while let Some(node) = queue.pop_front() {
-            for &number in &self.nodes[node] {
-                let arc = &self.arcs[number];
-                if arc.left > 0 && levels[arc.to] == usize::MAX {
+            for &index in &self.nodes[node] {
+                let arc = &self.arcs[index];
+                if arc.residual > 0 && levels[arc.to] == usize::MAX {
                     levels[arc.to] = levels[node] + 1;
                     queue.push_back(arc.to);
                 }
@@ -84,27 +90,27 @@
         levels
     }
 
-    /// Pushes along one shortest path. The depth is at most the number of
-    /// layer boundaries times three.
+    /// Pushes flow along one shortest path and returns the amount. The recursion
+    /// depth is at most three times the number of layer boundaries.
     fn push(
         &mut self,
         node: usize,
         sink: usize,
-        most: u64,
+        limit: u64,
         levels: &[usize],
         next: &mut [usize],
     ) -> u64 {
         if node == sink {
-            return most;
+            return limit;
         }
         while next[node] < self.nodes[node].len() {
-            let number = self.nodes[node][next[node]];
-            let Arc { to, left } = self.arcs[number];
-            if left > 0 && levels[to] == levels[node] + 1 {
-                let pushed = self.push(to, sink, most.min(left), levels, next);
+            let index = self.nodes[node][next[node]];
+            let Arc { to, residual } = self.arcs[index];
+            if residual > 0 && levels[to] == levels[node] + 1 {
+                let pushed = self.push(to, sink, limit.min(residual), levels, next);
                 if pushed > 0 {
-                    self.arcs[number].left -= pushed;
-                    self.arcs[number ^ 1].left += pushed;
+                    self.arcs[index].residual -= pushed;
+                    self.arcs[index ^ 1].residual += pushed;
                     return pushed;
                 }
             }
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -1,10 +1,10 @@
-//! Order of waiting work between organisations and classes.
+//! Fair queue of waiting work, by class and organisation.
 //!
-//! Classes come first: a higher class is served before a lower one, but every
-//! lower class is sure of a small floor of the service, so nothing starves.
-//! Inside a class the organisation with the smallest virtual time is served
-//! (start-time fair queueing). What one dispatch adds to the virtual time is
-//! the [`Discipline`]'s business.
+//! A higher class is served before a lower one, but every lower class is
+//! guaranteed a small minimum share of the service, its floor, so that none
+//! starves. Within a class, the organisation with the smallest virtual time is
+//! served first (start-time fair queueing). The [`Discipline`] decides what one
+//! dispatch adds to the virtual time.
 
 mod item;
 mod rate;
@@ -23,22 +23,22 @@
 use rate::ServiceRate;
 use tenant::Tenants;
 
-/// Classes in their order of priority.
+/// Classes, highest priority first.
 const CLASSES: [Class; 3] = [Class::Interactive, Class::Standard, Class::Bulk];
 
-/// Share of the served cost that a waiting class is sure of, by class.
+/// Share of the served cost guaranteed to a waiting class, by class.
 const FLOOR: [f64; 3] = [0.0, 0.10, 0.05];
 
 /// How a dispatch is charged to its organisation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discipline {
-    /// First in, first out: no organisations at all. A baseline.
+    /// First in, first out, regardless of organisations. A baseline.
     Fifo,
-    /// One dispatch costs one stride, whatever it runs: weighted fair dispatch
+    /// Each dispatch costs one stride, whatever it runs: weighted fair dispatch
     /// as in Temporal's fairness pattern
     /// (<https://docs.temporal.io/design-patterns/fairness>). A baseline.
     Stride,
-    /// A dispatch costs its estimate, corrected when the true cost is known.
+    /// A dispatch costs its estimate, corrected once the actual cost is known.
     #[default]
     Cost,
 }
@@ -48,13 +48,13 @@
 pub struct Queue {
     discipline: Discipline,
     classes: [Tenants; 3],
-    /// Floor service owed to each class while it waits behind higher ones.
+    /// Floor service owed to each class, accrued while it waits behind others.
     credit: [f64; 3],
-    /// Every waiting item by id, with the number of its push.
+    /// All waiting items by id, with the sequence number of their push.
     items: HashMap<u64, (Item, u64)>,
-    /// Number of the latest push.
+    /// Sequence number of the latest push.
     pushes: u64,
-    /// Deadline and id of every waiting item.
+    /// Deadline and id of all waiting items.
     deadlines: BTreeSet<(Time, u64)>,
     /// Number of waiting items of each route.
     routes: HashMap<Arc<str>, u32>,
@@ -62,7 +62,7 @@
 }
 
 impl Queue {
-    /// An empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(discipline: Discipline) -> Self {
         Self {
@@ -97,13 +97,13 @@
         self.items.is_empty()
     }
 
-    /// Takes an item in, or refuses it with a time to come back.
+    /// Enqueues an item, or refuses it with a time after which to retry.
     ///
     /// # Errors
-    /// [`RefusalReason::Full`] when the route already has `item.bound` waiting,
-    /// [`RefusalReason::Deadline`] when the present service rate can't start
-    /// the item before its deadline, [`RefusalReason::Duplicate`] when the id
-    /// already waits.
+    /// [`RefusalReason::Full`] if `item.bound` items of the route already wait,
+    /// [`RefusalReason::Deadline`] if the item can't be started before its
+    /// deadline at the present service rate, [`RefusalReason::Duplicate`] if an
+    /// item with this id already waits.
     pub fn push(&mut self, now: Time, item: Item) -> Result<(), Refusal> {
         if self.items.contains_key(&item.id) {
             return Err(Refusal::new(RefusalReason::Duplicate, Duration::ZERO));
@@ -113,9 +113,9 @@
         if waiting >= item.bound {
             return Err(Refusal::new(RefusalReason::Full, wait));
         }
-        let left = item.deadline.since(now);
-        if wait >= left {
-            return Err(Refusal::new(RefusalReason::Deadline, wait - left));
+        let remaining = item.deadline.since(now);
+        if wait >= remaining {
+            return Err(Refusal::new(RefusalReason::Deadline, wait - remaining));
         }
         self.insert(now, item);
         Ok(())
@@ -123,33 +123,33 @@
 
     fn insert(&mut self, now: Time, item: Item) {
         if self.items.is_empty() {
-            self.rate.busy(now);
+            self.rate.start(now);
         }
         *self.routes.entry(item.route.clone()).or_default() += 1;
         self.pushes += 1;
         self.deadlines.insert((item.deadline, item.id));
-        let key = self.key(&item);
+        let key = self.fairness_key(&item);
         self.classes[item.class as usize].push(&key, self.pushes, item.id, item.cost);
         self.items.insert(item.id, (item, self.pushes));
     }
 
-    /// Takes out the item that is served next.
+    /// Dequeues the item to serve next.
     pub fn pop(&mut self, now: Time) -> Option<Item> {
         let index = self.next_class()?;
         let id = self.classes[index].pop()?;
-        let (item, _) = self.forget(id)?;
+        let (item, _) = self.unindex(id)?;
         let charge = self.charge(item.cost);
-        let key = self.key(&item);
+        let key = self.fairness_key(&item);
         self.classes[index].charge(&key, charge);
         self.account(index, item.cost);
-        self.rate.served(now, item.cost);
+        self.rate.record(now, item.cost);
         if self.items.is_empty() {
-            self.rate.idle(now);
+            self.rate.stop(now);
         }
         Some(item)
     }
 
-    /// Corrects the account of an organisation once the true cost of a
+    /// Corrects the charge to an organisation once the actual cost of a
     /// dispatched item is known. Costs are in the unit of [`Item::cost`].
     pub fn settle(
         &mut self,
@@ -164,43 +164,43 @@
         self.classes[class as usize].charge(organisation, actual - estimated);
     }
 
-    /// Takes out an item whose caller left.
+    /// Removes an item whose caller disconnected.
     pub fn remove(&mut self, id: u64) -> Option<Item> {
-        let (item, push) = self.forget(id)?;
-        let key = self.key(&item);
+        let (item, push) = self.unindex(id)?;
+        let key = self.fairness_key(&item);
         self.classes[item.class as usize].remove(&key, push);
         Some(item)
     }
 
-    /// Takes out every item whose deadline has come.
+    /// Removes all items whose deadline has passed.
     pub fn expire(&mut self, now: Time) -> Vec<Item> {
-        let mut gone = Vec::new();
+        let mut expired = Vec::new();
         while let Some(&(deadline, id)) = self.deadlines.first() {
             if deadline > now {
                 break;
             }
-            gone.extend(self.remove(id));
+            expired.extend(self.remove(id));
         }
-        gone
+        expired
     }
 
-    /// Time until `item` would be served if it were taken in now, by the
-    /// present service rate. Zero while the rate isn't known.
+    /// Time until `item` would be served if it were enqueued now, at the present
+    /// service rate. Zero while the rate is unknown.
     #[must_use]
     pub fn expected_wait(&self, item: &Item) -> Duration {
         let class = item.class as usize;
-        let key = self.key(item);
+        let key = self.fairness_key(item);
         let ahead = self.classes[class].work_ahead(&key);
         let higher: f64 = self.classes[..class].iter().map(Tenants::backlog).sum();
         let total = ahead + higher;
-        let floored = match class {
+        let bounded = match class {
             0 => total,
             _ => total.min(ahead / FLOOR[class]),
         };
-        self.rate.time_for(floored)
+        self.rate.time_for(bounded)
     }
 
-    fn key(&self, item: &Item) -> OrganisationId {
+    fn fairness_key(&self, item: &Item) -> OrganisationId {
         match self.discipline {
             Discipline::Fifo => OrganisationId::from(""),
             _ => item.organisation.clone(),
@@ -214,7 +214,7 @@
         }
     }
 
-    /// The highest class with work, unless a lower one is owed its floor.
+    /// The highest class with waiting items, unless a lower one is owed its floor.
     fn next_class(&self) -> Option<usize> {
         let owed = (1..CLASSES.len()).rev().find(|&i| {
             !self.classes[i].is_empty() && self.credit[i] >= self.classes[i].head_cost()
@@ -222,8 +222,8 @@
         owed.or_else(|| (0..CLASSES.len()).find(|&i| !self.classes[i].is_empty()))
     }
 
-    /// Books a service of `cost`: classes that waited behind it earn their
-    /// floor of it, the served class pays.
+    /// Accounts for a service of `cost`: the other waiting classes are credited
+    /// their floor of it, the served class is debited.
     fn account(&mut self, served: usize, cost: f64) {
         for (i, credit) in self.credit.iter_mut().enumerate() {
             if i == served {
@@ -234,8 +234,9 @@
         }
     }
 
-    /// Drops an item from all but its class; returns it and its push.
-    fn forget(&mut self, id: u64) -> Option<(Item, u64)> {
+    /// Removes an item from all indices but that of its class; returns it with
+    /// the sequence number of its push.
+    fn unindex(&mut self, id: u64) -> Option<(Item, u64)> {
         let (item, push) = self.items.remove(&id)?;
         self.deadlines.remove(&(item.deadline, id));
         if let Some(count) = self.routes.get_mut(&item.route) {
--- a/src/queue/item.rs
+++ b/src/queue/item.rs
@@ -1,4 +1,4 @@
-//! What waits in the queue and how it is refused.
+//! Items of the queue and reasons for refusing them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,39 +14,39 @@
 pub struct Item {
     /// Unique among the waiting items of the instance.
     pub id: u64,
-    /// Route of the catalogue that the request came in by.
+    /// Route of the catalogue that the request uses.
     pub route: Arc<str>,
     /// Owner of the route.
     pub organisation: OrganisationId,
     /// Class of work.
     pub class: Class,
-    /// Estimated cost in stage seconds (or tokens; one unit for the whole
-    /// queue). Positive and finite.
+    /// Estimated cost in stage seconds or tokens, with one unit for the whole
+    /// queue. Positive and finite.
     pub cost: f64,
-    /// When the request is worth nothing any more.
+    /// Time after which the request is of no use to its caller.
     pub deadline: Time,
-    /// Items that the route may have waiting on this instance at present.
+    /// Maximum number of items of the route that may wait on this instance.
     pub bound: u32,
 }
 
-/// Why the queue didn't take an item.
+/// Why the queue refused an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The route has as many items waiting as it may.
+    /// The maximum number of items of the route already wait.
     Full,
     /// The item wouldn't be served before its deadline.
     Deadline,
-    /// An item with this id waits already.
+    /// An item with this id already waits.
     Duplicate,
 }
 
-/// The queue didn't take an item. The request was not run.
+/// The queue refused an item. The request was not run.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the request was not run ({reason:?}): send it again in {retry_after:?}"))]
+#[snafu(display("request not run: queue refused it ({reason:?}); retry in {retry_after:?}"))]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When another try has a chance.
+    /// Time after which a retry may succeed.
     pub retry_after: Duration,
 }
 
--- a/src/queue/rate.rs
+++ b/src/queue/rate.rs
@@ -1,36 +1,37 @@
-//! Measured service rate of a queue.
+//! Estimate of a queue's service rate.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
 /// Time constant of the estimate, in busy seconds.
-const WINDOW: f64 = 2.0;
-/// Busy time before the estimate is trusted, in seconds.
-const WARM: f64 = 0.5;
+const TIME_CONSTANT: f64 = 2.0;
+/// Minimum busy time before the estimate is used, in seconds.
+const MIN_BUSY: f64 = 0.5;
 
-/// Cost served a second while something waits. Idle time doesn't count: an
-/// idle queue says nothing about how fast it could be served.
+/// Cost served per second while items wait. Idle time doesn't count: it says
+/// nothing about how fast the queue could be served.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceRate {
-    /// Decayed served cost over decayed busy seconds.
+    /// Decayed sum of the served cost.
     cost: f64,
+    /// Decayed sum of the busy time, in seconds.
     seconds: f64,
-    /// Start of the busy time not yet counted, when something waits.
+    /// Start of the busy time not yet counted; `None` while idle.
     since: Option<Time>,
 }
 
 impl ServiceRate {
-    pub(crate) fn busy(&mut self, now: Time) {
+    pub(crate) fn start(&mut self, now: Time) {
         self.since.get_or_insert(now);
     }
 
-    pub(crate) fn idle(&mut self, now: Time) {
+    pub(crate) fn stop(&mut self, now: Time) {
         self.advance(now);
         self.since = None;
     }
 
-    pub(crate) fn served(&mut self, now: Time, cost: f64) {
+    pub(crate) fn record(&mut self, now: Time, cost: f64) {
         self.advance(now);
         self.cost += cost;
     }
@@ -41,15 +42,15 @@
         if busy == 0.0 {
             return;
         }
-        let keep = (-busy / WINDOW).exp();
-        self.cost *= keep;
-        self.seconds = self.seconds * keep + busy;
+        let decay = (-busy / TIME_CONSTANT).exp();
+        self.cost *= decay;
+        self.seconds = self.seconds * decay + busy;
         self.since = Some(now);
     }
 
-    /// Time to serve `cost`, or zero while the rate isn't known.
+    /// Time to serve `cost`; zero while the rate is unknown.
     pub(crate) fn time_for(&self, cost: f64) -> Duration {
-        if self.seconds < WARM || self.cost <= 0.0 {
+        if self.seconds < MIN_BUSY || self.cost <= 0.0 {
             return Duration::ZERO;
         }
         let secs = cost * self.seconds / self.cost;
--- a/src/queue/tenant.rs
+++ b/src/queue/tenant.rs
@@ -5,22 +5,22 @@
 use crate::collections::HashMap;
 use crate::id::OrganisationId;
 
-/// Idle organisations kept before those without debt are dropped.
-const IDLE_KEPT: usize = 4096;
+/// Number of idle organisations kept before those without debt are dropped.
+const MAX_IDLE: usize = 4096;
 
 /// A virtual time. Finite, ordered by `total_cmp`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Virtual(f64);
+struct VirtualTime(f64);
 
-impl Eq for Virtual {}
+impl Eq for VirtualTime {}
 
-impl PartialOrd for Virtual {
+impl PartialOrd for VirtualTime {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Virtual {
+impl Ord for VirtualTime {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0)
     }
@@ -32,15 +32,15 @@
     cost: f64,
 }
 
-/// One organisation's line.
+/// Queue of one organisation.
 #[derive(Debug)]
 struct Tenant {
     weight: f64,
-    /// Served cost by weight, in the class's virtual time.
-    passed: f64,
-    /// Waiting items by the number of their push: oldest first.
-    line: BTreeMap<u64, Waiting>,
-    /// Cost of `line`.
+    /// Served cost divided by the weight, in the class's virtual time.
+    virtual_time: f64,
+    /// Waiting items by the sequence number of their push, oldest first.
+    queue: BTreeMap<u64, Waiting>,
+    /// Total cost of `queue`.
     backlog: f64,
 }
 
@@ -49,10 +49,10 @@
 pub(crate) struct Tenants {
     index: HashMap<OrganisationId, usize>,
     slab: Vec<Tenant>,
-    /// Exactly the organisations with waiting items, by virtual time.
-    order: BTreeSet<(Virtual, usize)>,
+    /// Precisely the organisations with waiting items, by virtual time.
+    order: BTreeSet<(VirtualTime, usize)>,
     /// Virtual time of the class: that of the organisation served last. An
-    /// organisation that comes back starts here, so idling saves up nothing.
+    /// organisation that was idle starts here, so that idle time earns no credit.
     clock: f64,
     backlog: f64,
     /// Sum of the weights in `order`.
@@ -64,79 +64,79 @@
         self.order.is_empty()
     }
 
-    /// Cost of all waiting items.
+    /// Total cost of all waiting items.
     pub(crate) fn backlog(&self) -> f64 {
         self.backlog
     }
 
     pub(crate) fn set_weight(&mut self, organisation: &OrganisationId, weight: f64) {
         let valid = weight.is_finite() && weight > 0.0;
-        let i = self.find(organisation);
+        let i = self.find_or_insert(organisation);
         let old = std::mem::replace(&mut self.slab[i].weight, if valid { weight } else { 1.0 });
-        if !self.slab[i].line.is_empty() {
+        if !self.slab[i].queue.is_empty() {
             self.weights += self.slab[i].weight - old;
         }
     }
 
     pub(crate) fn push(&mut self, organisation: &OrganisationId, push: u64, id: u64, cost: f64) {
         let clock = self.clock;
-        let i = self.find(organisation);
+        let i = self.find_or_insert(organisation);
         let tenant = &mut self.slab[i];
-        let idle = tenant.line.is_empty();
-        tenant.line.insert(push, Waiting { id, cost });
+        let idle = tenant.queue.is_empty();
+        tenant.queue.insert(push, Waiting { id, cost });
         tenant.backlog += cost;
         self.backlog += cost;
         if idle {
-            tenant.passed = tenant.passed.max(clock);
+            tenant.virtual_time = tenant.virtual_time.max(clock);
             self.weights += tenant.weight;
-            self.order.insert((Virtual(tenant.passed), i));
+            self.order.insert((VirtualTime(tenant.virtual_time), i));
         }
     }
 
-    /// Takes the oldest item of the organisation with the smallest virtual
-    /// time; returns its id.
+    /// Removes the oldest item of the organisation with the smallest virtual
+    /// time and returns its id.
     pub(crate) fn pop(&mut self) -> Option<u64> {
-        let &(passed, i) = self.order.first()?;
-        self.clock = self.clock.max(passed.0);
-        let (_, waiting) = self.slab[i].line.pop_first()?;
-        self.left(i, waiting.cost);
+        let &(virtual_time, i) = self.order.first()?;
+        self.clock = self.clock.max(virtual_time.0);
+        let (_, waiting) = self.slab[i].queue.pop_first()?;
+        self.on_removed(i, waiting.cost);
         Some(waiting.id)
     }
 
-    /// Moves an organisation's virtual time by `cost`, which may be negative
-    /// when an estimate was too high.
+    /// Advances an organisation's virtual time by `cost`, which is negative if an
+    /// estimate was too high.
     pub(crate) fn charge(&mut self, organisation: &OrganisationId, cost: f64) {
         let Some(&i) = self.index.get(organisation) else {
             return;
         };
         let tenant = &mut self.slab[i];
-        let before = Virtual(tenant.passed);
-        tenant.passed += cost / tenant.weight;
-        if !tenant.line.is_empty() {
+        let before = VirtualTime(tenant.virtual_time);
+        tenant.virtual_time += cost / tenant.weight;
+        if !tenant.queue.is_empty() {
             self.order.remove(&(before, i));
-            self.order.insert((Virtual(tenant.passed), i));
+            self.order.insert((VirtualTime(tenant.virtual_time), i));
         }
     }
 
-    /// Takes out an item that leaves without being served.
+    /// Removes an item that won't be served.
     pub(crate) fn remove(&mut self, organisation: &OrganisationId, push: u64) {
         let Some(&i) = self.index.get(organisation) else {
             return;
         };
-        if let Some(waiting) = self.slab[i].line.remove(&push) {
-            self.left(i, waiting.cost);
+        if let Some(waiting) = self.slab[i].queue.remove(&push) {
+            self.on_removed(i, waiting.cost);
         }
     }
 
-    /// Books that an item of `cost` left a line.
-    fn left(&mut self, i: usize, cost: f64) {
+    /// Updates the sums after an item of `cost` was removed from a queue.
+    fn on_removed(&mut self, i: usize, cost: f64) {
         let tenant = &mut self.slab[i];
         tenant.backlog -= cost;
         self.backlog -= cost;
-        if !tenant.line.is_empty() {
+        if !tenant.queue.is_empty() {
             return;
         }
-        self.order.remove(&(Virtual(tenant.passed), i));
+        self.order.remove(&(VirtualTime(tenant.virtual_time), i));
         tenant.backlog = 0.0;
         self.weights -= tenant.weight;
         if self.order.is_empty() {
@@ -145,71 +145,71 @@
         }
     }
 
-    /// Cost of the next item, zero when nothing waits.
+    /// Cost of the next item; zero if none waits.
     pub(crate) fn head_cost(&self) -> f64 {
         let Some(&(_, i)) = self.order.first() else {
             return 0.0;
         };
         self.slab[i]
-            .line
+            .queue
             .first_key_value()
             .map_or(0.0, |(_, w)| w.cost)
     }
 
-    /// Cost served before a new item of the organisation would be: its own
-    /// line at its share of the service, at most the whole backlog.
+    /// Cost that is served before a new item of the organisation: its own queue
+    /// at its share of the service, but at most the whole backlog.
     pub(crate) fn work_ahead(&self, organisation: &OrganisationId) -> f64 {
         let tenant = self.index.get(organisation).map(|&i| &self.slab[i]);
-        let (own, weight, live) = tenant.map_or((0.0, 1.0, false), |t| {
-            (t.backlog, t.weight, !t.line.is_empty())
+        let (own, weight, active) = tenant.map_or((0.0, 1.0, false), |t| {
+            (t.backlog, t.weight, !t.queue.is_empty())
         });
-        let others = if live {
+        let others = if active {
             self.weights - weight
         } else {
             self.weights
         };
-        let debt = tenant.map_or(0.0, |t| (t.passed - self.clock).max(0.0));
+        let debt = tenant.map_or(0.0, |t| (t.virtual_time - self.clock).max(0.0));
         let shared = own + (own + debt * weight) * others / weight;
         shared.min(self.backlog)
     }
 
-    fn find(&mut self, organisation: &OrganisationId) -> usize {
+    fn find_or_insert(&mut self, organisation: &OrganisationId) -> usize {
         if let Some(&i) = self.index.get(organisation) {
             return i;
         }
-        if self.slab.len() >= IDLE_KEPT + 2 * self.order.len() {
+        if self.slab.len() >= MAX_IDLE + 2 * self.order.len() {
             self.compact();
         }
         let i = self.slab.len();
         self.index.insert(organisation.clone(), i);
         self.slab.push(Tenant {
             weight: 1.0,
-            passed: self.clock,
-            line: BTreeMap::new(),
+            virtual_time: self.clock,
+            queue: BTreeMap::new(),
             backlog: 0.0,
         });
         i
     }
 
-    /// Drops organisations that are idle, without debt and of default weight:
-    /// they would start at the clock anyway.
+    /// Drops organisations that are idle, without debt and of default weight.
+    /// They would start at the class's virtual time anyway.
     fn compact(&mut self) {
         let clock = self.clock;
         let old = std::mem::take(&mut self.slab);
-        let mut places = vec![usize::MAX; old.len()];
+        let mut indices = vec![usize::MAX; old.len()];
         for (i, tenant) in old.into_iter().enumerate() {
-            let idle = tenant.line.is_empty() && tenant.passed <= clock;
+            let idle = tenant.queue.is_empty() && tenant.virtual_time <= clock;
             if idle && (tenant.weight - 1.0).abs() < f64::EPSILON {
                 continue;
             }
-            places[i] = self.slab.len();
+            indices[i] = self.slab.len();
             self.slab.push(tenant);
         }
         self.index.retain(|_, i| {
-            *i = places[*i];
+            *i = indices[*i];
             *i != usize::MAX
         });
         let order = std::mem::take(&mut self.order);
-        self.order = order.into_iter().map(|(v, i)| (v, places[i])).collect();
+        self.order = order.into_iter().map(|(v, i)| (v, indices[i])).collect();
     }
 }
--- a/src/tests/budget.rs
+++ b/src/tests/budget.rs
@@ -5,17 +5,17 @@
 use crate::budget::{Budget, INSTANCE, ORGANISATION};
 use crate::{OrganisationId, Time};
 
-/// Every engine is sick and each attempt fails. Callers go on sending, and
-/// retries must not multiply the load until nothing recovers.
+/// Every attempt fails while callers keep sending. Retries must not multiply the
+/// load, or the fleet could not recover.
 #[test]
-fn take_sick_fleet() {
+fn take_all_attempts_fail() {
     let organisation = OrganisationId::from("a");
     let mut budget = Budget::new(Time(0));
     let at = |ms: u64| Time(ms * 1_000);
     let retries = (0..10_000).filter(|ms| budget.take(at(*ms), &organisation));
     let seconds = 10;
     assert_eq!(retries.count() as u32, ORGANISATION.burst + seconds - 1);
-    // Another organisation has its own share of the instance's budget.
+    // Another organisation has its own part of the instance's budget.
     assert!(budget.take(at(10_000), &OrganisationId::from("b")));
 }
 
@@ -39,7 +39,7 @@
     assert_eq!(retries.count(), 10);
 }
 
-/// The floor is paid out in small pieces when the budget is asked often.
+/// Frequent calls must not lose refill time to rounding.
 #[test]
 fn take_often() {
     let organisation = OrganisationId::from("a");
--- a/src/tests/flow.rs
+++ b/src/tests/flow.rs
@@ -24,7 +24,7 @@
     assert_eq!(network.maximise(0, 2), 0);
 }
 
-/// The flow equals the smallest cut, found by trying every set of nodes.
+/// The maximum flow equals the minimum cut, found by trying every set of nodes.
 #[test]
 fn maximise_equals_minimum_cut() {
     const NODES: usize = 7;
@@ -39,9 +39,9 @@
             arcs.push((from, to, capacity));
         }
         let cut = |set: usize| -> u64 {
-            let leaves =
+            let crosses =
                 |&&(from, to, _): &&(usize, usize, u64)| set >> from & 1 == 1 && set >> to & 1 == 0;
-            arcs.iter().filter(leaves).map(|a| a.2).sum()
+            arcs.iter().filter(crosses).map(|a| a.2).sum()
         };
         let holds_ends = |set: &usize| set & 1 == 1 && set >> (NODES - 1) & 1 == 0;
         let least = (0..1 << NODES).filter(holds_ends).map(cut).min();
--- a/src/tests/queue.rs
+++ b/src/tests/queue.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Cost served of each organisation over `pops` services.
+/// Cost served per organisation over `pops` services.
 fn served(queue: &mut Queue, pops: usize) -> HashMap<OrganisationId, f64> {
     let mut sums = HashMap::default();
     for _ in 0..pops {
@@ -34,8 +34,8 @@
     sums
 }
 
-/// Both organisations always have work; requests of one cost ten times those
-/// of the other. Only charging by cost serves both alike.
+/// Both organisations always have work, and requests of one cost ten times those
+/// of the other. Only charging by cost serves both equally.
 #[rstest]
 #[case::cost(Discipline::Cost, 0.9..1.1)]
 #[case::stride(Discipline::Stride, 9.0..11.0)]
@@ -65,8 +65,8 @@
     assert_eq!(sums[&"a".into()] / sums[&"b".into()], 3.0);
 }
 
-/// Estimates of one organisation are ten times too low. Without the
-/// correction it would get ten times its part.
+/// Estimates of one organisation are ten times too low. Without the correction
+/// it would get ten times its share.
 #[test]
 fn settle_corrects_low_estimate() {
     let mut queue = Queue::new(Discipline::Cost);
@@ -89,10 +89,10 @@
     assert!((0.95..1.05).contains(&ratio), "{ratio}");
 }
 
-/// An organisation that was idle for long comes back with a burst. Had it
-/// saved up its turns, the others would wait for the whole burst.
+/// An organisation sends a burst after being idle. If idle time earned credit,
+/// the others would wait for the whole burst.
 #[test]
-fn push_after_idle_saves_nothing() {
+fn push_after_idle_earns_no_credit() {
     let mut queue = Queue::new(Discipline::Cost);
     queue.push(Time(0), item(0, "idle", 1.0)).unwrap();
     queue.pop(Time(0));
@@ -107,7 +107,7 @@
     assert!(sums[&"busy".into()] >= 49.0, "{sums:?}");
 }
 
-/// Interactive work without end must leave bulk work its floor.
+/// A constant backlog of interactive work must leave lower classes their floor.
 #[test]
 fn pop_lower_class_keeps_floor() {
     let mut queue = Queue::new(Discipline::Cost);
@@ -142,10 +142,10 @@
     queue.push(Time(0), bound(2)).unwrap();
 }
 
-/// A queue that serves one item a second holds ten. A request that has five
-/// seconds left must hear at once that it won't be served, and when to come.
+/// A queue that serves one item per second holds ten. A request with a deadline
+/// in five seconds must be refused at once, with a time after which to retry.
 #[test]
-fn push_hopeless_deadline() {
+fn push_unreachable_deadline() {
     let mut queue = Queue::new(Discipline::Cost);
     for id in 0..20 {
         queue.push(Time(0), item(id, "a", 1.0)).unwrap();
@@ -171,8 +171,8 @@
     queue.push(now, other).unwrap();
 }
 
-/// A caller leaves and comes back under the same id with a later deadline. Its
-/// old deadline and place must not count for the new request.
+/// An id is removed and pushed again with a later deadline. The old deadline and
+/// position must not apply to the new item.
 #[test]
 fn expire_id_pushed_again() {
     let mut queue = Queue::new(Discipline::Cost);
@@ -195,8 +195,8 @@
     assert_eq!(queue.pop(at(2)), None);
 }
 
-/// Random pushes, services, departures and expiries: every item taken in comes
-/// out once, the queue serves whenever something waits, and nothing is left.
+/// Random pushes, services, removals and expiries: every accepted item comes out
+/// once, and the queue serves an item whenever one waits.
 #[rstest]
 fn push_random_runs(
     #[values(Discipline::Cost, Discipline::Stride, Discipline::Fifo)] discipline: Discipline,
@@ -204,7 +204,7 @@
     for seed in 0..60 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut queue = Queue::new(discipline);
-        let mut inside: HashSet<u64> = HashSet::default();
+        let mut waiting: HashSet<u64> = HashSet::default();
         let mut now = Time(0);
         for _ in 0..1500 {
             now = now + Duration::from_millis(rng.random_range(0..20));
@@ -218,24 +218,24 @@
                     item.deadline = now + Duration::from_millis(rng.random_range(1..3000));
                     item.bound = 15;
                     if queue.push(now, item).is_ok() {
-                        assert!(inside.insert(id), "taken in twice, seed {seed}");
+                        assert!(waiting.insert(id), "accepted twice, seed {seed}");
                     }
                     Vec::new()
                 }
                 5..=7 => {
                     let out = queue.pop(now);
-                    assert_eq!(out.is_some(), !inside.is_empty(), "idle, seed {seed}");
+                    assert_eq!(out.is_some(), !waiting.is_empty(), "idle, seed {seed}");
                     out.into_iter().collect()
                 }
                 8 => queue.remove(id).into_iter().collect(),
                 _ => queue.expire(now),
             };
             for item in out {
-                assert!(inside.remove(&item.id), "out twice, seed {seed}");
+                assert!(waiting.remove(&item.id), "came out twice, seed {seed}");
                 let actual = rng.random_range(0.1..40.0);
                 queue.settle(&item.organisation, item.class, item.cost, actual);
             }
-            assert_eq!(queue.len(), inside.len(), "seed {seed}");
+            assert_eq!(queue.len(), waiting.len(), "seed {seed}");
         }
     }
 }
