--- a/src/route.rs
+++ b/src/route.rs
@@ -1,11 +1,11 @@
-//! Choice of a pipeline: an ordered list of upstreams that covers all layers once.
+//! Choice of a pipeline: an ordered list of upstreams that covers each layer once.
 //!
-//! [`Router::set_view`] takes the announced upstreams in and, when one of them
-//! changed its capacity or state, computes for each model in use the maximum
-//! flow over engines and links and spreads it evenly. [`Router::choose`] walks
-//! from layer 0 to the last one and draws each hop by its share of that flow,
-//! then corrects by load. Since the draw is random, many instances that see
-//! the same late reports don't all choose the same engine.
+//! [`Router::set_view`] applies the announced upstreams and, if the capacity or
+//! state of one changed, computes the maximum flow over engines and links for
+//! each model in use and distributes it evenly. [`Router::choose`] walks from
+//! layer 0 to the last one, draws each hop by its share of that flow and then
+//! corrects for load. Because the draw is random, instances that see the same
+//! outdated reports don't all choose the same engine.
 
 mod engine;
 mod engines;
@@ -39,10 +39,10 @@
 use walk::Walk;
 
 /// Time after which the plan of an unused model and set of pools is dropped.
-const PLAN_KEPT: Duration = Duration::from_secs(30);
+const PLAN_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Plans kept at most; beyond it the least recently used one goes.
-const PLANS: usize = 512;
+/// Maximum number of plans; beyond it the least recently used one is dropped.
+const MAX_PLANS: usize = 512;
 
 /// Chooses paths for one instance.
 #[derive(Debug)]
@@ -50,23 +50,23 @@
     rng: ChaCha8Rng,
     policy: Box<dyn Policy>,
     engines: Engines,
-    /// Plans by the hash of model and pools.
+    /// Plans by the hash of their model and pools.
     plans: HashMap<u64, Vec<Plan>>,
     prefixes: Prefixes,
-    /// Instances that choose from the same reports, this one included, if
-    /// that was told.
+    /// Number of instances that choose from the same reports, including this
+    /// one; `None` if never set.
     instances: Option<u32>,
     returns: Arc<SegQueue<Vec<u32>>>,
 }
 
 impl Router {
-    /// A router that steers by flow shares.
+    /// Creates a router that chooses by flow shares.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self::with_policy(seed, Box::new(FlowShares))
     }
 
-    /// A router with another policy, for comparison.
+    /// Creates a router with another policy, for comparison.
     #[must_use]
     pub fn with_policy(seed: u64, policy: Box<dyn Policy>) -> Self {
         Self {
@@ -80,20 +80,20 @@
         }
     }
 
-    /// Tells how many instances choose from the same reports, this one
-    /// included. When it was never told, it is estimated from the loads.
+    /// Sets how many instances choose from the same reports, including this one.
+    /// Until it is set, the number is estimated from the loads.
     pub fn set_instances(&mut self, instances: u32) {
         self.instances = Some(instances.max(1));
     }
 
-    /// Takes over the engines that announce themselves at present. Plans in
-    /// use are computed anew when capacities, states or ejections changed.
+    /// Applies the engines announced at present. Plans in use are recomputed if
+    /// capacities, states or ejections changed.
     pub fn set_view(&mut self, now: Time, stages: &[Stage]) {
         self.collect();
         let instances = self.instances.map(f64::from);
         let changed = self.engines.update(now, stages, instances, &mut self.rng);
         for plans in self.plans.values_mut() {
-            plans.retain(|plan| now.since(plan.used) < PLAN_KEPT);
+            plans.retain(|plan| now.since(plan.used) < PLAN_IDLE_TIMEOUT);
             if changed {
                 plans.iter_mut().for_each(|p| p.rebuild(&self.engines));
             }
@@ -104,7 +104,7 @@
     /// Chooses a path for one request.
     ///
     /// # Errors
-    /// [`NoPath`]: the request was not sent anywhere.
+    /// [`NoPath`] if there is no path; nothing was sent.
     pub fn choose(&mut self, now: Time, query: &Query<'_>) -> Result<Choice, NoPath> {
         self.collect();
         let key = self.plan_key(now, query);
@@ -119,13 +119,13 @@
             cached,
             full: Cell::new(false),
             probing: Cell::new(true),
-            crowd: Cell::new(0.0),
+            load_ratio: Cell::new(0.0),
             contended: self.instances != Some(1) && plan.is_contended(now),
         };
         let path = walk.path(plan, self.policy.as_mut(), &mut self.rng);
         let full = matches!(&path, Err(none) if none.reason == NoPathReason::Full);
         if full {
-            plan.contend(now, walk.crowd.get());
+            plan.set_contended(now, walk.load_ratio.get());
         }
         let (variant, steps) = path?;
         let hops = steps.iter().map(|step| Hop {
@@ -149,7 +149,7 @@
         Ok(choice)
     }
 
-    /// Gives the in-flight weight of a path back and learns from its outcome.
+    /// Releases the in-flight count of a path and records its outcome.
     pub fn finish(&mut self, now: Time, mut ticket: Ticket, outcome: Outcome) {
         let engines = std::mem::take(&mut ticket.engines);
         for &engine in &engines {
@@ -162,8 +162,8 @@
                     self.engines.succeeded(now, engine, factor);
                 }
                 if let Some(prefix) = ticket.prefix {
-                    let places = engines.iter().map(|&e| (e, self.engines[e].epoch));
-                    self.prefixes.learn(now, prefix, places);
+                    let locations = engines.iter().map(|&e| (e, self.engines[e].epoch));
+                    self.prefixes.record(now, prefix, locations);
                 }
             }
             Outcome::Failed { stage } => {
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Tokens a second that engines and links allow for a model in a set of
-    /// pools: the maximum flow. Zero when there is no complete path.
+    /// Maximum flow of a model in a set of pools, in tokens per second, as bounded
+    /// by engines and links. Zero if there is no complete path.
     pub fn bound(&mut self, now: Time, model: &str, pools: &[String]) -> f64 {
         let query = Query::new(model, pools);
         let key = self.plan_key(now, &query);
@@ -195,7 +195,7 @@
         plan.map_or(0.0, Plan::bound)
     }
 
-    /// Requests of this instance that are in flight on an upstream.
+    /// Number of this instance's requests in flight on an upstream.
     #[must_use]
     pub fn in_flight(&mut self, upstream: &crate::id::UpstreamId) -> u32 {
         self.collect();
@@ -208,7 +208,7 @@
         self.engines.is_ejected(now, upstream)
     }
 
-    /// Finds the plan of a query or computes it, and marks it as used.
+    /// Finds or computes the plan of a query, marks it as used and returns its key.
     fn plan_key(&mut self, now: Time, query: &Query<'_>) -> u64 {
         let mut hasher = FxHasher::default();
         query.model.hash(&mut hasher);
@@ -227,7 +227,7 @@
     }
 
     fn evict(&mut self) {
-        if self.plans.len() <= PLANS {
+        if self.plans.len() <= MAX_PLANS {
             return;
         }
         let oldest = self.plans.iter().min_by_key(|(_, plans)| {
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Gives back what dropped tickets held.
+    /// Releases the in-flight counts of dropped tickets.
     fn collect(&mut self) {
         while let Some(engines) = self.returns.pop() {
             for engine in engines {
--- a/src/route/engine.rs
+++ b/src/route/engine.rs
@@ -1,4 +1,4 @@
-//! One engine as this instance knows it.
+//! State of one engine as known to this instance.
 
 use std::time::Duration;
 
@@ -6,51 +6,51 @@
 use super::types::Stage;
 use crate::clock::Time;
 
-/// Bits that one token carries over a link between two engines: a vector of
-/// 8192 numbers of 16 bits.
+/// Bits per token on the link between two engines: a vector of 8192 numbers of
+/// 16 bits.
 const TOKEN_BITS: f64 = 131_072.0;
 
-/// Time constant with which a load report loses its worth, in seconds.
-const REPORT_WORTH: f64 = 1.0;
+/// Time constant with which the confidence in a load report decays, in seconds.
+const REPORT_DECAY: f64 = 1.0;
 
-/// How much of its slots an engine may be thought to have in use before it is
-/// passed over. Above 1, because reports lag: an engine that waits for the
-/// report of its free slots would idle.
-const FILL: f64 = 1.25;
+/// Ratio of estimated load to slots up to which an engine is used. It is above 1
+/// because reports lag: an engine with free slots would idle until the next
+/// report.
+const MAX_FILL: f64 = 1.25;
 
-/// Seconds between two tokens of a sequence that an engine may come to: it is
-/// full with as many sequences as it can give a token each in this time. More
-/// would slow all down and could wait here instead, in fair order.
-const PACE: f64 = 0.08;
+/// Maximum seconds between two tokens of a sequence: an engine is full with as
+/// many sequences as it can generate one token each for in this time. More would
+/// slow down all of them; they wait on this instance instead, in fair order.
+const MAX_TOKEN_SECONDS: f64 = 0.08;
 
-/// Time that a refusal counts as a full engine.
-const REFUSED: Duration = Duration::from_millis(200);
+/// Time for which an engine counts as full after it refused a request.
+const REFUSAL_TIME: Duration = Duration::from_millis(200);
 
 /// One engine.
 #[derive(Debug)]
 pub(crate) struct Engine {
     pub(crate) stage: Stage,
-    /// Grows when the place is taken by another engine.
+    /// Increases when another engine takes this slab entry.
     pub(crate) epoch: u32,
-    /// Whether it is in the present view.
+    /// Whether the engine is in the present view.
     pub(crate) present: bool,
     /// Requests of this instance in flight.
     pub(crate) own: u32,
-    /// Load of other instances at the time of the report.
+    /// Load by other instances at the time of the report.
     pub(crate) others: f64,
-    /// Load of other instances to expect when the report is worth nothing.
-    pub(crate) usual: f64,
-    /// Index of its peers.
+    /// Load by other instances to expect once the report is outdated.
+    pub(crate) expected_others: f64,
+    /// Index of its group of peers.
     pub(crate) peers: usize,
     pub(crate) health: Health,
     pub(crate) refused: Option<Time>,
-    /// Sequences that this instance may start before the next report, when
-    /// all instances have work waiting. Grows as own sequences end.
-    claims: f64,
+    /// Sequences that this instance may start before the next report while all
+    /// instances have work waiting. Increases as own sequences end.
+    quota: f64,
 }
 
 impl Engine {
-    /// An engine of the present view of which nothing else is known.
+    /// Creates the state of a new engine in the present view.
     pub(crate) fn new(stage: Stage, epoch: u32) -> Self {
         let others = f64::from(stage.running) + f64::from(stage.waiting);
         Self {
@@ -59,17 +59,17 @@
             present: true,
             own: 0,
             others,
-            usual: others,
+            expected_others: others,
             peers: 0,
             health: Health::default(),
             refused: None,
-            claims: 0.0,
+            quota: 0.0,
         }
     }
 
-    /// Takes over what it announced last. Returns whether its capacity or
-    /// state changed.
-    pub(crate) fn take(&mut self, now: Time, stage: &Stage) -> bool {
+    /// Applies its latest announcement. Returns whether its capacity or state
+    /// changed.
+    pub(crate) fn update(&mut self, now: Time, stage: &Stage) -> bool {
         let same = same_capacity(&self.stage, stage);
         if self.stage.reported != stage.reported {
             let total = f64::from(stage.running) + f64::from(stage.waiting);
@@ -83,20 +83,20 @@
         !same
     }
 
-    /// Books that a request of this instance was sent here.
+    /// Counts a request of this instance that was sent to the engine.
     pub(crate) fn start(&mut self) {
         self.own += 1;
-        self.claims -= 1.0;
+        self.quota -= 1.0;
     }
 
-    /// Gives the weight of a request back.
+    /// Removes a request of this instance from the count.
     pub(crate) fn stop(&mut self) {
-        assert!(self.own > 0, "weight of {} came back twice", self.stage.id);
+        assert!(self.own > 0, "request on {} released twice", self.stage.id);
         self.own -= 1;
-        self.claims += 1.0;
+        self.quota += 1.0;
     }
 
-    /// Tokens a second that engine and link allow. An engine that holds the
+    /// Tokens per second that engine and link allow. An engine that holds the
     /// whole model sends no vectors over its link.
     pub(crate) fn capacity(&self) -> f64 {
         f64::from(self.stage.rate).min(self.link_rate())
@@ -110,67 +110,70 @@
         f64::from(stage.link) * 1e6 / TOKEN_BITS
     }
 
-    /// Whether it may take new work at all.
+    /// Whether the engine accepts new work at all.
     pub(crate) fn is_up(&self) -> bool {
         self.present && !self.stage.leaving
     }
 
-    /// Sequences that are on the engine by all that is known: own ones, and
-    /// those of others, who fade from the last report to the usual load.
+    /// Estimated number of sequences on the engine: own ones, and those of other
+    /// instances, which decay from the reported to the expected number.
     pub(crate) fn load(&self, now: Time) -> f64 {
-        let worth = self.report_worth(now);
-        f64::from(self.own) + self.usual + (self.others - self.usual) * worth
+        let confidence = self.report_confidence(now);
+        f64::from(self.own)
+            + self.expected_others
+            + (self.others - self.expected_others) * confidence
     }
 
-    /// How far [`load`](Self::load) is known: own sequences are, others as far
-    /// as the report is fresh.
-    pub(crate) fn knowledge(&self, now: Time) -> f64 {
+    /// Confidence in [`load`](Self::load), from 0 to 1: own sequences are known,
+    /// those of others as far as the report is recent.
+    pub(crate) fn load_confidence(&self, now: Time) -> f64 {
         let own = f64::from(self.own) + 1.0;
-        (own + self.others * self.report_worth(now)) / (own + self.others)
+        (own + self.others * self.report_confidence(now)) / (own + self.others)
     }
 
-    fn report_worth(&self, now: Time) -> f64 {
+    fn report_confidence(&self, now: Time) -> f64 {
         let age = now.since(self.stage.reported).as_secs_f64();
-        (-age / REPORT_WORTH).exp()
+        (-age / REPORT_DECAY).exp()
     }
 
-    /// Whether another sequence would only wait.
+    /// Whether another sequence would have to wait.
     pub(crate) fn is_full(&self, now: Time) -> bool {
-        self.is_refusing(now) || self.load(now) + 1.0 > self.most()
+        self.is_refusing(now) || self.load(now) + 1.0 > self.max_load()
     }
 
-    /// Whether this instance used up its part of the places that were free at
-    /// the last report.
+    /// Whether this instance used up its part of the slots that were free at the
+    /// last report.
     ///
-    /// Guards against the stampede of many instances with work waiting: all
-    /// see the same few free places in the same late reports and take them at
-    /// once, which shows as throughput far below the bound under overload.
-    /// Since each takes its part only, they don't take more than there is.
-    pub(crate) fn is_claimed(&self, now: Time) -> bool {
-        self.is_refusing(now) || self.claims <= 0.0
+    /// Prevents a thundering herd: many instances with work waiting see the same
+    /// few free slots in the same outdated reports and would all take them at
+    /// once, which reduces throughput far below the bound under overload. As each
+    /// takes only its part, together they don't take more than are free.
+    pub(crate) fn is_over_quota(&self, now: Time) -> bool {
+        self.is_refusing(now) || self.quota <= 0.0
     }
 
     fn is_refusing(&self, now: Time) -> bool {
-        self.refused.is_some_and(|at| now.since(at) < REFUSED)
+        self.refused.is_some_and(|at| now.since(at) < REFUSAL_TIME)
     }
 
-    /// Sequences that the engine should have at most. A plain service, which
-    /// routing knows as a model of one layer, has no pace of tokens.
-    pub(crate) fn most(&self) -> f64 {
-        let slots = f64::from(self.stage.slots) * FILL;
+    /// Maximum number of sequences that the engine should have. A plain service,
+    /// which is routed as a model of one layer, has no token rate.
+    pub(crate) fn max_load(&self) -> f64 {
+        let slots = f64::from(self.stage.slots) * MAX_FILL;
         if self.stage.total <= 1 {
             return slots;
         }
-        slots.min(self.capacity() * PACE).max(1.0)
+        slots.min(self.capacity() * MAX_TOKEN_SECONDS).max(1.0)
     }
 
-    /// Counts the places free at a new report. `instances` share them; `chance`
-    /// between 0 and 1 decides whether a fraction is a place.
-    pub(crate) fn claim(&mut self, instances: f64, chance: f64) {
+    /// Sets the quota at a new report: the free slots divided by `instances`.
+    /// `rounding`, a random number from 0 to 1, decides whether a fraction counts
+    /// as a slot.
+    pub(crate) fn set_quota(&mut self, instances: f64, rounding: f64) {
         let load = f64::from(self.stage.running) + f64::from(self.stage.waiting);
-        let part = (self.most() - load).max(0.0) / instances;
+        let part = (self.max_load() - load).max(0.0) / instances;
         let idle = if load < 1.0 { 1.0 } else { 0.0 };
-        self.claims = (part + chance).floor().max(idle);
+        self.quota = (part + rounding).floor().max(idle);
     }
 
     /// Requests of this instance in flight.
@@ -178,7 +181,7 @@
         self.own
     }
 
-    /// Seconds a token is expected to take here with one more sequence.
+    /// Expected seconds per token with one more sequence.
     pub(crate) fn token_time(&self, now: Time) -> f64 {
         let queue = (self.load(now) + 1.0) / self.capacity().max(1.0);
         let link = 1.0 / self.link_rate();
@@ -186,7 +189,7 @@
     }
 }
 
-/// Whether nothing changed but the load.
+/// Whether two announcements differ in nothing but the load.
 fn same_capacity(a: &Stage, b: &Stage) -> bool {
     let numbers = |s: &Stage| (s.first, s.end, s.total, s.rate, s.slots, s.link, s.leaving);
     numbers(a) == numbers(b)
--- a/src/route/engines.rs
+++ b/src/route/engines.rs
@@ -1,4 +1,4 @@
-//! All engines, with their peers and failure domains.
+//! All engines, with their groups of peers and failure domains.
 
 use std::ops::Index;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::engine::Engine;
-use super::health::{Peers, Trouble};
+use super::health::{DomainFailures, Peers};
 use super::types::Stage;
 use crate::clock::Time;
 use crate::collections::HashMap;
@@ -19,8 +19,8 @@
     slab: Vec<Engine>,
     index: HashMap<UpstreamId, u32>,
     peers: Vec<Peers>,
-    /// Failures by failure domain.
-    domains: HashMap<Arc<str>, Trouble>,
+    /// Recent failures by failure domain.
+    domains: HashMap<Arc<str>, DomainFailures>,
     /// Whether an engine was ejected since the last view.
     ejected: bool,
 }
@@ -34,7 +34,7 @@
 }
 
 impl Engines {
-    /// Takes a view over. Returns whether plans must be computed anew.
+    /// Applies a view. Returns whether plans must be recomputed.
     pub(crate) fn update(
         &mut self,
         now: Time,
@@ -42,23 +42,23 @@
         instances: Option<f64>,
         rng: &mut ChaCha8Rng,
     ) -> bool {
-        let instances = instances.unwrap_or_else(|| self.instances());
+        let instances = instances.unwrap_or_else(|| self.estimated_instances());
         let mut changed = std::mem::take(&mut self.ejected);
         let before: Vec<bool> = self.slab.iter().map(|e| e.present).collect();
         self.slab.iter_mut().for_each(|e| e.present = false);
-        // Known engines first: until then an engine that is still here looks
-        // absent, and a new one would take its place with all it is known by.
+        // Known engines first: until they are updated they look absent, and a new
+        // engine would take the entry of one of them and erase its state.
         let known = |engines: &Self, stage: &&Stage| engines.index.contains_key(&stage.id);
         let (old, new): (Vec<_>, Vec<_>) = stages.iter().partition(|s| known(self, s));
         for stage in old {
-            changed |= self.take(now, stage, instances, rng);
+            changed |= self.update_engine(now, stage, instances, rng);
         }
         for stage in new {
             self.insert(stage, instances, rng);
             changed = true;
         }
-        // An engine that comes back as it was changes the plan as much as one
-        // that goes.
+        // An engine that returns unchanged affects plans just like one that
+        // disappears.
         let before = before.into_iter().chain(std::iter::repeat(false));
         changed |= self
             .slab
@@ -66,52 +66,58 @@
             .zip(before)
             .any(|(e, was)| was != e.present);
         for engine in &mut self.slab {
-            changed |= engine.health.wake(now);
+            changed |= engine.health.end_ejection(now);
         }
         if changed {
             self.regroup();
         }
-        self.spread_load();
+        self.compare_peers();
         changed
     }
 
-    /// Instances that would make up the load, were all as busy as this one.
-    fn instances(&self) -> f64 {
+    /// Estimated number of instances, assuming all are as busy as this one.
+    fn estimated_instances(&self) -> f64 {
         let own: u32 = self.slab.iter().map(|e| e.own).sum();
         let others: f64 = self.slab.iter().map(|e| e.others).sum();
         1.0 + others / f64::from(own.max(1))
     }
 
-    fn take(&mut self, now: Time, stage: &Stage, instances: f64, rng: &mut ChaCha8Rng) -> bool {
+    fn update_engine(
+        &mut self,
+        now: Time,
+        stage: &Stage,
+        instances: f64,
+        rng: &mut ChaCha8Rng,
+    ) -> bool {
         let Some(&i) = self.index.get(&stage.id) else {
             return false;
         };
         let engine = &mut self.slab[i as usize];
         let fresh = engine.stage.reported != stage.reported;
-        let changed = engine.take(now, stage);
+        let changed = engine.update(now, stage);
         if fresh {
-            engine.claim(instances, rng.random());
+            engine.set_quota(instances, rng.random());
         }
         changed
     }
 
-    /// Adds an engine, at the place of one that is gone if there is one.
+    /// Adds an engine, reusing the entry of an absent one if possible.
     fn insert(&mut self, stage: &Stage, instances: f64, rng: &mut ChaCha8Rng) {
         let free = self.slab.iter().position(|e| !e.present && e.own == 0);
         let epoch = free.map_or(0, |i| self.slab[i].epoch + 1);
         let mut engine = Engine::new(stage.clone(), epoch);
-        engine.claim(instances, rng.random());
+        engine.set_quota(instances, rng.random());
         let i = free.unwrap_or(self.slab.len());
-        if let Some(place) = self.slab.get_mut(i) {
-            self.index.remove(&place.stage.id);
-            *place = engine;
+        if let Some(entry) = self.slab.get_mut(i) {
+            self.index.remove(&entry.stage.id);
+            *entry = engine;
         } else {
             self.slab.push(engine);
         }
         self.index.insert(stage.id.clone(), i as u32);
     }
 
-    /// Sorts engines that hold the same layers into groups of peers.
+    /// Groups engines that hold the same layers as peers.
     fn regroup(&mut self) {
         type Range = (Arc<str>, Arc<str>, u32, u32);
         let mut ranges: HashMap<Range, usize> = HashMap::default();
@@ -139,8 +145,8 @@
         }
     }
 
-    /// Computes for each group of peers the usual load and the usual speed.
-    fn spread_load(&mut self) {
+    /// Computes the expected load and the median speed of each group of peers.
+    fn compare_peers(&mut self) {
         for peers in &mut self.peers {
             let members = peers.members.iter().map(|&i| &self.slab[i]);
             let capacity: f64 = members.clone().map(Engine::capacity).sum();
@@ -151,7 +157,7 @@
             peers.median = median;
             for &i in &peers.members {
                 let engine = &mut self.slab[i];
-                engine.usual = others * engine.capacity() / capacity.max(1.0);
+                engine.expected_others = others * engine.capacity() / capacity.max(1.0);
                 engine.health.compare(median);
             }
         }
@@ -178,19 +184,19 @@
     pub(crate) fn failed(&mut self, now: Time, i: u32) {
         let first = self.slab[i as usize].health.failures() == 0;
         let domain = self.slab[i as usize].stage.domain.clone();
-        let trouble = self.domains.entry(domain).or_default();
+        let failures = self.domains.entry(domain).or_default();
         if first {
-            trouble.book(now);
+            failures.record(now);
         }
-        let doubted = trouble.is_doubted(now);
-        if self.slab[i as usize].health.failed(doubted) {
+        let suspect = failures.is_suspect(now);
+        if self.slab[i as usize].health.failed(suspect) {
             self.eject(now, i);
         }
     }
 
-    /// Books a failure that another engine of the path may have caused. It
-    /// says nothing about the failure domain: a cut stream over three engines
-    /// of one domain would look like the loss of the domain.
+    /// Records a failure that another engine of the path may have caused. It
+    /// doesn't count against the failure domain, or one cut stream over three
+    /// engines of a domain would look like the loss of the domain.
     pub(crate) fn suspected(&mut self, now: Time, i: u32) {
         if self.slab[i as usize].health.failed(false) {
             self.eject(now, i);
@@ -201,7 +207,7 @@
         self.slab[i as usize].refused = Some(now);
     }
 
-    /// Ejects an engine unless too many of its peers are out already.
+    /// Ejects an engine unless too many of its peers are already ejected.
     fn eject(&mut self, now: Time, i: u32) {
         let Some(peers) = self.peers_of(i) else {
             return;
@@ -210,7 +216,7 @@
         let out = members
             .filter(|&&p| self.slab[p].health.is_ejected(now))
             .count();
-        if out >= peers.most_ejected() {
+        if out >= peers.max_ejected() {
             return;
         }
         self.slab[i as usize].health.eject(now);
@@ -232,20 +238,24 @@
         found.is_some_and(|&i| self[i].health.is_ejected(now))
     }
 
-    /// All engines with their index.
+    /// All engines with their indices.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &Engine)> {
         self.slab.iter().enumerate().map(|(i, e)| (i as u32, e))
     }
 }
 
-/// Takes back ejections that are too many since peers left or went away.
+/// Readmits ejected engines of a group that shrank until the cap on ejections is
+/// met again.
 ///
-/// Guards against an outage: an engine may be ejected while its only peer
-/// serves, and when that one leaves, nothing would be left to serve.
+/// Prevents an outage: if an engine is ejected while its only peer serves and
+/// that peer leaves, no engine would be left.
 fn readmit(slab: &mut [Engine], peers: &Peers) {
-    let out = peers.members.iter().filter(|&&i| slab[i].health.is_out());
+    let out = peers
+        .members
+        .iter()
+        .filter(|&&i| slab[i].health.is_excluded());
     let out: Vec<usize> = out.copied().collect();
-    for &i in out.iter().skip(peers.most_ejected()) {
+    for &i in out.iter().skip(peers.max_ejected()) {
         slab[i].health.readmit();
     }
 }
--- a/src/route/plan.rs
+++ b/src/route/plan.rs
@@ -1,4 +1,4 @@
-//! The layered graph of one model within a set of pools, and its flow.
+//! The layered graph of a model within a set of pools, and its maximum flow.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -10,20 +10,21 @@
 use crate::clock::Time;
 use crate::flow::Network;
 
-/// Parts that the maximum flow is spread in. More give finer shares.
-const PARTS: usize = 256;
+/// Number of parts in which the maximum flow is distributed. More parts give
+/// finer shares.
+const FLOW_PARTS: usize = 256;
 
-/// Steepness of the price of a group's use when the flow is spread. The
-/// steeper, the nearer to the least possible use of the most used group.
-const STEEPNESS: i32 = 8;
+/// Exponent of a group's utilisation in its cost when the flow is distributed.
+/// The higher, the lower the utilisation of the most utilised group.
+const COST_EXPONENT: i32 = 8;
 
-/// Time for which engines that were found full are taken to be contended.
-const CONTENDED: Duration = Duration::from_secs(2);
+/// Time for which engines count as contended after all were found full.
+const CONTENTION_TIME: Duration = Duration::from_secs(2);
 
-/// Load by places from which engines are taken to be contended.
-const CROWDED: f64 = 0.7;
+/// Ratio of load to maximum load from which engines count as contended.
+const CONTENDED_RATIO: f64 = 0.7;
 
-/// Flow is computed in thousandths of a token a second.
+/// Units of integer flow per token per second.
 const SCALE: f64 = 1000.0;
 
 /// Graphs of all versions of one model.
@@ -32,8 +33,8 @@
     model: Arc<str>,
     pools: Vec<String>,
     pub(crate) used: Time,
-    /// When all engines were last found full.
-    contended: Cell<Option<Time>>,
+    /// Time at which all engines were last found full.
+    contended_at: Cell<Option<Time>>,
     pub(crate) variants: Vec<Variant>,
 }
 
@@ -41,24 +42,24 @@
 #[derive(Debug)]
 pub(crate) struct Variant {
     pub(crate) version: Arc<str>,
-    /// Maximum flow in tokens a second; above zero.
+    /// Maximum flow in tokens per second; above zero.
     pub(crate) bound: f64,
-    /// Layers where a path may pass from one engine to the next, ascending;
-    /// the first is 0 and the last the total.
-    pub(crate) cuts: Vec<u32>,
-    /// Ways on from each cut but the last; none of them is empty, or the
+    /// Layer boundaries at which a path may pass from one engine to the next,
+    /// ascending; the first is 0 and the last the total.
+    pub(crate) boundaries: Vec<u32>,
+    /// Outgoing edges of each boundary but the last. None is empty, or the
     /// maximum flow would be zero.
-    pub(crate) ways: Vec<Vec<Way>>,
+    pub(crate) edges: Vec<Vec<Edge>>,
     pub(crate) groups: Vec<Group>,
 }
 
-/// A way on from a cut through one of a group's engines.
+/// An edge from a boundary to a later one, through an engine of a group.
 #[derive(Clone, Debug)]
-pub(crate) struct Way {
+pub(crate) struct Edge {
     pub(crate) group: usize,
-    /// Index of the cut it leads to.
+    /// Index of the boundary it leads to.
     pub(crate) to: usize,
-    /// Sum of the flow of this way and those before it at the cut.
+    /// Cumulative flow of this edge and those before it at the boundary.
     pub(crate) flow: f64,
 }
 
@@ -68,7 +69,7 @@
     pub(crate) first: u32,
     pub(crate) end: u32,
     pub(crate) members: Vec<u32>,
-    /// Sum of the capacities of this member and those before it.
+    /// Cumulative capacity of this member and those before it.
     pub(crate) sums: Vec<f64>,
 }
 
@@ -84,7 +85,7 @@
             model: model.into(),
             pools: pools.to_vec(),
             used: now,
-            contended: Cell::new(None),
+            contended_at: Cell::new(None),
             variants: Vec::new(),
         }
     }
@@ -93,32 +94,38 @@
         *self.model == *query.model && self.pools == query.pools
     }
 
-    /// Whether work waits for these engines on this instance, and so probably
-    /// on all: then a place that comes free is seen by all at once.
+    /// Whether work waits for these engines on this instance and thus probably on
+    /// all. Then all instances see a slot that becomes free at the same time.
     pub(crate) fn is_contended(&self, now: Time) -> bool {
-        let contended = self.contended.get();
-        contended.is_some_and(|at| now.since(at) < CONTENDED)
+        let contended_at = self.contended_at.get();
+        contended_at.is_some_and(|at| now.since(at) < CONTENTION_TIME)
     }
 
-    /// Books that no path was free, with the load by places where it ended.
-    /// With many places free it was only this instance's part that was used
-    /// up: then there is nothing to contend for, and waiting would idle them.
-    pub(crate) fn contend(&self, now: Time, crowd: f64) {
-        self.contended.set((crowd >= CROWDED).then_some(now));
+    /// Records that no path was free, with the load ratio of the engines at which
+    /// the walk ended. If many of their slots are free, only this instance's
+    /// quota was used up; then they aren't contended, and waiting for them would
+    /// leave them idle.
+    pub(crate) fn set_contended(&self, now: Time, load_ratio: f64) {
+        self.contended_at
+            .set((load_ratio >= CONTENDED_RATIO).then_some(now));
     }
 
-    /// Sum of the versions' maximum flows, in tokens a second.
+    /// Sum of the versions' maximum flows, in tokens per second.
     pub(crate) fn bound(&self) -> f64 {
         self.variants.iter().map(|v| v.bound).sum()
     }
 
-    /// Computes graphs and flows anew.
+    /// Recomputes graphs and flows.
     pub(crate) fn rebuild(&mut self, engines: &Engines) {
         let mut versions: BTreeMap<(Arc<str>, u32), Vec<u32>> = BTreeMap::new();
         for (i, engine) in engines.iter() {
             let stage = &engine.stage;
             let allowed = self.pools.iter().any(|p| **p == *stage.pool);
-            if !allowed || stage.model != self.model || !engine.is_up() || engine.health.is_out() {
+            if !allowed
+                || stage.model != self.model
+                || !engine.is_up()
+                || engine.health.is_excluded()
+            {
                 continue;
             }
             let key = (stage.version.clone(), stage.total);
@@ -132,92 +139,92 @@
 }
 
 impl Variant {
-    /// The graph over `members`, or nothing when they don't hold all layers.
+    /// Builds the graph of `members`; `None` if they don't hold all layers.
     fn new(version: Arc<str>, total: u32, members: &[u32], engines: &Engines) -> Option<Self> {
         let groups = group(members, engines);
-        let mut cuts: Vec<u32> = groups.iter().map(|g| g.end).chain([0]).collect();
-        cuts.sort_unstable();
-        cuts.dedup();
-        if cuts.last() != Some(&total) {
+        let mut boundaries: Vec<u32> = groups.iter().map(|g| g.end).chain([0]).collect();
+        boundaries.sort_unstable();
+        boundaries.dedup();
+        if boundaries.last() != Some(&total) {
             return None;
         }
-        let ways = ways(&cuts, &groups);
+        let edges = edges(&boundaries, &groups);
         let mut variant = Self {
             version,
             bound: 0.0,
-            cuts,
-            ways,
+            boundaries,
+            edges,
             groups,
         };
-        variant.bound = variant.maximum();
+        variant.bound = variant.maximum_flow();
         if variant.bound <= 0.0 {
             return None;
         }
-        variant.spread();
+        variant.distribute();
         Some(variant)
     }
 
-    /// The maximum flow from layer 0 to the total, in tokens a second.
+    /// Maximum flow from layer 0 to the total, in tokens per second.
     ///
-    /// Every group is an arc with the sum of its engines' capacities: engines
-    /// of a group join the same cuts, so the sum loses nothing.
-    fn maximum(&self) -> f64 {
-        let cuts = self.cuts.len();
-        let mut network = Network::new(cuts + 2 * self.groups.len());
+    /// Each group is one arc with the sum of its engines' capacities. This is
+    /// exact, because the engines of a group connect the same boundaries.
+    fn maximum_flow(&self) -> f64 {
+        let boundaries = self.boundaries.len();
+        let mut network = Network::new(boundaries + 2 * self.groups.len());
         for (i, group) in self.groups.iter().enumerate() {
             let capacity = (group.capacity() * SCALE) as u64;
-            network.connect(cuts + 2 * i, cuts + 2 * i + 1, capacity);
-            if let Ok(to) = self.cuts.binary_search(&group.end) {
-                network.connect(cuts + 2 * i + 1, to, capacity);
+            network.connect(boundaries + 2 * i, boundaries + 2 * i + 1, capacity);
+            if let Ok(to) = self.boundaries.binary_search(&group.end) {
+                network.connect(boundaries + 2 * i + 1, to, capacity);
             }
         }
-        for (from, ways) in self.ways.iter().enumerate() {
-            for way in ways {
-                let capacity = (self.groups[way.group].capacity() * SCALE) as u64;
-                network.connect(from, cuts + 2 * way.group, capacity);
+        for (from, edges) in self.edges.iter().enumerate() {
+            for edge in edges {
+                let capacity = (self.groups[edge.group].capacity() * SCALE) as u64;
+                network.connect(from, boundaries + 2 * edge.group, capacity);
             }
         }
-        network.maximise(0, cuts - 1) as f64 / SCALE
+        network.maximise(0, boundaries - 1) as f64 / SCALE
     }
 
-    /// Spreads the maximum flow so that the groups are used as evenly as the
-    /// graph allows. A maximum flow by itself may leave one of two equal
-    /// groups idle when the bottleneck is elsewhere.
-    fn spread(&mut self) {
-        let part = self.bound / PARTS as f64;
+    /// Distributes the maximum flow over the groups as evenly as the graph allows.
+    /// A maximum flow alone may leave one of two equal groups idle if the
+    /// bottleneck is elsewhere.
+    fn distribute(&mut self) {
+        let part = self.bound / FLOW_PARTS as f64;
         let mut used = vec![0.0; self.groups.len()];
-        let mut flows: Vec<Vec<f64>> = self.ways.iter().map(|w| vec![0.0; w.len()]).collect();
-        for _ in 0..PARTS {
+        let mut flows: Vec<Vec<f64>> = self.edges.iter().map(|e| vec![0.0; e.len()]).collect();
+        for _ in 0..FLOW_PARTS {
             let next = self.cheapest(&used, part);
-            let mut cut = 0;
-            while let Some(way) = next[cut] {
-                flows[cut][way] += part;
-                used[self.ways[cut][way].group] += part;
-                cut = self.ways[cut][way].to;
+            let mut boundary = 0;
+            while let Some(edge) = next[boundary] {
+                flows[boundary][edge] += part;
+                used[self.edges[boundary][edge].group] += part;
+                boundary = self.edges[boundary][edge].to;
             }
         }
-        for (ways, flows) in self.ways.iter_mut().zip(flows) {
+        for (edges, flows) in self.edges.iter_mut().zip(flows) {
             let mut sum = 0.0;
-            for (way, flow) in ways.iter_mut().zip(flows) {
+            for (edge, flow) in edges.iter_mut().zip(flows) {
                 sum += flow;
-                way.flow = sum;
+                edge.flow = sum;
             }
         }
     }
 
-    /// The cheapest way on from each cut for one more part of the flow.
+    /// The cheapest outgoing edge of each boundary for one more part of the flow.
     fn cheapest(&self, used: &[f64], part: f64) -> Vec<Option<usize>> {
-        let last = self.cuts.len() - 1;
-        let mut cost = vec![f64::INFINITY; self.cuts.len()];
-        let mut next = vec![None; self.cuts.len()];
+        let last = self.boundaries.len() - 1;
+        let mut cost = vec![f64::INFINITY; self.boundaries.len()];
+        let mut next = vec![None; self.boundaries.len()];
         cost[last] = 0.0;
-        for cut in (0..last).rev() {
-            for (i, way) in self.ways[cut].iter().enumerate() {
-                let use_after = (used[way.group] + part) / self.groups[way.group].capacity();
-                let total = use_after.powi(STEEPNESS) + cost[way.to];
-                if total < cost[cut] {
-                    cost[cut] = total;
-                    next[cut] = Some(i);
+        for boundary in (0..last).rev() {
+            for (i, edge) in self.edges[boundary].iter().enumerate() {
+                let utilisation = (used[edge.group] + part) / self.groups[edge.group].capacity();
+                let total = utilisation.powi(COST_EXPONENT) + cost[edge.to];
+                if total < cost[boundary] {
+                    cost[boundary] = total;
+                    next[boundary] = Some(i);
                 }
             }
         }
@@ -247,17 +254,17 @@
     ranges.into_values().collect()
 }
 
-/// The ways on from each cut.
-fn ways(cuts: &[u32], groups: &[Group]) -> Vec<Vec<Way>> {
-    let mut ways: Vec<Vec<Way>> = vec![Vec::new(); cuts.len()];
-    for from in (0..cuts.len() - 1).rev() {
-        let cut = cuts[from];
+/// The outgoing edges of each boundary.
+fn edges(boundaries: &[u32], groups: &[Group]) -> Vec<Vec<Edge>> {
+    let mut edges: Vec<Vec<Edge>> = vec![Vec::new(); boundaries.len()];
+    for from in (0..boundaries.len() - 1).rev() {
+        let boundary = boundaries[from];
         for (group, g) in groups.iter().enumerate() {
-            let Ok(to) = cuts.binary_search(&g.end) else {
+            let Ok(to) = boundaries.binary_search(&g.end) else {
                 continue;
             };
-            if g.first <= cut && cut < g.end {
-                ways[from].push(Way {
+            if g.first <= boundary && boundary < g.end {
+                edges[from].push(Edge {
                     group,
                     to,
                     flow: 0.0,
@@ -265,5 +272,5 @@
             }
         }
     }
-    ways
+    edges
 }
--- a/src/route/prefix.rs
+++ b/src/route/prefix.rs
@@ -1,34 +1,34 @@
-//! Which engines probably hold the cache of which prompt prefix.
+//! Tracks which engines probably have a prompt prefix cached.
 
 use crate::clock::Time;
 use crate::collections::HashMap;
 
-/// Prefixes in each of the two generations.
-const KEPT: usize = 4096;
-/// Engines remembered for one prefix.
-const PLACES: usize = 16;
-/// Time constant with which a cached prefix is forgotten, in seconds. Engines
-/// evict without a word that could be relied on.
-const EVICTION: f64 = 60.0;
+/// Maximum number of prefixes in each of the two generations.
+const MAX_PREFIXES: usize = 4096;
+/// Maximum number of engines recorded for one prefix.
+const MAX_ENGINES: usize = 16;
+/// Time constant with which the confidence in a cached prefix decays, in seconds.
+/// Engines don't report evictions reliably.
+const CACHE_DECAY: f64 = 60.0;
 
-/// An engine that ran a prefix lately.
+/// An engine that recently ran a prefix.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Cached {
     pub(crate) engine: u32,
-    /// Epoch of the engine's place; another epoch is another engine.
+    /// Epoch of the engine's slab entry; another epoch means another engine.
     pub(crate) epoch: u32,
     at: Time,
 }
 
 impl Cached {
-    /// Chance that the prefix is still there.
-    pub(crate) fn chance(&self, now: Time) -> f64 {
-        (-now.since(self.at).as_secs_f64() / EVICTION).exp()
+    /// Probability that the prefix is still cached.
+    pub(crate) fn probability(&self, now: Time) -> f64 {
+        (-now.since(self.at).as_secs_f64() / CACHE_DECAY).exp()
     }
 }
 
-/// Memory of prefixes in two generations: when the young one is full, it
-/// becomes the old one, and what wasn't seen for a generation is gone.
+/// Prefixes in two generations. When the young one is full, it replaces the old
+/// one, which drops the prefixes that weren't used for a generation.
 #[derive(Debug, Default)]
 pub(crate) struct Prefixes {
     young: HashMap<u64, Vec<Cached>>,
@@ -41,13 +41,13 @@
         found.map_or(&[], Vec::as_slice)
     }
 
-    pub(crate) fn learn(
+    pub(crate) fn record(
         &mut self,
         now: Time,
         prefix: u64,
-        places: impl Iterator<Item = (u32, u32)>,
+        locations: impl Iterator<Item = (u32, u32)>,
     ) {
-        if self.young.len() >= KEPT && !self.young.contains_key(&prefix) {
+        if self.young.len() >= MAX_PREFIXES && !self.young.contains_key(&prefix) {
             self.old = std::mem::take(&mut self.young);
         }
         let from_old = self.old.remove(&prefix);
@@ -55,9 +55,9 @@
             .young
             .entry(prefix)
             .or_insert(from_old.unwrap_or_default());
-        for (engine, epoch) in places {
+        for (engine, epoch) in locations {
             known.retain(|c| c.engine != engine);
-            if known.len() >= PLACES {
+            if known.len() >= MAX_ENGINES {
                 known.remove(0);
             }
             known.push(Cached {
--- a/src/route/types.rs
+++ b/src/route/types.rs
@@ -1,4 +1,4 @@
-//! Questions and answers of the router.
+//! Input and output types of the router.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,47 +9,47 @@
 use crate::clock::Time;
 use crate::id::UpstreamId;
 
-/// One engine as it announced itself.
+/// One engine as announced.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stage {
     /// Name of the engine.
     pub id: UpstreamId,
-    /// Failure domain it runs in.
+    /// Failure domain of the engine.
     pub domain: Arc<str>,
-    /// Pool whose credential it announced itself with.
+    /// Pool whose credential the announcement used.
     pub pool: Arc<str>,
-    /// Model it holds layers of.
+    /// Model whose layers the engine holds.
     pub model: Arc<str>,
-    /// Version of the model. Versions never mix in a path.
+    /// Version of the model. A path never mixes versions.
     pub version: Arc<str>,
     /// First layer held.
     pub first: u32,
-    /// Layer behind the last one held; above `first`.
+    /// Layer after the last one held; above `first`.
     pub end: u32,
-    /// Layers of the whole model; at least `end`.
+    /// Number of layers of the whole model; at least `end`.
     pub total: u32,
-    /// Tokens a second through the layers held.
+    /// Tokens per second through the layers held.
     pub rate: u32,
-    /// Concurrent sequences.
+    /// Maximum number of concurrent sequences.
     pub slots: u32,
-    /// Network link in Mbit/s.
+    /// Bandwidth of the network link in Mbit/s.
     pub link: u32,
-    /// Sequences running, as reported.
+    /// Reported number of running sequences.
     pub running: u32,
-    /// Sequences waiting at the engine, as reported.
+    /// Reported number of sequences waiting at the engine.
     pub waiting: u32,
-    /// Whether it takes no new work.
+    /// Whether the engine accepts no new work.
     pub leaving: bool,
-    /// When this instance learned of the report, on its own clock.
+    /// Time at which this instance received the report, on its own clock.
     pub reported: Time,
 }
 
 /// What a request needs.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
-    /// Model asked for.
+    /// Requested model.
     pub model: &'a str,
-    /// Only this version, when an answer that was begun is resumed.
+    /// Required version, if a partial answer is resumed.
     pub version: Option<&'a str>,
     /// Pools that the route allows.
     pub pools: &'a [String],
@@ -57,17 +57,17 @@
     pub prompt: u32,
     /// Expected tokens of the answer.
     pub expected: u32,
-    /// Hash of the prompt's prefix, for engines that cached it.
+    /// Hash of the prompt's prefix, to prefer engines that cached it.
     pub prefix: Option<u64>,
     /// Engines that must not be used, such as one that failed this request.
     pub exclude: &'a [UpstreamId],
-    /// Whether the request may run again. Others are no probes for engines
-    /// that failed lately, unless there is no other path.
+    /// Whether the request may run again. If not, engines on probation are used
+    /// only if there is no other path.
     pub idempotent: bool,
 }
 
 impl<'a> Query<'a> {
-    /// An idempotent query for a model, of no length and without exclusions.
+    /// Creates an idempotent query for a model, without tokens or exclusions.
     #[must_use]
     pub fn new(model: &'a str, pools: &'a [String]) -> Self {
         Self {
@@ -90,32 +90,32 @@
     pub upstream: UpstreamId,
     /// First layer run.
     pub first: u32,
-    /// Layer behind the last one run.
+    /// Layer after the last one run.
     pub end: u32,
 }
 
 /// A chosen path.
 #[derive(Debug)]
 pub struct Choice {
-    /// Steps in order. Each begins where the one before ended; together they
-    /// run layers 0 to the total once.
+    /// Steps in order. Each begins where the previous one ended; together they run
+    /// each layer once.
     pub hops: Vec<Hop>,
     /// Version of the model that the path runs.
     pub version: Arc<str>,
-    /// To be given to [`finish`](super::Router::finish).
+    /// Must be passed to [`finish`](super::Router::finish).
     pub ticket: Ticket,
 }
 
-/// In-flight weight of one path.
+/// In-flight count of one path.
 ///
-/// [`finish`](super::Router::finish) takes it by value, so its weight is given
-/// back once at most; a ticket that is dropped, by a panicking thread say,
-/// gives its weight back too.
+/// [`finish`](super::Router::finish) takes it by value, so its count is released
+/// at most once. A ticket that is dropped, for instance by a panicking thread,
+/// releases its count too.
 #[derive(Debug)]
 #[must_use = "the path counts as in flight while its ticket lives"]
 pub struct Ticket {
     pub(crate) engines: Vec<u32>,
-    /// Seconds a token was expected to take over the whole path.
+    /// Expected seconds per token over the whole path.
     pub(crate) expected: f64,
     pub(crate) prefix: Option<u64>,
     pub(crate) returns: Arc<SegQueue<Vec<u32>>>,
@@ -132,24 +132,24 @@
 /// How a path ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// All tokens came.
+    /// All tokens were received.
     Done {
         /// Mean time between two tokens.
         token: Duration,
     },
-    /// The stream was cut, or an engine timed out or answered wrongly.
+    /// The stream was cut, or an engine timed out or gave an invalid answer.
     Failed {
         /// Index of the hop to blame.
         stage: usize,
     },
-    /// The stream was cut, and any of the engines may be the cause.
+    /// The stream was cut, and any engine of the path may be the cause.
     Unattributed,
     /// An engine refused before it ran anything.
     Busy {
         /// Index of the hop that refused.
         stage: usize,
     },
-    /// The caller left. Says nothing about the engines.
+    /// The caller disconnected. Says nothing about the engines.
     Cancelled,
 }
 
@@ -158,22 +158,22 @@
 pub enum NoPathReason {
     /// No engine in the allowed pools holds some layer.
     Missing,
-    /// Engines hold all layers, but those in the way are full.
+    /// Engines in the allowed pools hold all layers, but are full.
     Full,
 }
 
 /// There is no path at present. Nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("no path ({reason:?}): nothing was run, try again in {retry_after:?}"))]
+#[snafu(display("no path ({reason:?}): request not run; retry in {retry_after:?}"))]
 pub struct NoPath {
-    /// Why.
+    /// Reason that there is no path.
     pub reason: NoPathReason,
-    /// When another try has a chance.
+    /// Time after which a retry may succeed.
     pub retry_after: Duration,
 }
 
 impl NoPath {
-    /// No engines are known that could serve.
+    /// No known engine can serve the request.
     pub(crate) fn unknown() -> Self {
         Self {
             reason: NoPathReason::Missing,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// All engines are full; one of them ends a request before long.
+    /// All engines are full. One of them is expected to finish a request soon.
     pub(crate) fn full() -> Self {
         Self {
             reason: NoPathReason::Full,
--- a/src/route/walk.rs
+++ b/src/route/walk.rs
@@ -1,4 +1,4 @@
-//! The walk from layer 0 to the last one that makes a path.
+//! The walk from layer 0 to the last layer that builds a path.
 
 use std::cell::Cell;
 
@@ -12,27 +12,27 @@
 use super::types::{NoPath, Query};
 use crate::clock::Time;
 
-/// Cost of reading a prompt token by that of generating one. Prompts are read
-/// in large batches.
-const PREFILL: f64 = 0.1;
+/// Cost of processing a prompt token relative to generating one. Prompts are
+/// processed in large batches.
+const PREFILL_COST: f64 = 0.1;
 
-/// Seconds that a token takes to pass into another failure domain.
-const CROSSING: f64 = 0.000_25;
+/// Seconds that a token takes to pass to another failure domain.
+const DOMAIN_HOP_SECONDS: f64 = 0.000_25;
 
-/// What one walk looks at.
+/// Inputs and findings of one walk.
 #[derive(Debug)]
 pub(crate) struct Walk<'a> {
     pub(crate) now: Time,
     pub(crate) query: &'a Query<'a>,
     pub(crate) engines: &'a Engines,
     pub(crate) cached: &'a [Cached],
-    /// Whether an engine was passed over because it is full.
+    /// Whether an engine was skipped because it is full.
     pub(crate) full: Cell<bool>,
-    /// Whether engines that failed lately may be used too.
+    /// Whether engines on probation may be used.
     pub(crate) probing: Cell<bool>,
-    /// Load by places where the walk ended.
-    pub(crate) crowd: Cell<f64>,
-    /// Whether the instances contend for free places.
+    /// Load ratio of the engines at which the walk ended.
+    pub(crate) load_ratio: Cell<f64>,
+    /// Whether the instances contend for free slots.
     pub(crate) contended: bool,
 }
 
@@ -42,12 +42,12 @@
     pub(crate) engine: u32,
     pub(crate) first: u32,
     pub(crate) end: u32,
-    /// Seconds a token is expected to take.
+    /// Expected seconds per token.
     pub(crate) cost: f64,
 }
 
 impl Walk<'_> {
-    /// A path through one of the plan's versions.
+    /// Finds a path through one of the plan's versions.
     pub(crate) fn path<'p>(
         &self,
         plan: &'p Plan,
@@ -55,9 +55,9 @@
         rng: &mut ChaCha8Rng,
     ) -> Result<(&'p Variant, Vec<Step>), NoPath> {
         let wanted = |v: &&Variant| self.query.version.is_none_or(|w| *v.version == *w);
-        let mut left: Vec<&Variant> = plan.variants.iter().filter(wanted).collect();
-        while !left.is_empty() {
-            let variant = left.swap_remove(draw(&left, rng));
+        let mut untried: Vec<&Variant> = plan.variants.iter().filter(wanted).collect();
+        while !untried.is_empty() {
+            let variant = untried.swap_remove(draw(&untried, rng));
             if let Some(steps) = self.steps(variant, policy, rng) {
                 return Ok((variant, steps));
             }
@@ -69,8 +69,8 @@
         })
     }
 
-    /// A path through one version: first without engines on probation if the
-    /// request can't be run again.
+    /// Finds a path through one version. If the request isn't idempotent, engines
+    /// on probation are used only if there is no other path.
     fn steps(
         &self,
         variant: &Variant,
@@ -86,38 +86,38 @@
         self.try_steps(variant, policy, rng)
     }
 
-    /// Walks on from cut to cut. An engine may be entered at any layer it
-    /// holds, so a cut without a usable engine means that its layer has none,
-    /// and no other walk would get past it either: there is no turning back.
+    /// Walks from boundary to boundary without backtracking. An engine may be
+    /// entered at any layer it holds, so a boundary without a usable engine means
+    /// that the layer has none, and no other walk would get past it.
     fn try_steps(
         &self,
         variant: &Variant,
         policy: &mut dyn Policy,
         rng: &mut ChaCha8Rng,
     ) -> Option<Vec<Step>> {
-        let last = variant.cuts.len() - 1;
+        let last = variant.boundaries.len() - 1;
         let mut steps: Vec<Step> = Vec::with_capacity(last);
-        let mut cut = 0;
-        while cut != last {
-            let ways = &variant.ways[cut];
-            let site = HopContext {
+        let mut boundary = 0;
+        while boundary != last {
+            let edges = &variant.edges[boundary];
+            let context = HopContext {
                 walk: self,
                 variant,
-                ways,
+                edges,
                 last: steps.last().map(|s| s.engine),
             };
-            let Some(pick) = policy.pick(&site, rng) else {
-                self.crowd.set(site.crowd());
+            let Some(pick) = policy.pick(&context, rng) else {
+                self.load_ratio.set(context.load_ratio());
                 return None;
             };
-            let way = &ways[pick.way];
+            let edge = &edges[pick.edge];
             steps.push(Step {
                 engine: pick.engine,
-                first: variant.cuts[cut],
-                end: variant.cuts[way.to],
+                first: variant.boundaries[boundary],
+                end: variant.boundaries[edge.to],
                 cost: self.engines[pick.engine].token_time(self.now),
             });
-            cut = way.to;
+            boundary = edge.to;
         }
         Some(steps)
     }
@@ -129,13 +129,13 @@
         if excluded || !engine.is_up() || engine.health.is_ejected(self.now) {
             return false;
         }
-        if engine.health.is_probed() && (engine.own() > 0 || !self.probing.get()) {
-            // It will be free again, which isn't the same as no engine.
+        if engine.health.is_on_probation() && (engine.own() > 0 || !self.probing.get()) {
+            // Counts as full, not as missing: it becomes free again.
             self.full.set(true);
             return false;
         }
         let full = if self.contended {
-            engine.is_claimed(self.now)
+            engine.is_over_quota(self.now)
         } else {
             engine.is_full(self.now)
         };
@@ -143,26 +143,30 @@
         !full
     }
 
-    /// Seconds a request is expected to spend at an engine: waiting for a
-    /// slot, reading the prompt unless it is cached, generating.
+    /// Seconds that a request is expected to spend at an engine: waiting for a
+    /// slot, processing the prompt unless it is cached, and generating.
     pub(crate) fn cost(&self, i: u32, last: Option<u32>) -> f64 {
         let engine = &self.engines[i];
         let stage = &engine.stage;
-        let crosses = last.is_some_and(|l| self.engines[l].stage.domain != stage.domain);
-        let crossing = if crosses { CROSSING } else { 0.0 };
-        let token = engine.token_time(self.now) + crossing;
+        let crosses_domain = last.is_some_and(|l| self.engines[l].stage.domain != stage.domain);
+        let hop = if crosses_domain {
+            DOMAIN_HOP_SECONDS
+        } else {
+            0.0
+        };
+        let token = engine.token_time(self.now) + hop;
         let tokens = f64::from(self.query.expected.max(1));
         let slots = f64::from(stage.slots.max(1));
-        let over = (engine.load(self.now) + 1.0 - slots).max(0.0) / slots;
+        let overload = (engine.load(self.now) + 1.0 - slots).max(0.0) / slots;
         let known = self.cached.iter();
         let known = known.filter(|c| c.engine == i && c.epoch == engine.epoch);
-        let cached = known.map(|c| c.chance(self.now)).fold(0.0, f64::max);
-        let prefill = f64::from(self.query.prompt) * PREFILL / engine.capacity().max(1.0);
-        token * tokens * (1.0 + over) + prefill * (1.0 - cached)
+        let cached = known.map(|c| c.probability(self.now)).fold(0.0, f64::max);
+        let prefill = f64::from(self.query.prompt) * PREFILL_COST / engine.capacity().max(1.0);
+        token * tokens * (1.0 + overload) + prefill * (1.0 - cached)
     }
 }
 
-/// Draws a version by its maximum flow.
+/// Draws a version in proportion to its maximum flow.
 fn draw(variants: &[&Variant], rng: &mut ChaCha8Rng) -> usize {
     if variants.len() == 1 {
         return 0;
