--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -1,10 +1,10 @@
 //! Admission and placement of requests on this instance: a state machine that
-//! joins limits, queues and routing.
+//! combines limits, queues and routing.
 //!
-//! A request passes two stages. First the limits of its route admit it; until
-//! they do it is parked, in arrival order, behind others of its route. Then it
-//! is placed on a path; until a path is free it waits in the fair queue of its
-//! lane, which all requests for one model in one set of pools share.
+//! A request passes two stages. First it is admitted by the limits of its route;
+//! until then it is parked behind earlier requests of the route. Then it is
+//! placed on a path; until one is free it waits in the fair queue of its lane,
+//! which all requests for one model in one set of pools share.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,26 +18,26 @@
 use crate::queue::{Discipline, Item, Queue, RefusalReason};
 use crate::route::{Choice, NoPath, NoPathReason, Outcome, Query, Router, Stage, Ticket};
 
-/// Part of an answer's cost that one token of the prompt has: prompts are
-/// computed in parallel.
+/// Cost of a prompt token relative to a token of the answer: prompts are
+/// processed in parallel.
 const PROMPT_COST: f64 = 0.1;
 
-/// What admission needs to know of a request.
+/// A request for admission.
 #[derive(Clone, Debug)]
 pub(crate) struct Admission {
     /// Unique on this instance.
     pub(crate) id: u64,
     /// Name of the route.
     pub(crate) route: Arc<str>,
-    /// Limits of the route as the catalogue has them.
+    /// Limits of the route in the catalogue.
     pub(crate) limits: Limits,
-    /// Tokens of prompt and answer, at most.
+    /// Maximum number of tokens of prompt and answer.
     pub(crate) tokens: u32,
     /// End of the request's time.
     pub(crate) deadline: Time,
 }
 
-/// What placement needs to know of a request.
+/// A request for placement.
 #[derive(Clone, Debug)]
 pub(crate) struct Placement {
     /// Unique on this instance.
@@ -46,29 +46,29 @@
     pub(crate) route: Arc<str>,
     /// Owner of the route.
     pub(crate) organisation: OrganisationId,
-    /// Class of work.
+    /// Class of the work.
     pub(crate) class: Class,
-    /// Model, or the form that [`service_model`] gives a service.
+    /// Model, or the name that [`service_model`] gives a service.
     pub(crate) model: Arc<str>,
-    /// Only this version, when a begun answer is resumed.
+    /// Required version, if a partial answer is resumed.
     pub(crate) version: Option<Arc<str>>,
     /// Pools that may serve the route.
     pub(crate) pools: Arc<[String]>,
-    /// Prompt tokens, estimated.
+    /// Estimated prompt tokens.
     pub(crate) prompt: u32,
-    /// Tokens still to come, at most.
+    /// Maximum number of tokens still to be generated.
     pub(crate) expected: u32,
     /// Hash of the prompt's prefix.
     pub(crate) prefix: Option<u64>,
-    /// Upstreams to avoid where another path exists.
+    /// Upstreams to avoid if another path exists.
     pub(crate) exclude: Vec<UpstreamId>,
     /// Whether the request may run again.
     pub(crate) idempotent: bool,
-    /// Whether an attempt before this one broke: the request has had its turn,
-    /// and its caller waits in the middle of an answer. One that only found an
-    /// engine busy goes back to the queue. Put before it, the requests of an
-    /// organisation that overloads the engines would bounce and come first
-    /// again and again, and nobody else would get a turn.
+    /// Whether an earlier attempt failed, which puts the request before the queue:
+    /// it was already dispatched once, and its caller waits within an answer. A
+    /// request that only found an engine busy returns to the queue. Otherwise the
+    /// requests of an organisation that overloads the engines would be refused
+    /// and served first again and again, and starve the others.
     pub(crate) resumed: bool,
     /// End of the request's time.
     pub(crate) deadline: Time,
@@ -93,23 +93,23 @@
     }
 }
 
-/// Name under which routing knows a plain service: a model of one layer.
+/// Name of a plain service in routing, which treats it as a model of one layer.
 pub(crate) fn service_model(name: &str) -> Arc<str> {
     format!("service/{name}").into()
 }
 
-/// A path for a request, with what has to be given back.
+/// A path for a request and the receipt to release it.
 #[derive(Debug)]
 pub(crate) struct Placed {
-    /// The path; its ticket is in `receipt`.
+    /// Hops of the path; its ticket is in `receipt`.
     pub(crate) hops: Vec<crate::route::Hop>,
     /// Version of the model that the path runs.
     pub(crate) version: Arc<str>,
-    /// To be given to [`Dispatcher::finish`].
+    /// Must be passed to [`Dispatcher::finish`].
     pub(crate) receipt: Receipt,
 }
 
-/// In-flight weight and estimated cost of a placed request.
+/// In-flight count and estimated cost of a placed request.
 #[derive(Debug)]
 pub(crate) struct Receipt {
     ticket: Ticket,
@@ -119,33 +119,33 @@
     estimated: f64,
 }
 
-/// Why a request isn't placed.
+/// Why a request was not placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlacementError {
     /// No engine in the allowed pools holds some layer.
     NoPath,
-    /// It wouldn't start before its deadline, or didn't.
+    /// The request can't start before its deadline, or the deadline passed.
     Deadline,
 }
 
-/// What a waiter is told.
+/// Decision on a request, sent to its waiter.
 #[derive(Debug)]
 pub(crate) enum Decision {
-    /// The limits admit the request.
+    /// The request is admitted.
     Admitted(Permit),
-    /// A limit is used up, and no one may wait for it in this request's time.
+    /// A limit is reached, the request can't wait, and no other of its route does.
     Denied(Duration),
-    /// A limit is used up, and as many wait as may.
+    /// A limit is reached, the request can't wait, and others of its route do.
     Full(Duration),
-    /// The request waited to the end of its time.
+    /// The request was still waiting at its deadline.
     Expired,
     /// A path is free.
     Placed(Placed),
-    /// There is no path in time.
+    /// The request was not placed; retry after the given time.
     Unplaced(PlacementError, Duration),
 }
 
-/// Tells `W`, the waiter of one request.
+/// A decision for the waiter `W` of a request.
 pub(crate) type Notification<W> = (W, Decision);
 
 type LaneKey = (Arc<str>, Arc<[String]>);
@@ -162,9 +162,9 @@
 
 struct Lane {
     queue: Queue,
-    /// Later attempts, served before the queue.
+    /// Resumed requests, served before the queue.
     resumed: VecDeque<u64>,
-    /// Taken from the queue when no path was free; served next.
+    /// Item dequeued when no path was free; served next.
     head: Option<u64>,
 }
 
@@ -174,12 +174,12 @@
     router: Router,
     parked: HashMap<Arc<str>, VecDeque<Parked<W>>>,
     lanes: HashMap<LaneKey, Lane>,
-    /// Requests that wait in a lane, by id.
+    /// Requests waiting in a lane, by id.
     waiting: HashMap<u64, Waiting<W>>,
 }
 
 impl<W> Dispatcher<W> {
-    /// A dispatcher that knows no upstream and holds no share.
+    /// Creates a dispatcher without upstreams or shares.
     pub(crate) fn new(instance: InstanceId, incarnation: Incarnation, seed: u64) -> Self {
         Self {
             holder: Holder::new(instance, incarnation),
@@ -190,12 +190,12 @@
         }
     }
 
-    /// Requests that wait in either stage.
+    /// Number of requests waiting in either stage.
     pub(crate) fn queued(&self) -> usize {
         self.waiting.len() + self.parked.values().map(VecDeque::len).sum::<usize>()
     }
 
-    /// Admits a request, parks it, or denies it at once.
+    /// Admits, parks or denies a request.
     pub(crate) fn admit(
         &mut self,
         now: Time,
@@ -203,12 +203,12 @@
         waiter: W,
         out: &mut Vec<Notification<W>>,
     ) {
-        let line = self.parked.get(&admission.route).map_or(0, VecDeque::len);
+        let ahead = self.parked.get(&admission.route).map_or(0, VecDeque::len);
         let tried = self.holder.admit(now, &admission.route, admission.tokens);
         let denial = match tried {
-            Ok(permit) if line == 0 => return out.push((waiter, Decision::Admitted(permit))),
-            // Someone of the same route waits, and passing it would be unfair.
-            // The permit goes back with its drop and to the first in line.
+            Ok(permit) if ahead == 0 => return out.push((waiter, Decision::Admitted(permit))),
+            // Earlier requests of the route wait and must go first. The permit
+            // is returned for the first of them.
             Ok(permit) => {
                 self.holder.settle(permit, 0);
                 Denial {
@@ -218,31 +218,31 @@
             }
             Err(denial) => denial,
         };
-        if self.may_park(now, &admission, &denial, line) {
-            let line = self.parked.entry(admission.route.clone()).or_default();
-            line.push_back(Parked { admission, waiter });
-            return self.unpark(now, out);
+        if self.may_park(now, &admission, &denial, ahead) {
+            let queue = self.parked.entry(admission.route.clone()).or_default();
+            queue.push_back(Parked { admission, waiter });
+            return self.admit_parked(now, out);
         }
-        let told = match line {
+        let decision = match ahead {
             0 => Decision::Denied(denial.retry_after),
             _ => Decision::Full(denial.retry_after),
         };
-        out.push((waiter, told));
+        out.push((waiter, decision));
     }
 
     /// Whether one more request of the route may wait here.
-    fn may_park(&self, now: Time, admission: &Admission, denial: &Denial, line: usize) -> bool {
+    fn may_park(&self, now: Time, admission: &Admission, denial: &Denial, ahead: usize) -> bool {
         let share = self.holder.share(now, &admission.route);
         let bound = match denial.reason {
-            // The share is on its way; until it is here, none of it is known.
+            // The share was requested; until it is granted, its bound is unknown.
             DenialReason::NoShare => admission.limits.queued,
             _ => share.queued,
         };
         let in_time = now + denial.retry_after < admission.deadline;
-        in_time && line < usize::try_from(bound).unwrap_or(usize::MAX)
+        in_time && ahead < usize::try_from(bound).unwrap_or(usize::MAX)
     }
 
-    /// Gives a permit back with the tokens that were really used.
+    /// Returns a permit with the number of tokens actually used.
     pub(crate) fn settle(
         &mut self,
         now: Time,
@@ -251,10 +251,10 @@
         out: &mut Vec<Notification<W>>,
     ) {
         self.holder.settle(permit, tokens);
-        self.unpark(now, out);
+        self.admit_parked(now, out);
     }
 
-    /// Places a request on a path, lets it wait for one, or refuses it.
+    /// Places a request on a path, queues it until one is free, or refuses it.
     pub(crate) fn place(
         &mut self,
         now: Time,
@@ -279,23 +279,23 @@
                 class: placement.class,
                 cost: placement.cost(),
                 deadline: placement.deadline,
-                // The limits of the route have bounded it already.
+                // Bounded by the limits of the route at admission.
                 bound: u32::MAX,
             };
             if let Err(refusal) = lane.queue.push(now, item) {
                 assert!(
                     refusal.reason != RefusalReason::Duplicate,
-                    "request {id} waits twice"
+                    "request {id} already waits"
                 );
-                let told = Decision::Unplaced(PlacementError::Deadline, refusal.retry_after);
-                return out.push((waiter, told));
+                let decision = Decision::Unplaced(PlacementError::Deadline, refusal.retry_after);
+                return out.push((waiter, decision));
             }
         }
         self.waiting.insert(id, Waiting { placement, waiter });
         self.pump(now, &key, out);
     }
 
-    /// Gives a path back with how it went and the tokens that it brought.
+    /// Releases a path with its outcome and the number of tokens received.
     pub(crate) fn finish(
         &mut self,
         now: Time,
@@ -316,15 +316,15 @@
         self.pump_all(now, out);
     }
 
-    /// Forgets a request whose caller left while it waited.
+    /// Removes a waiting request whose caller disconnected.
     pub(crate) fn cancel(&mut self, id: u64) {
-        for line in self.parked.values_mut() {
-            line.retain(|parked| parked.admission.id != id);
+        for queue in self.parked.values_mut() {
+            queue.retain(|parked| parked.admission.id != id);
         }
-        let Some(gone) = self.waiting.remove(&id) else {
+        let Some(removed) = self.waiting.remove(&id) else {
             return;
         };
-        let key = (gone.placement.model, gone.placement.pools);
+        let key = (removed.placement.model, removed.placement.pools);
         if let Some(lane) = self.lanes.get_mut(&key) {
             lane.queue.remove(id);
             lane.resumed.retain(|waiting| *waiting != id);
@@ -332,8 +332,8 @@
         }
     }
 
-    /// Takes over the upstreams that are alive, and how many instances there
-    /// are to share them.
+    /// Applies the available upstreams and the number of instances that share
+    /// them.
     pub(crate) fn set_view(
         &mut self,
         now: Time,
@@ -346,80 +346,80 @@
         self.pump_all(now, out);
     }
 
-    /// When the next [`Dispatcher::share_request`] is due.
+    /// Time at which the next [`Dispatcher::share_request`] is due.
     pub(crate) fn due(&self) -> Time {
         self.holder.due()
     }
 
-    /// The next question for shares, to be sent at once.
+    /// Creates the next share request, to be sent at once.
     pub(crate) fn share_request(&mut self, now: Time) -> ShareRequest {
-        for (route, line) in &self.parked {
-            let waiting = u32::try_from(line.len()).unwrap_or(u32::MAX);
+        for (route, queue) in &self.parked {
+            let waiting = u32::try_from(queue.len()).unwrap_or(u32::MAX);
             self.holder.set_waiting(now, route, waiting);
         }
         self.holder.share_request(now)
     }
 
-    /// Takes the answer to a question.
+    /// Applies a grant of shares.
     pub(crate) fn grant(&mut self, now: Time, grant: &Grant, out: &mut Vec<Notification<W>>) {
         if self.holder.grant(now, grant) {
-            self.unpark(now, out);
+            self.admit_parked(now, out);
         }
     }
 
-    /// Takes note of the time: deadlines pass, rates refill.
+    /// Advances the time: expires deadlines and refills rates.
     pub(crate) fn tick(&mut self, now: Time, out: &mut Vec<Notification<W>>) {
         self.expire(now, out);
-        self.unpark(now, out);
+        self.admit_parked(now, out);
         self.pump_all(now, out);
     }
 
-    /// Tokens a second that engines and links allow for a model.
+    /// Tokens per second that engines and links allow for a model.
     pub(crate) fn bound(&mut self, now: Time, model: &str, pools: &[String]) -> f64 {
         self.router.bound(now, model, pools)
     }
 
-    fn unpark(&mut self, now: Time, out: &mut Vec<Notification<W>>) {
-        for (route, line) in &mut self.parked {
-            while let Some(first) = line.front() {
+    fn admit_parked(&mut self, now: Time, out: &mut Vec<Notification<W>>) {
+        for (route, queue) in &mut self.parked {
+            while let Some(first) = queue.front() {
                 let tokens = first.admission.tokens;
                 let Ok(permit) = self.holder.readmit(now, route, tokens) else {
                     break;
                 };
-                if let Some(Parked { waiter, .. }) = line.pop_front() {
+                if let Some(Parked { waiter, .. }) = queue.pop_front() {
                     out.push((waiter, Decision::Admitted(permit)));
                 }
             }
-            if line.is_empty() {
+            if queue.is_empty() {
                 self.holder.set_waiting(now, route, 0);
             }
         }
-        self.parked.retain(|_, line| !line.is_empty());
+        self.parked.retain(|_, queue| !queue.is_empty());
     }
 
     fn expire(&mut self, now: Time, out: &mut Vec<Notification<W>>) {
-        for line in self.parked.values_mut() {
-            let expired = |p: &Parked<W>| p.admission.deadline <= now;
-            let mut left = VecDeque::with_capacity(line.len());
-            for parked in line.drain(..) {
-                if expired(&parked) {
+        for queue in self.parked.values_mut() {
+            let is_expired = |p: &Parked<W>| p.admission.deadline <= now;
+            let mut remaining = VecDeque::with_capacity(queue.len());
+            for parked in queue.drain(..) {
+                if is_expired(&parked) {
                     out.push((parked.waiter, Decision::Expired));
                 } else {
-                    left.push_back(parked);
+                    remaining.push_back(parked);
                 }
             }
-            *line = left;
+            *queue = remaining;
         }
-        let late: Vec<u64> = self
+        let expired: Vec<u64> = self
             .waiting
             .iter()
             .filter(|(_, w)| w.placement.deadline <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
+        for id in expired {
             if let Some(Waiting { placement, waiter }) = self.waiting.remove(&id) {
-                let told = Decision::Unplaced(PlacementError::Deadline, Duration::ZERO);
-                out.push((waiter, told));
+                let decision = Decision::Unplaced(PlacementError::Deadline, Duration::ZERO);
+                out.push((waiter, decision));
                 let key = (placement.model, placement.pools);
                 if let Some(lane) = self.lanes.get_mut(&key) {
                     lane.queue.remove(id);
@@ -429,18 +429,18 @@
     }
 
     fn pump_all(&mut self, now: Time, out: &mut Vec<Notification<W>>) {
-        let busy: Vec<LaneKey> = self
+        let waiting: Vec<LaneKey> = self
             .lanes
             .iter()
-            .filter(|(_, lane)| lane.waits())
+            .filter(|(_, lane)| lane.has_waiting())
             .map(|(key, _)| key.clone())
             .collect();
-        for key in busy {
+        for key in waiting {
             self.pump(now, &key, out);
         }
     }
 
-    /// Places requests of a lane for as long as there are free paths.
+    /// Places requests of a lane while paths are free.
     fn pump(&mut self, now: Time, key: &LaneKey, out: &mut Vec<Notification<W>>) {
         let Some(lane) = self.lanes.get_mut(key) else {
             return;
@@ -456,7 +456,7 @@
                 }) => return lane.put_back(id, waiting.placement.resumed),
                 chosen => {
                     if let Some(Waiting { placement, waiter }) = self.waiting.remove(&id) {
-                        out.push((waiter, told(chosen, placement, key)));
+                        out.push((waiter, decide(chosen, placement, key)));
                     }
                 }
             }
@@ -464,7 +464,7 @@
     }
 }
 
-fn told(chosen: Result<Choice, NoPath>, placement: Placement, lane: &LaneKey) -> Decision {
+fn decide(chosen: Result<Choice, NoPath>, placement: Placement, lane: &LaneKey) -> Decision {
     match chosen {
         Ok(choice) => Decision::Placed(Placed {
             hops: choice.hops,
@@ -481,8 +481,9 @@
     }
 }
 
-/// Chooses a path around the excluded upstreams, or through them where there
-/// is no other: a stage that failed once may be the last holder of its layers.
+/// Chooses a path that avoids the excluded upstreams, or one through them if
+/// there is no other: a stage that failed once may be the only one with its
+/// layers.
 fn choose(router: &mut Router, now: Time, placement: &Placement) -> Result<Choice, NoPath> {
     match router.choose(now, &placement.query(&placement.exclude)) {
         Err(NoPath {
@@ -494,7 +495,7 @@
 }
 
 impl Lane {
-    fn waits(&self) -> bool {
+    fn has_waiting(&self) -> bool {
         self.head.is_some() || !self.resumed.is_empty() || !self.queue.is_empty()
     }
 
--- a/src/tests/dispatch.rs
+++ b/src/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Random runs of [`crate::dispatch`].
+//! Randomised tests of [`crate::dispatch`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 const RUNS: u64 = 40;
 const STEPS: usize = 1200;
 
-/// Places at the one engine of each run.
+/// Slots of the single engine of each run.
 const SLOTS: u32 = 6;
 
-/// Requests that routing lets run on it: a quarter more, so that the engine
-/// never waits for the next one.
-const MOST: usize = 7;
+/// Maximum number of requests that routing sends to it: a quarter more than its
+/// slots, so that it never waits for the next one.
+const MAX_RUNNING: usize = 7;
 
-/// Requests of a route that may run at a time.
+/// Limit on concurrent requests of a route.
 const CONCURRENT: u32 = 4;
 
 const ROUTES: [&str; 3] = ["a", "b", "c"];
@@ -57,8 +57,8 @@
     }
 }
 
-/// Where a request is.
-enum Place {
+/// Stage of a request.
+enum Progress {
     Parked,
     Admitted(Permit),
     Waiting(Permit),
@@ -71,7 +71,7 @@
     now: Time,
     allocator: Allocator,
     dispatcher: Dispatcher<u64>,
-    requests: BTreeMap<u64, (&'static str, Place)>,
+    requests: BTreeMap<u64, (&'static str, Progress)>,
     next: u64,
     ended: usize,
 }
@@ -99,13 +99,13 @@
             0..=3 => self.submit(&mut out),
             4 | 5 => self.place(&mut out),
             6 | 7 => self.finish(&mut out),
-            8 => self.leave(&mut out),
+            8 => self.disconnect(&mut out),
             _ => {}
         }
         self.dispatcher.tick(self.now, &mut out);
         if self.dispatcher.due() <= self.now {
             let ask = self.dispatcher.share_request(self.now);
-            // Some questions are lost; shares run out and come back.
+            // Some share requests are lost; shares expire and are granted anew.
             if self.rng.random_ratio(9, 10)
                 && let Some(grant) = self.allocator.allocate(self.now, &ask)
             {
@@ -118,7 +118,7 @@
             self.dispatcher
                 .set_view(self.now, &stages[..seen], 1, &mut out);
         }
-        self.hear(out);
+        self.apply(out);
         self.check();
     }
 
@@ -133,25 +133,25 @@
             tokens: 10,
             deadline: self.now + Duration::from_millis(self.rng.random_range(50..3000)),
         };
-        self.requests.insert(id, (route, Place::Parked));
+        self.requests.insert(id, (route, Progress::Parked));
         self.dispatcher.admit(self.now, admission, id, out);
     }
 
-    fn pick(&mut self, fits: fn(&Place) -> bool) -> Option<u64> {
+    fn pick(&mut self, matching: fn(&Progress) -> bool) -> Option<u64> {
         let found: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, (_, place))| fits(place))
+            .filter(|(_, (_, progress))| matching(progress))
             .map(|(id, _)| *id)
             .collect();
         (!found.is_empty()).then(|| found[self.rng.random_range(0..found.len())])
     }
 
     fn place(&mut self, out: &mut Vec<Notification<u64>>) {
-        let Some(id) = self.pick(|p| matches!(p, Place::Admitted(_))) else {
+        let Some(id) = self.pick(|p| matches!(p, Progress::Admitted(_))) else {
             return;
         };
-        let Some((route, Place::Admitted(permit))) = self.requests.remove(&id) else {
+        let Some((route, Progress::Admitted(permit))) = self.requests.remove(&id) else {
             unreachable!("picked as admitted");
         };
         let placement = Placement {
@@ -170,15 +170,15 @@
             resumed: self.rng.random_ratio(1, 5),
             deadline: self.now + Duration::from_millis(self.rng.random_range(50..3000)),
         };
-        self.requests.insert(id, (route, Place::Waiting(permit)));
+        self.requests.insert(id, (route, Progress::Waiting(permit)));
         self.dispatcher.place(self.now, placement, id, out);
     }
 
     fn finish(&mut self, out: &mut Vec<Notification<u64>>) {
-        let Some(id) = self.pick(|p| matches!(p, Place::Running(..))) else {
+        let Some(id) = self.pick(|p| matches!(p, Progress::Running(..))) else {
             return;
         };
-        let Some((_, Place::Running(permit, placed))) = self.requests.remove(&id) else {
+        let Some((_, Progress::Running(permit, placed))) = self.requests.remove(&id) else {
             unreachable!("picked as running");
         };
         let outcome = Outcome::Done {
@@ -190,30 +190,30 @@
         self.ended += 1;
     }
 
-    /// A caller leaves at any time; what it held is given back by its drop.
-    fn leave(&mut self, _out: &mut Vec<Notification<u64>>) {
+    /// A caller disconnects at any stage; dropping what it held releases it.
+    fn disconnect(&mut self, _out: &mut Vec<Notification<u64>>) {
         if let Some(id) = self.pick(|_| true) {
             self.dispatcher.cancel(id);
             self.requests.remove(&id);
         }
     }
 
-    fn hear(&mut self, out: Vec<Notification<u64>>) {
+    fn apply(&mut self, out: Vec<Notification<u64>>) {
         let seed = self.seed;
-        for (id, told) in out {
-            let Some((route, place)) = self.requests.remove(&id) else {
-                panic!("seed {seed}: {id} was told after its end");
+        for (id, decision) in out {
+            let Some((route, progress)) = self.requests.remove(&id) else {
+                panic!("seed {seed}: {id} got a decision after its end");
             };
-            let next = match (place, told) {
-                (Place::Parked, Decision::Admitted(permit)) => Place::Admitted(permit),
-                (Place::Parked, Decision::Denied(_) | Decision::Full(_) | Decision::Expired) => {
+            let next = match (progress, decision) {
+                (Progress::Parked, Decision::Admitted(permit)) => Progress::Admitted(permit),
+                (Progress::Parked, Decision::Denied(_) | Decision::Full(_) | Decision::Expired) => {
                     continue;
                 }
-                (Place::Waiting(permit), Decision::Placed(placed)) => {
-                    Place::Running(permit, placed)
+                (Progress::Waiting(permit), Decision::Placed(placed)) => {
+                    Progress::Running(permit, placed)
                 }
-                (Place::Waiting(_), Decision::Unplaced(..)) => continue,
-                (_, told) => panic!("seed {seed}: {id} was told {told:?} out of turn"),
+                (Progress::Waiting(_), Decision::Unplaced(..)) => continue,
+                (_, decision) => panic!("seed {seed}: {id} got {decision:?} in the wrong stage"),
             };
             self.requests.insert(id, (route, next));
         }
@@ -221,19 +221,21 @@
 
     fn check(&self) {
         let seed = self.seed;
-        let places = || self.requests.values().map(|(_, place)| place);
-        let running = places().filter(|p| matches!(p, Place::Running(..))).count();
-        assert!(running <= MOST, "seed {seed}: {running} run");
-        let waits = |p: &&Place| matches!(p, Place::Parked | Place::Waiting(_));
+        let stages = || self.requests.values().map(|(_, progress)| progress);
+        let running = stages()
+            .filter(|p| matches!(p, Progress::Running(..)))
+            .count();
+        assert!(running <= MAX_RUNNING, "seed {seed}: {running} running");
+        let waits = |p: &&Progress| matches!(p, Progress::Parked | Progress::Waiting(_));
         let queued = self.dispatcher.queued();
         assert_eq!(
-            places().filter(waits).count(),
+            stages().filter(waits).count(),
             queued,
             "seed {seed}: queued"
         );
         for route in ROUTES {
             let held = self.requests.values().filter(|(r, _)| *r == route);
-            let held = held.filter(|(_, p)| !matches!(p, Place::Parked)).count();
+            let held = held.filter(|(_, p)| !matches!(p, Progress::Parked)).count();
             assert!(
                 held <= CONCURRENT as usize,
                 "seed {seed}: {held} in {route}"
@@ -242,10 +244,10 @@
     }
 }
 
-/// Callers come, wait, leave at any time; questions for shares are lost and
-/// the only engine goes and comes back. Each request must be told each thing
-/// once and in turn, no limit or slot be passed, and nothing be left behind
-/// that takes a place for ever.
+/// Callers arrive, wait and disconnect at any time, share requests are lost, and
+/// the only engine disappears and returns. Each request must get each decision
+/// once and in order, no limit or slot count may be exceeded, and no slot may
+/// leak.
 #[test]
 fn dispatch_random_requests() {
     for seed in 0..RUNS {
@@ -270,7 +272,7 @@
         }
         assert!(
             world.ended > before + STEPS / 20,
-            "seed {seed}: places were lost"
+            "seed {seed}: slots leaked"
         );
     }
 }
--- a/src/tests/route.rs
+++ b/src/tests/route.rs
@@ -42,7 +42,7 @@
     choice.hops.iter().map(|h| &*h.upstream.0).collect()
 }
 
-/// What became of a request: refused by its first engine, or done.
+/// Outcome of a request: failed at its first engine, or done.
 fn outcome(failed: bool) -> Outcome {
     if failed {
         return Outcome::Failed { stage: 0 };
@@ -61,10 +61,9 @@
     assert_eq!(ranges, [(0, 20), (20, 32)]);
 }
 
-/// An instance is frozen, and its view is empty for a moment when it wakes; or
-/// all engines are cut off and come back as they were. Routing kept the plan of
-/// the empty view, and callers got "no upstream" for as long as nothing else
-/// changed.
+/// The view is empty for a moment, as after a frozen instance resumes, and the
+/// same engines return. If routing kept the plan of the empty view, callers would
+/// get "no upstream" until something else changed.
 #[test]
 fn choose_after_empty_view() {
     let mut router = Router::new(1);
@@ -150,8 +149,8 @@
     }
 }
 
-/// The bound is set by the second half; the first half's two equal groups of
-/// engines must both be used, though a maximum flow could leave one idle.
+/// The bottleneck is the second half of the layers. Both equal groups of engines
+/// of the first half must be used, although a maximum flow may leave one idle.
 #[test]
 fn choose_spreads_over_idle_groups() {
     let mut router = Router::new(1);
@@ -172,9 +171,9 @@
     assert!(used.iter().all(|&n| n > 60), "{used:?}");
 }
 
-/// One engine of five answers ten times slower than its peers, though it
-/// reports no load. Callers would see every fifth answer crawl. The router
-/// must measure it, eject it and, once it is well again, use it again.
+/// One engine of five is ten times slower than its peers without reporting load,
+/// and would slow down every fifth answer. The router must detect and eject it,
+/// and use it again once it has recovered.
 #[test]
 fn finish_slow_engine_ejected_and_probed_back() {
     let mut router = Router::new(3);
@@ -203,11 +202,12 @@
     assert!(router.is_ejected(now, &slow));
     assert_eq!(run(&mut router, &mut now, 50, 50), 0);
     let after = run(&mut router, &mut now, 5, 4000);
-    assert!(after > 400, "{after} uses after it became well");
+    assert!(after > 400, "{after} uses after it recovered");
 }
 
-/// All engines fail. The cap keeps most of them in use: were all ejected, the
-/// instance would refuse everything although the cause may be its own network.
+/// All engines fail. The cap on ejections keeps most of them in use: if all were
+/// ejected, the instance would refuse every request, although the cause may be
+/// its own network.
 #[test]
 fn finish_all_fail_capped() {
     let mut router = Router::new(3);
@@ -224,8 +224,8 @@
     assert_eq!(out.count(), 4);
 }
 
-/// A failure domain with four of twelve engines is lost. Every request sent
-/// there fails; the router must not need three of them for each engine.
+/// A failure domain with four of twelve engines is lost, and every request sent
+/// there fails. The router must not need three failures of each engine.
 #[test]
 fn finish_lost_domain() {
     let mut router = Router::new(3);
@@ -248,9 +248,9 @@
     assert!(failures <= 8, "{failures} requests failed");
 }
 
-/// An ejected engine stays ejected when a new one joins, wherever the new one
-/// stands in the view. It used to lose its record to the new engine's place,
-/// and callers met the broken engine again at every start of another.
+/// An ejected engine stays ejected when a new one joins, at any position in the
+/// view. If the new engine took over its entry, the ejection would be lost and
+/// the failing engine used again whenever another one starts.
 #[test]
 fn set_view_join_keeps_records() {
     let mut router = Router::new(3);
@@ -270,8 +270,8 @@
     assert!(router.is_ejected(Time(1), &"e0".into()));
 }
 
-/// One of two engines is ejected, and then the other one leaves. Were the
-/// first one kept out, callers would hear that there is no engine at all.
+/// One of two engines is ejected, and then the other one leaves. If the first one
+/// stayed ejected, callers would be refused for lack of an engine.
 #[test]
 fn set_view_last_engine_readmitted() {
     let mut router = Router::new(3);
@@ -290,8 +290,8 @@
     assert_eq!(ids(&choice), ["bad"]);
 }
 
-/// An engine comes back from its ejection and has its one request for a probe.
-/// The next caller must wait for it, not hear that there is no engine.
+/// An engine on probation already has its one request. The next caller must wait
+/// for it instead of being refused for lack of an engine.
 #[test]
 fn choose_probed_engine_busy() {
     let mut router = Router::new(3);
@@ -315,10 +315,10 @@
     assert!(router.choose(later, &query).is_ok());
 }
 
-/// One stream over four engines of one domain is cut, by whichever of them.
-/// Were this taken for the loss of the domain, all four would be ejected.
+/// One stream over four engines of one domain is cut by any of them. If this
+/// counted as the loss of the domain, all four would be ejected.
 #[test]
-fn finish_unclear_spares_domain() {
+fn finish_unattributed_spares_domain() {
     let mut router = Router::new(3);
     let all: Vec<_> = (0..12)
         .map(|i| stage(&format!("e{i}"), i % 4 * 8, i % 4 * 8 + 8, 400))
@@ -339,7 +339,7 @@
     }
 }
 
-/// A changing fleet with random overlapping ranges, pools, versions, states
+/// A changing fleet with random overlapping layer ranges, pools, versions, states
 /// and failures; every choice is checked.
 #[test]
 fn choose_random_fleets() {
@@ -348,7 +348,7 @@
     }
 }
 
-/// Routers that found their only engine full; then it reports `running`.
+/// Routers that found their only engine full before it reports `running`.
 fn contended(instances: u32, running: u32) -> Vec<Router> {
     let pools = pools();
     let mut engine = stage("a", 0, 32, 1000);
@@ -368,11 +368,11 @@
     (0..instances).map(router).collect()
 }
 
-/// Twenty instances have work waiting for a full engine. It reports five free
-/// places, and all see the report. Were each to take them, the engine would
-/// get a hundred requests, and those behind would hold places elsewhere.
+/// Twenty instances have work waiting for a full engine and receive its report of
+/// five free slots. If each took all of them, the engine would get a hundred
+/// requests, and the surplus would occupy slots on other engines.
 #[test]
-fn choose_contended_places_once() {
+fn choose_contended_slots_once() {
     let pools = pools();
     let mut held = Vec::new();
     for router in &mut contended(20, 75) {
@@ -383,7 +383,8 @@
     assert!((2..=10).contains(&held.len()), "{} held", held.len());
 }
 
-/// The engine empties. An instance with much work must not stop at its part.
+/// A contended engine becomes mostly free. An instance with much work must not
+/// stop at its quota.
 #[test]
 fn choose_contended_engine_empties() {
     let pools = pools();
@@ -519,8 +520,8 @@
     }
 }
 
-/// Whatever the load, a request is refused only when no path of engines with
-/// a free slot exists: the router leaves no allowed engine idle.
+/// Under any load, a request is refused only if no path of engines with a free
+/// slot exists: the router leaves no allowed engine idle.
 #[test]
 fn choose_work_conserving() {
     for seed in 0..40 {
