--- a/src/budget.rs
+++ b/src/budget.rs
@@ -72,15 +72,16 @@
 
 /// Retry budget of one instance and of each organisation on it.
 ///
-/// Without it, retries could overload a degraded fleet: when most attempts fail,
-/// every request would cause several times its load. A retry takes one token
-/// from both buckets. Tokens are earned by successes (one for ten) and at a low
-/// fixed rate, so that retries stay near a tenth of the work that succeeds.
+/// Without it, retries could overload a degraded fleet: when most attempts
+/// fail, every request would cause several times its load. A retry takes one
+/// token from both buckets. Tokens are earned by successes (one for ten) and at
+/// a low fixed rate, so that retries stay near a tenth of the work that
+/// succeeds.
 #[derive(Debug)]
 pub(crate) struct Budget {
     instance: Bucket,
-    /// Buckets of the organisations that have retried. The catalogue bounds their
-    /// number.
+    /// Buckets of the organisations that have retried. The catalogue bounds
+    /// their number.
     organisations: HashMap<OrganisationId, Bucket>,
 }
 
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -1,10 +1,10 @@
 //! Admission and placement of requests on this instance: a state machine that
 //! combines limits, queues and routing.
 //!
-//! A request passes two stages. First it is admitted by the limits of its route;
-//! until then it is parked behind earlier requests of the route. Then it is
-//! placed on a path; until one is free it waits in the fair queue of its lane,
-//! which all requests for one model in one set of pools share.
+//! A request passes two stages. First it is admitted by the limits of its
+//! route; until then it is parked behind earlier requests of the route. Then it
+//! is placed on a path; until one is free it waits in the fair queue of its
+//! lane, which all requests for one model in one set of pools share.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     pub(crate) limits: Limits,
     /// Maximum number of tokens of prompt and answer.
     pub(crate) tokens: u32,
-    /// End of the request's time.
+    /// Deadline of the request.
     pub(crate) deadline: Time,
 }
 
@@ -64,13 +64,14 @@
     pub(crate) exclude: Vec<UpstreamId>,
     /// Whether the request may run again.
     pub(crate) idempotent: bool,
-    /// Whether an earlier attempt failed, which puts the request before the queue:
-    /// it was already dispatched once, and its caller waits within an answer. A
-    /// request that only found an engine busy returns to the queue. Otherwise the
-    /// requests of an organisation that overloads the engines would be refused
-    /// and served first again and again, and starve the others.
+    /// Whether an earlier attempt failed, which puts the request before the
+    /// queue: it was already dispatched once, and its caller waits within an
+    /// answer. A request that only found an engine busy returns to the queue.
+    /// Otherwise the requests of an organisation that overloads the engines
+    /// would be refused and served first again and again, and starve the
+    /// others.
     pub(crate) resumed: bool,
-    /// End of the request's time.
+    /// Deadline of the request.
     pub(crate) deadline: Time,
 }
 
@@ -133,7 +134,8 @@
 pub(crate) enum Decision {
     /// The request is admitted.
     Admitted(Permit),
-    /// A limit is reached, the request can't wait, and no other of its route does.
+    /// A limit is reached, the request can't wait, and no other of its route
+    /// does.
     Denied(Duration),
     /// A limit is reached, the request can't wait, and others of its route do.
     Full(Duration),
@@ -234,7 +236,8 @@
     fn may_park(&self, now: Time, admission: &Admission, denial: &Denial, ahead: usize) -> bool {
         let share = self.holder.share(now, &admission.route);
         let bound = match denial.reason {
-            // The share was requested; until it is granted, its bound is unknown.
+            // The share was requested; until it is granted, its bound is
+            // unknown.
             DenialReason::NoShare => admission.limits.queued,
             _ => share.queued,
         };
--- a/src/flow.rs
+++ b/src/flow.rs
@@ -90,8 +90,8 @@
         levels
     }
 
-    /// Pushes flow along one shortest path and returns the amount. The recursion
-    /// depth is at most three times the number of layer boundaries.
+    /// Pushes flow along one shortest path and returns the amount. The
+    /// recursion depth is at most three times the number of layer boundaries.
     fn push(
         &mut self,
         node: usize,
--- a/src/limit.rs
+++ b/src/limit.rs
@@ -1,8 +1,9 @@
 //! Leased shares of fleet-wide limits.
 //!
 //! The [`Allocator`] runs on the leader of the replicated log, a [`Holder`] on
-//! each instance. A holder sends a [`ShareRequest`] once per period, and earlier
-//! when it has to deny a request; the [`Grant`] replaces all its shares. A grant is valid for [`LEASE`] from the *sending* of the share
+//! each instance. A holder sends a [`ShareRequest`] once per period, and
+//! earlier when it has to deny a request; the [`Grant`] replaces all its
+//! shares. A grant is valid for [`LEASE`] from the *sending* of the share
 //! request on the holder's clock. The allocator counts it for longer: from the
 //! receipt of the share request on its own clock, plus a margin for clock
 //! drift. The receipt is never before the sending, so a share in use is always
--- a/src/limit/allocator.rs
+++ b/src/limit/allocator.rs
@@ -32,8 +32,8 @@
 /// State kept for a holder.
 #[derive(Debug, Default)]
 struct HolderState {
-    /// Sequence of the latest share request answered. Requests up to it are late
-    /// or duplicate copies.
+    /// Sequence of the latest share request answered. Requests up to it are
+    /// late or duplicate copies.
     sequence: u64,
     /// Routes on which this holder has an account.
     routes: Vec<Arc<str>>,
@@ -56,7 +56,8 @@
 /// Grants and demand of one holder on one route.
 #[derive(Debug, Default)]
 struct Account {
-    /// Grants that the holder uses or may still use when a delayed grant arrives.
+    /// Grants that the holder uses or may still use when a delayed grant
+    /// arrives.
     issued: Vec<Issued>,
     /// Maximum over `issued`, by kind.
     exposed: [u32; 4],
@@ -73,8 +74,8 @@
     sequence: u64,
     /// Epoch of the limit at the time of the grant.
     epoch: u64,
-    /// Time until which the grant counts: the lease from the receipt of the share
-    /// request, plus the possible clock drift.
+    /// Time until which the grant counts: the lease from the receipt of the
+    /// share request, plus the possible clock drift.
     until: Time,
     amounts: [u32; 4],
 }
@@ -93,10 +94,11 @@
         }
     }
 
-    /// Sets the limits from the catalogue. Routes that aren't listed get no more
-    /// shares. A lowered limit is in force one lease later, or one lease after
-    /// the next change of leader if that comes first: a new allocator can't tell
-    /// which of the reported shares were granted before the limit was lowered.
+    /// Sets the limits from the catalogue. Routes that aren't listed get no
+    /// more shares. A lowered limit is in force one lease later, or one lease
+    /// after the next change of leader if that comes first: a new allocator
+    /// can't tell which of the reported shares were granted before the limit
+    /// was lowered.
     pub fn set_limits<'a>(&mut self, limits: impl IntoIterator<Item = (&'a str, Limits)>) {
         let mut unlisted: HashSet<Arc<str>> = self.routes.keys().cloned().collect();
         for (name, limits) in limits {
@@ -256,15 +258,15 @@
         self.insert(key, account);
     }
 
-    /// The share that a holder should have: its demand plus an equal part of the
-    /// unclaimed rest of the limit. If the total demand exceeds the limit, it is
-    /// a part in proportion to the demand, but at least one.
+    /// The share that a holder should have: its demand plus an equal part of
+    /// the unclaimed rest of the limit. If the total demand exceeds the limit,
+    /// it is a part in proportion to the demand, but at least one.
     ///
     /// The rest is divided by all `fleet` holders, including those without an
     /// account on the route. If it were divided among the accounts alone, the
-    /// first few holders would take the whole limit, and when the first requests
-    /// reach all instances at once, the last ones would wait two periods until
-    /// the first ones give shares back.
+    /// first few holders would take the whole limit, and when the first
+    /// requests reach all instances at once, the last ones would wait two
+    /// periods until the first ones give shares back.
     fn target(&self, key: HolderKey, fleet: usize) -> [u32; 4] {
         let own = self
             .accounts
@@ -285,11 +287,12 @@
 
     /// Grants as much of `target` as is free.
     ///
-    /// Nothing that another holder may use is granted, or the fleet would admit
-    /// more than the limit. After a limit was lowered, the earlier grants exceed
-    /// it. Then a holder keeps as much of its own share as fits the new limit
-    /// beside all grants issued since. Every earlier grant expires within a
-    /// lease, after which the sum of all grants fits the limit.
+    /// Nothing that another holder may use is granted: a unit granted twice
+    /// would let the fleet admit more than the limit. After a limit was
+    /// lowered, the earlier grants exceed it. Then a holder keeps as much of
+    /// its own share as fits the new limit beside all grants issued since.
+    /// Every earlier grant expires within a lease, after which the sum of all
+    /// grants fits the limit.
     fn issue(&mut self, now: Time, key: HolderKey, sequence: u64, target: [u32; 4]) -> [u32; 4] {
         let epoch = self.epoch;
         let mut account = self.remove(key);
--- a/src/limit/holder.rs
+++ b/src/limit/holder.rs
@@ -1,4 +1,5 @@
-//! An instance's side of the limits: admits requests within the shares it holds.
+//! An instance's side of the limits: admits requests within the shares it
+//! holds.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -6,7 +7,7 @@
 
 use crossbeam::queue::SegQueue;
 
-use super::local::{Denial, Local};
+use super::local::{Denial, RouteState};
 use super::message::{Amounts, Grant, ShareRequest};
 use super::{LEASE, MIN_REQUEST_GAP, REQUEST_PERIOD};
 use crate::clock::Time;
@@ -48,7 +49,7 @@
 pub struct Holder {
     instance: InstanceId,
     incarnation: Incarnation,
-    routes: HashMap<Arc<str>, Local>,
+    routes: HashMap<Arc<str>, RouteState>,
     /// Sequence of the last share request sent.
     sequence: u64,
     /// Sequence of the share request whose grant is in use.
@@ -84,28 +85,28 @@
     ///
     /// # Errors
     /// [`Denial`] with the limit reached. With
-    /// [`DenialReason::NoShare`](super::DenialReason::NoShare) a share request is
-    /// due, and the denied request may wait for its grant.
+    /// [`DenialReason::NoShare`](super::DenialReason::NoShare) a share request
+    /// is due, and the denied request may wait for its grant.
     pub fn admit(&mut self, now: Time, route: &str, tokens: u32) -> Result<Permit, Denial> {
         self.count_demand(now, route, tokens);
         let admitted = self.readmit(now, route, tokens);
         if admitted.is_err() {
-            let local = entry(&mut self.routes, route);
-            local.usage.denied += 1;
-            self.urgent |= local.first_denial(now);
+            let state = entry(&mut self.routes, route);
+            state.usage.denied += 1;
+            self.urgent |= state.first_denial(now);
         }
         admitted
     }
 
     fn count_demand(&mut self, now: Time, route: &str, tokens: u32) {
-        let local = entry(&mut self.routes, route);
-        local.usage.requests += 1;
-        local.usage.tokens += u64::from(tokens);
-        local.used = now;
+        let state = entry(&mut self.routes, route);
+        state.usage.requests += 1;
+        state.usage.tokens += u64::from(tokens);
+        state.used = now;
     }
 
-    /// Retries to admit a request that was denied and waits. Retries don't add to
-    /// the demand.
+    /// Retries to admit a request that was denied and waits. Retries don't add
+    /// to the demand.
     ///
     /// # Errors
     /// [`Denial`] with the limit reached.
@@ -113,16 +114,16 @@
         self.collect();
         let valid = now < self.until;
         let until = self.until;
-        let local = entry(&mut self.routes, route);
-        local.refill(now.min(until));
-        if let Some(denial) = local.denial(valid, tokens) {
+        let state = entry(&mut self.routes, route);
+        state.refill(now.min(until));
+        if let Some(denial) = state.denial(valid, tokens) {
             return Err(denial);
         }
-        local.used = now;
-        local.requests.take(1.0);
-        local.tokens.take(f64::from(tokens));
-        local.running += 1;
-        local.usage.peak = local.usage.peak.max(local.running);
+        state.used = now;
+        state.requests.take(1.0);
+        state.tokens.take(f64::from(tokens));
+        state.running += 1;
+        state.usage.peak = state.usage.peak.max(state.running);
         let route = self.routes.get_key_value(route).map(|(k, _)| k.clone());
         Ok(Permit {
             route: route.unwrap_or_default(),
@@ -133,8 +134,8 @@
 
     /// Returns a permit and charges the tokens that the request actually used.
     pub fn settle(&mut self, permit: Permit, tokens: u32) {
-        if let Some(local) = self.routes.get_mut(&permit.route) {
-            local
+        if let Some(state) = self.routes.get_mut(&permit.route) {
+            state
                 .tokens
                 .correct(f64::from(tokens) - f64::from(permit.tokens));
         }
@@ -160,14 +161,15 @@
 
     /// Sets the number of requests of a route that wait in the queue.
     pub fn set_waiting(&mut self, now: Time, route: &str, waiting: u32) {
-        let local = entry(&mut self.routes, route);
-        local.waiting = waiting;
+        let state = entry(&mut self.routes, route);
+        state.waiting = waiting;
         if waiting > 0 {
-            local.used = now;
+            state.used = now;
         }
     }
 
-    /// Time at which [`share_request`](Self::share_request) should be called next.
+    /// Time at which [`share_request`](Self::share_request) should be called
+    /// next.
     #[must_use]
     pub fn due(&self) -> Time {
         let gap = match (self.urgent, self.routes.is_empty()) {
@@ -180,8 +182,8 @@
         self.last_request.map_or(Time::default(), |at| at + gap)
     }
 
-    /// Creates the next share request. Its lease starts at `now`, so call it right
-    /// before the message is sent.
+    /// Creates the next share request. Its lease starts at `now`, so call it
+    /// right before the message is sent.
     pub fn share_request(&mut self, now: Time) -> ShareRequest {
         self.collect();
         let elapsed = self.last_request.map_or(REQUEST_PERIOD, |at| now.since(at));
@@ -212,10 +214,11 @@
 
     /// Applies a grant. Returns whether it is now in use.
     ///
-    /// Late and duplicate grants are ignored: a grant for an older share request
-    /// would bring back a share that the allocator no longer counts, and two
-    /// instances would use the same share. So only a grant for a pending request
-    /// is applied, and that request and all older ones are dropped with it.
+    /// Late and duplicate grants are ignored: a grant for an older share
+    /// request would bring back a share that the allocator no longer counts,
+    /// and two instances would use the same share. So only a grant for a
+    /// pending request is applied, and that request and all older ones are
+    /// dropped with it.
     pub fn grant(&mut self, now: Time, grant: &Grant) -> bool {
         let own = grant.instance == self.instance.0 && grant.incarnation == self.incarnation.0;
         if !own {
@@ -238,8 +241,9 @@
     ///
     /// A new allocator renews what a share request reported. If the request was
     /// delayed, the share may have expired or been given up since, and the
-    /// earlier allocator may have granted it to another instance; both would use
-    /// it. As long as the share is in use here, the earlier allocator counted it.
+    /// earlier allocator may have granted it to another instance; both would
+    /// use it. As long as the share is in use here, the earlier allocator
+    /// counted it.
     fn renews(&self, now: Time, request: Pending) -> bool {
         now < self.until && self.applied == request.applied
     }
@@ -247,18 +251,18 @@
     fn replace(&mut self, now: Time, until: Time, grant: &Grant) {
         let expired = now >= self.until;
         self.urgent |= self.shrinks(grant);
-        for local in self.routes.values_mut() {
-            local.refill(now.min(self.until));
-            local.share = Amounts::default();
+        for state in self.routes.values_mut() {
+            state.refill(now.min(self.until));
+            state.share = Amounts::default();
             if expired {
-                local.drain();
+                state.drain();
             }
         }
         for share in &grant.shares {
             entry(&mut self.routes, &share.route).share = share.amounts;
         }
-        for local in self.routes.values_mut() {
-            local.restart(now);
+        for state in self.routes.values_mut() {
+            state.restart(now);
         }
         self.until = until;
     }
@@ -278,16 +282,16 @@
     /// Processes returned permits.
     fn collect(&mut self) {
         while let Some(route) = self.returns.pop() {
-            let local = entry(&mut self.routes, &route);
-            assert!(local.running > 0, "permit of {route} returned twice");
-            local.running -= 1;
+            let state = entry(&mut self.routes, &route);
+            assert!(state.running > 0, "permit of {route} returned twice");
+            state.running -= 1;
         }
     }
 }
 
-fn entry<'a>(routes: &'a mut HashMap<Arc<str>, Local>, route: &str) -> &'a mut Local {
+fn entry<'a>(routes: &'a mut HashMap<Arc<str>, RouteState>, route: &str) -> &'a mut RouteState {
     if !routes.contains_key(route) {
-        routes.insert(route.into(), Local::default());
+        routes.insert(route.into(), RouteState::default());
     }
     routes.get_mut(route).expect("inserted above")
 }
--- a/src/limit/local.rs
+++ b/src/limit/local.rs
@@ -15,8 +15,8 @@
 /// The limit that a request reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DenialReason {
-    /// No valid share: the first request on this instance, or the instance can't
-    /// reach the allocator.
+    /// No valid share: the first request on this instance, or the instance
+    /// can't reach the allocator.
     NoShare,
     /// Requests per second.
     Requests,
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Local {
+pub(crate) struct RouteState {
     pub(crate) share: Amounts,
     pub(crate) requests: Bucket,
     pub(crate) tokens: Bucket,
@@ -62,15 +62,16 @@
     pub(crate) denied: u32,
 }
 
-impl Local {
+impl RouteState {
     /// Refills the buckets up to `until`, which must not exceed the lease.
     pub(crate) fn refill(&mut self, until: Time) {
         self.requests.refill(until);
         self.tokens.refill(until);
     }
 
-    /// Discards accumulated tokens after the lease expired: another instance may
-    /// have accumulated tokens for the same share meanwhile, and both would burst.
+    /// Discards accumulated tokens after the lease expired: another instance
+    /// may have accumulated tokens for the same share meanwhile, and both would
+    /// burst.
     pub(crate) fn drain(&mut self) {
         self.requests.drain();
         self.tokens.drain();
@@ -142,8 +143,8 @@
     }
 }
 
-/// Smoothing factor for a change of demand. A change within random variation
-/// is followed slowly: a share given up after a random drop would be missing for
+/// Smoothing factor for a change of demand. A change within random variation is
+/// followed slowly: a share given up after a random drop would be missing for
 /// the next request.
 fn gain(wanted: f64, rate: f64) -> f64 {
     let noise = 3.0 * wanted.sqrt();
--- a/src/limit/message.rs
+++ b/src/limit/message.rs
@@ -76,7 +76,8 @@
     /// will be used again.
     #[prost(uint64, tag = "4")]
     pub applied: u64,
-    /// Routes with demand or shares. The holder gives up its shares of all others.
+    /// Routes with demand or shares. The holder gives up its shares of all
+    /// others.
     #[prost(message, repeated, tag = "5")]
     pub demands: Vec<Demand>,
 }
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -184,8 +184,8 @@
         expired
     }
 
-    /// Time until `item` would be served if it were enqueued now, at the present
-    /// service rate. Zero while the rate is unknown.
+    /// Time until `item` would be served if it were enqueued now, at the
+    /// present service rate. Zero while the rate is unknown.
     #[must_use]
     pub fn expected_wait(&self, item: &Item) -> Duration {
         let class = item.class as usize;
@@ -214,7 +214,8 @@
         }
     }
 
-    /// The highest class with waiting items, unless a lower one is owed its floor.
+    /// The highest class with waiting items, unless a lower one is owed its
+    /// floor.
     fn next_class(&self) -> Option<usize> {
         let owed = (1..CLASSES.len()).rev().find(|&i| {
             !self.classes[i].is_empty() && self.credit[i] >= self.classes[i].head_cost()
--- a/src/queue/tenant.rs
+++ b/src/queue/tenant.rs
@@ -52,7 +52,8 @@
     /// Precisely the organisations with waiting items, by virtual time.
     order: BTreeSet<(VirtualTime, usize)>,
     /// Virtual time of the class: that of the organisation served last. An
-    /// organisation that was idle starts here, so that idle time earns no credit.
+    /// organisation that was idle starts here, so that idle time earns no
+    /// credit.
     clock: f64,
     backlog: f64,
     /// Sum of the weights in `order`.
@@ -103,8 +104,8 @@
         Some(waiting.id)
     }
 
-    /// Advances an organisation's virtual time by `cost`, which is negative if an
-    /// estimate was too high.
+    /// Advances an organisation's virtual time by `cost`, which is negative if
+    /// an estimate was too high.
     pub(crate) fn charge(&mut self, organisation: &OrganisationId, cost: f64) {
         let Some(&i) = self.index.get(organisation) else {
             return;
--- a/src/route.rs
+++ b/src/route.rs
@@ -1,4 +1,5 @@
-//! Choice of a pipeline: an ordered list of upstreams that covers each layer once.
+//! Choice of a pipeline: an ordered list of upstreams that covers each layer
+//! once.
 //!
 //! [`Router::set_view`] applies the announced upstreams and, if the capacity or
 //! state of one changed, computes the maximum flow over engines and links for
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Sets how many instances choose from the same reports, including this one.
-    /// Until it is set, the number is estimated from the loads.
+    /// Sets how many instances choose from the same reports, including this
+    /// one. Until it is set, the number is estimated from the loads.
     pub fn set_instances(&mut self, instances: u32) {
         self.instances = Some(instances.max(1));
     }
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Maximum flow of a model in a set of pools, in tokens per second, as bounded
-    /// by engines and links. Zero if there is no complete path.
+    /// Maximum flow of a model in a set of pools, in tokens per second, as
+    /// bounded by engines and links. Zero if there is no complete path.
     pub fn bound(&mut self, now: Time, model: &str, pools: &[String]) -> f64 {
         let query = Query::new(model, pools);
         let key = self.plan_key(now, &query);
@@ -208,7 +209,8 @@
         self.engines.is_ejected(now, upstream)
     }
 
-    /// Finds or computes the plan of a query, marks it as used and returns its key.
+    /// Finds or computes the plan of a query, marks it as used and returns its
+    /// key.
     fn plan_key(&mut self, now: Time, query: &Query<'_>) -> u64 {
         let mut hasher = FxHasher::default();
         query.model.hash(&mut hasher);
--- a/src/route/engine.rs
+++ b/src/route/engine.rs
@@ -13,14 +13,15 @@
 /// Time constant with which the confidence in a load report decays, in seconds.
 const REPORT_DECAY: f64 = 1.0;
 
-/// Ratio of estimated load to slots up to which an engine is used. It is above 1
-/// because reports lag: an engine with free slots would idle until the next
+/// Ratio of estimated load to slots up to which an engine is used. It is above
+/// 1 because reports lag: an engine with free slots would idle until the next
 /// report.
 const MAX_FILL: f64 = 1.25;
 
 /// Maximum seconds between two tokens of a sequence: an engine is full with as
-/// many sequences as it can generate one token each for in this time. More would
-/// slow down all of them; they wait on this instance instead, in fair order.
+/// many sequences as it can generate one token each for in this time. More
+/// would slow down all of them; they wait on this instance instead, in fair
+/// order.
 const MAX_TOKEN_SECONDS: f64 = 0.08;
 
 /// Time for which an engine counts as full after it refused a request.
@@ -115,8 +116,8 @@
         self.present && !self.stage.leaving
     }
 
-    /// Estimated number of sequences on the engine: own ones, and those of other
-    /// instances, which decay from the reported to the expected number.
+    /// Estimated number of sequences on the engine: own ones, and those of
+    /// other instances, which decay from the reported to the expected number.
     pub(crate) fn load(&self, now: Time) -> f64 {
         let confidence = self.report_confidence(now);
         f64::from(self.own)
@@ -124,8 +125,8 @@
             + (self.others - self.expected_others) * confidence
     }
 
-    /// Confidence in [`load`](Self::load), from 0 to 1: own sequences are known,
-    /// those of others as far as the report is recent.
+    /// Confidence in [`load`](Self::load), from 0 to 1: own sequences are
+    /// known, those of others as far as the report is recent.
     pub(crate) fn load_confidence(&self, now: Time) -> f64 {
         let own = f64::from(self.own) + 1.0;
         (own + self.others * self.report_confidence(now)) / (own + self.others)
@@ -141,13 +142,13 @@
         self.is_refusing(now) || self.load(now) + 1.0 > self.max_load()
     }
 
-    /// Whether this instance used up its part of the slots that were free at the
-    /// last report.
+    /// Whether this instance used up its part of the slots that were free at
+    /// the last report.
     ///
-    /// Prevents a thundering herd: many instances with work waiting see the same
-    /// few free slots in the same outdated reports and would all take them at
-    /// once, which reduces throughput far below the bound under overload. As each
-    /// takes only its part, together they don't take more than are free.
+    /// Prevents a thundering herd: many instances with work waiting see the
+    /// same few free slots in the same outdated reports and would all take them
+    /// at once, which reduces throughput far below the bound under overload. As
+    /// each takes only its part, together they don't take more than are free.
     pub(crate) fn is_over_quota(&self, now: Time) -> bool {
         self.is_refusing(now) || self.quota <= 0.0
     }
@@ -156,8 +157,8 @@
         self.refused.is_some_and(|at| now.since(at) < REFUSAL_TIME)
     }
 
-    /// Maximum number of sequences that the engine should have. A plain service,
-    /// which is routed as a model of one layer, has no token rate.
+    /// Maximum number of sequences that the engine should have. A plain
+    /// service, which is routed as a model of one layer, has no token rate.
     pub(crate) fn max_load(&self) -> f64 {
         let slots = f64::from(self.stage.slots) * MAX_FILL;
         if self.stage.total <= 1 {
--- a/src/route/engines.rs
+++ b/src/route/engines.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::engine::Engine;
-use super::health::{DomainFailures, Peers};
+use super::health::{DomainFailures, PeerGroup};
 use super::types::Stage;
 use crate::clock::Time;
 use crate::collections::HashMap;
@@ -18,7 +18,7 @@
 pub(crate) struct Engines {
     slab: Vec<Engine>,
     index: HashMap<UpstreamId, u32>,
-    peers: Vec<Peers>,
+    peers: Vec<PeerGroup>,
     /// Recent failures by failure domain.
     domains: HashMap<Arc<str>, DomainFailures>,
     /// Whether an engine was ejected since the last view.
@@ -46,8 +46,8 @@
         let mut changed = std::mem::take(&mut self.ejected);
         let before: Vec<bool> = self.slab.iter().map(|e| e.present).collect();
         self.slab.iter_mut().for_each(|e| e.present = false);
-        // Known engines first: until they are updated they look absent, and a new
-        // engine would take the entry of one of them and erase its state.
+        // Known engines first: until they are updated they look absent, and a
+        // new engine would take the entry of one of them and erase its state.
         let known = |engines: &Self, stage: &&Stage| engines.index.contains_key(&stage.id);
         let (old, new): (Vec<_>, Vec<_>) = stages.iter().partition(|s| known(self, s));
         for stage in old {
@@ -136,7 +136,7 @@
             let next = ranges.len();
             engine.peers = *ranges.entry(key).or_insert(next);
             if engine.peers == next {
-                self.peers.push(Peers::default());
+                self.peers.push(PeerGroup::default());
             }
             self.peers[engine.peers].members.push(i);
         }
@@ -223,7 +223,7 @@
         self.ejected = true;
     }
 
-    fn peers_of(&self, i: u32) -> Option<&Peers> {
+    fn peers_of(&self, i: u32) -> Option<&PeerGroup> {
         let engine = &self.slab[i as usize];
         let peers = self.peers.get(engine.peers)?;
         peers.members.contains(&(i as usize)).then_some(peers)
@@ -244,12 +244,12 @@
     }
 }
 
-/// Readmits ejected engines of a group that shrank until the cap on ejections is
-/// met again.
+/// Readmits ejected engines of a group that shrank until the cap on ejections
+/// is met again.
 ///
 /// Prevents an outage: if an engine is ejected while its only peer serves and
 /// that peer leaves, no engine would be left.
-fn readmit(slab: &mut [Engine], peers: &Peers) {
+fn readmit(slab: &mut [Engine], peers: &PeerGroup) {
     let out = peers
         .members
         .iter()
--- a/src/route/health.rs
+++ b/src/route/health.rs
@@ -57,18 +57,18 @@
 
 /// Engines that hold the same layers of the same model.
 #[derive(Debug, Default)]
-pub(crate) struct Peers {
+pub(crate) struct PeerGroup {
     pub(crate) members: Vec<usize>,
     /// Median of the members' factors.
     pub(crate) median: Option<f64>,
 }
 
-impl Peers {
+impl PeerGroup {
     /// Maximum number of members that may be ejected at a time.
     ///
-    /// If all engines look bad, the cause is elsewhere (this instance's network, a
-    /// bad model), and without them nothing would be answered. One of two may be
-    /// ejected; the last one never is.
+    /// If all engines look bad, the cause is elsewhere (this instance's
+    /// network, a bad model), and without them nothing would be answered. One
+    /// of two may be ejected; the last one never is.
     pub(crate) fn max_ejected(&self) -> usize {
         if self.members.len() < 2 {
             return 0;
@@ -81,8 +81,8 @@
 /// Health of one engine as measured by this instance.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
-    /// Moving average of the ratio of measured to expected token time, over paths
-    /// through the engine.
+    /// Moving average of the ratio of measured to expected token time, over
+    /// paths through the engine.
     mean: f64,
     samples: u32,
     /// Ratio of `mean` to the peers' median, within bounds.
@@ -149,8 +149,8 @@
         self.failures
     }
 
-    /// Records a failure. Returns whether the engine should be ejected, which is
-    /// after the first failure if its failure domain is suspect.
+    /// Records a failure. Returns whether the engine should be ejected, which
+    /// is after the first failure if its failure domain is suspect.
     pub(crate) fn failed(&mut self, domain_suspect: bool) -> bool {
         self.failures += 1;
         domain_suspect || self.state == State::Probation || self.failures >= MAX_FAILURES
--- a/src/route/plan.rs
+++ b/src/route/plan.rs
@@ -94,17 +94,18 @@
         *self.model == *query.model && self.pools == query.pools
     }
 
-    /// Whether work waits for these engines on this instance and thus probably on
-    /// all. Then all instances see a slot that becomes free at the same time.
+    /// Whether work waits for these engines on this instance and thus probably
+    /// on all. Then all instances see a slot that becomes free at the same
+    /// time.
     pub(crate) fn is_contended(&self, now: Time) -> bool {
         let contended_at = self.contended_at.get();
         contended_at.is_some_and(|at| now.since(at) < CONTENTION_TIME)
     }
 
-    /// Records that no path was free, with the load ratio of the engines at which
-    /// the walk ended. If many of their slots are free, only this instance's
-    /// quota was used up; then they aren't contended, and waiting for them would
-    /// leave them idle.
+    /// Records that no path was free, with the load ratio of the engines at
+    /// which the walk ended. If many of their slots are free, only this
+    /// instance's quota was used up; then they aren't contended, and waiting
+    /// for them would leave them idle.
     pub(crate) fn set_contended(&self, now: Time, load_ratio: f64) {
         self.contended_at
             .set((load_ratio >= CONTENDED_RATIO).then_some(now));
@@ -187,9 +188,9 @@
         network.maximise(0, boundaries - 1) as f64 / SCALE
     }
 
-    /// Distributes the maximum flow over the groups as evenly as the graph allows.
-    /// A maximum flow alone may leave one of two equal groups idle if the
-    /// bottleneck is elsewhere.
+    /// Distributes the maximum flow over the groups as evenly as the graph
+    /// allows. A maximum flow alone may leave one of two equal groups idle if
+    /// the bottleneck is elsewhere.
     fn distribute(&mut self) {
         let part = self.bound / FLOW_PARTS as f64;
         let mut used = vec![0.0; self.groups.len()];
@@ -212,7 +213,8 @@
         }
     }
 
-    /// The cheapest outgoing edge of each boundary for one more part of the flow.
+    /// The cheapest outgoing edge of each boundary for one more part of the
+    /// flow.
     fn cheapest(&self, used: &[f64], part: f64) -> Vec<Option<usize>> {
         let last = self.boundaries.len() - 1;
         let mut cost = vec![f64::INFINITY; self.boundaries.len()];
--- a/src/route/policy.rs
+++ b/src/route/policy.rs
@@ -57,7 +57,8 @@
         sums.0 / sums.1
     }
 
-    /// Draws an engine by its share of the maximum flow; `None` if it isn't usable.
+    /// Draws an engine by its share of the maximum flow; `None` if it isn't
+    /// usable.
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> Option<Candidate> {
         let total = self.edges.last()?.flow;
         let at = rng.random::<f64>() * total;
@@ -124,10 +125,10 @@
 }
 
 /// Draws an engine by its share of the flow, unless a second draw or an engine
-/// with the cached prefix is cheaper. If none of the drawn engines is usable, it
-/// takes the cheapest of all.
+/// with the cached prefix is cheaper. If none of the drawn engines is usable,
+/// it takes the cheapest of all.
 ///
-/// The less certain the load, the less often the draws are compared. With
+/// The less certain the load, the less often the two draws are compared. With
 /// outdated reports, all instances would prefer the same engines until the next
 /// report, and load would oscillate between engines.
 #[derive(Clone, Copy, Debug, Default)]
--- a/src/route/prefix.rs
+++ b/src/route/prefix.rs
@@ -7,8 +7,8 @@
 const MAX_PREFIXES: usize = 4096;
 /// Maximum number of engines recorded for one prefix.
 const MAX_ENGINES: usize = 16;
-/// Time constant with which the confidence in a cached prefix decays, in seconds.
-/// Engines don't report evictions reliably.
+/// Time constant with which the confidence in a cached prefix decays, in
+/// seconds. Engines don't report evictions reliably.
 const CACHE_DECAY: f64 = 60.0;
 
 /// An engine that recently ran a prefix.
--- a/src/route/types.rs
+++ b/src/route/types.rs
@@ -97,8 +97,8 @@
 /// A chosen path.
 #[derive(Debug)]
 pub struct Choice {
-    /// Steps in order. Each begins where the previous one ended; together they run
-    /// each layer once.
+    /// Steps in order. Each begins where the previous one ended; together they
+    /// run layers 0 to the total once.
     pub hops: Vec<Hop>,
     /// Version of the model that the path runs.
     pub version: Arc<str>,
@@ -108,9 +108,9 @@
 
 /// In-flight count of one path.
 ///
-/// [`finish`](super::Router::finish) takes it by value, so its count is released
-/// at most once. A ticket that is dropped, for instance by a panicking thread,
-/// releases its count too.
+/// [`finish`](super::Router::finish) takes it by value, so its count is
+/// released at most once. A ticket that is dropped, for instance by a panicking
+/// thread, releases its count too.
 #[derive(Debug)]
 #[must_use = "the path counts as in flight while its ticket lives"]
 pub struct Ticket {
--- a/src/route/walk.rs
+++ b/src/route/walk.rs
@@ -69,8 +69,8 @@
         })
     }
 
-    /// Finds a path through one version. If the request isn't idempotent, engines
-    /// on probation are used only if there is no other path.
+    /// Finds a path through one version. If the request isn't idempotent,
+    /// engines on probation are used only if there is no other path.
     fn steps(
         &self,
         variant: &Variant,
@@ -87,8 +87,8 @@
     }
 
     /// Walks from boundary to boundary without backtracking. An engine may be
-    /// entered at any layer it holds, so a boundary without a usable engine means
-    /// that the layer has none, and no other walk would get past it.
+    /// entered at any layer it holds, so a boundary without a usable engine
+    /// means that the layer has none, and no other walk would get past it.
     fn try_steps(
         &self,
         variant: &Variant,
--- a/src/tests/budget.rs
+++ b/src/tests/budget.rs
@@ -5,8 +5,8 @@
 use crate::budget::{Budget, INSTANCE, ORGANISATION};
 use crate::{OrganisationId, Time};
 
-/// Every attempt fails while callers keep sending. Retries must not multiply the
-/// load, or the fleet could not recover.
+/// Every attempt fails while callers keep sending. Retries must not multiply
+/// the load, or the fleet could not recover.
 #[test]
 fn take_all_attempts_fail() {
     let organisation = OrganisationId::from("a");
--- a/src/tests/dispatch.rs
+++ b/src/tests/dispatch.rs
@@ -244,10 +244,10 @@
     }
 }
 
-/// Callers arrive, wait and disconnect at any time, share requests are lost, and
-/// the only engine disappears and returns. Each request must get each decision
-/// once and in order, no limit or slot count may be exceeded, and no slot may
-/// leak.
+/// Callers arrive, wait and disconnect at any time, share requests are lost,
+/// and the only engine disappears and returns. Each request must get each
+/// decision once and in order, no limit or slot count may be exceeded, and no
+/// slot may leak.
 #[test]
 fn dispatch_random_requests() {
     for seed in 0..RUNS {
--- a/src/tests/limit.rs
+++ b/src/tests/limit.rs
@@ -344,9 +344,9 @@
 }
 
 /// Instances with drifting clocks request shares over a network that loses,
-/// duplicates and delays messages beyond a lease, while leaders and limits change
-/// and processes freeze. If the shares in use ever exceeded the limit, more than
-/// the limit would be admitted.
+/// duplicates and delays messages beyond a lease, while leaders and limits
+/// change and processes freeze. If the shares in use ever exceeded the limit,
+/// more than the limit would be admitted.
 #[test]
 fn grant_random_runs_within_limit() {
     let mut admitted = 0;
@@ -358,10 +358,10 @@
     assert!(admitted > 10_000, "only {admitted} admitted");
 }
 
-/// A's share request is delayed until A's lease expired, the share went to B and
-/// the leader changed; the new leader then renews what it reports. If A applied
-/// that grant, A and B would both use the share, and twice the limit would be
-/// admitted.
+/// A's share request is delayed until A's lease expired, the share went to B
+/// and the leader changed; the new leader then renews what it reports. If A
+/// applied that grant, A and B would both use the share, and twice the limit
+/// would be admitted.
 #[test]
 fn grant_renewal_of_lost_share() {
     let (mut old, mut a, now) = pair(10);
@@ -458,8 +458,8 @@
 }
 
 /// A lowered limit takes most of a share away. The allocator can't grant that
-/// part to others before the holder reports that the smaller share is in use, so
-/// the holder reports it early instead of a period later.
+/// part to others before the holder reports that the smaller share is in use,
+/// so the holder reports it early instead of a period later.
 #[test]
 fn due_after_shrunk_share() {
     let (mut allocator, mut holder, now) = pair(100);
--- a/src/tests/queue.rs
+++ b/src/tests/queue.rs
@@ -34,8 +34,8 @@
     sums
 }
 
-/// Both organisations always have work, and requests of one cost ten times those
-/// of the other. Only charging by cost serves both equally.
+/// Both organisations always have work, and requests of one cost ten times
+/// those of the other. Only charging by cost serves both equally.
 #[rstest]
 #[case::cost(Discipline::Cost, 0.9..1.1)]
 #[case::stride(Discipline::Stride, 9.0..11.0)]
@@ -171,8 +171,8 @@
     queue.push(now, other).unwrap();
 }
 
-/// An id is removed and pushed again with a later deadline. The old deadline and
-/// position must not apply to the new item.
+/// An id is removed and pushed again with a later deadline. The old deadline
+/// and position must not apply to the new item.
 #[test]
 fn expire_id_pushed_again() {
     let mut queue = Queue::new(Discipline::Cost);
@@ -195,8 +195,8 @@
     assert_eq!(queue.pop(at(2)), None);
 }
 
-/// Random pushes, services, removals and expiries: every accepted item comes out
-/// once, and the queue serves an item whenever one waits.
+/// Random pushes, services, removals and expiries: every accepted item comes
+/// out once, and the queue serves an item whenever one waits.
 #[rstest]
 fn push_random_runs(
     #[values(Discipline::Cost, Discipline::Stride, Discipline::Fifo)] discipline: Discipline,
--- a/src/tests/route.rs
+++ b/src/tests/route.rs
@@ -62,8 +62,8 @@
 }
 
 /// The view is empty for a moment, as after a frozen instance resumes, and the
-/// same engines return. If routing kept the plan of the empty view, callers would
-/// get "no upstream" until something else changed.
+/// same engines return. If routing kept the plan of the empty view, callers
+/// would get "no upstream" until something else changed.
 #[test]
 fn choose_after_empty_view() {
     let mut router = Router::new(1);
@@ -149,8 +149,9 @@
     }
 }
 
-/// The bottleneck is the second half of the layers. Both equal groups of engines
-/// of the first half must be used, although a maximum flow may leave one idle.
+/// The bottleneck is the second half of the layers. Both equal groups of
+/// engines of the first half must be used, although a maximum flow may leave
+/// one idle.
 #[test]
 fn choose_spreads_over_idle_groups() {
     let mut router = Router::new(1);
@@ -171,9 +172,9 @@
     assert!(used.iter().all(|&n| n > 60), "{used:?}");
 }
 
-/// One engine of five is ten times slower than its peers without reporting load,
-/// and would slow down every fifth answer. The router must detect and eject it,
-/// and use it again once it has recovered.
+/// One engine of five is ten times slower than its peers without reporting
+/// load, and would slow down every fifth answer. The router must detect and
+/// eject it, and use it again once it has recovered.
 #[test]
 fn finish_slow_engine_ejected_and_probed_back() {
     let mut router = Router::new(3);
@@ -205,9 +206,9 @@
     assert!(after > 400, "{after} uses after it recovered");
 }
 
-/// All engines fail. The cap on ejections keeps most of them in use: if all were
-/// ejected, the instance would refuse every request, although the cause may be
-/// its own network.
+/// All engines fail. The cap on ejections keeps most of them in use: if all
+/// were ejected, the instance would refuse every request, although the cause
+/// may be its own network.
 #[test]
 fn finish_all_fail_capped() {
     let mut router = Router::new(3);
@@ -270,8 +271,8 @@
     assert!(router.is_ejected(Time(1), &"e0".into()));
 }
 
-/// One of two engines is ejected, and then the other one leaves. If the first one
-/// stayed ejected, callers would be refused for lack of an engine.
+/// One of two engines is ejected, and then the other one leaves. If the first
+/// one stayed ejected, callers would be refused for lack of an engine.
 #[test]
 fn set_view_last_engine_readmitted() {
     let mut router = Router::new(3);
@@ -290,8 +291,8 @@
     assert_eq!(ids(&choice), ["bad"]);
 }
 
-/// An engine on probation already has its one request. The next caller must wait
-/// for it instead of being refused for lack of an engine.
+/// An engine on probation already has its one request. The next caller must
+/// wait for it instead of being refused for lack of an engine.
 #[test]
 fn choose_probed_engine_busy() {
     let mut router = Router::new(3);
@@ -339,8 +340,8 @@
     }
 }
 
-/// A changing fleet with random overlapping layer ranges, pools, versions, states
-/// and failures; every choice is checked.
+/// A changing fleet with random overlapping layer ranges, pools, versions,
+/// states and failures; every choice is checked.
 #[test]
 fn choose_random_fleets() {
     for seed in 0..120 {
@@ -368,8 +369,8 @@
     (0..instances).map(router).collect()
 }
 
-/// Twenty instances have work waiting for a full engine and receive its report of
-/// five free slots. If each took all of them, the engine would get a hundred
+/// Twenty instances have work waiting for a full engine and receive its report
+/// of five free slots. If each took all of them, the engine would get a hundred
 /// requests, and the surplus would occupy slots on other engines.
 #[test]
 fn choose_contended_slots_once() {
