--- a/src/replica.rs
+++ b/src/replica.rs
@@ -1,10 +1,10 @@
-//! Replicated log: election, replication, snapshots, membership change.
+//! Replicated log: elections, replication, snapshots and membership changes.
 //!
 //! A [`Replica`] is one group's member on one store. It follows Raft
 //! (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with pre-vote,
 //! check-quorum, read index, leadership transfer and membership changes of one
 //! server at a time. It does no I/O: [`Replica::step`] takes an [`Event`] and
-//! emits [`Effect`]s.
+//! returns the [`Effect`]s to carry out.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -31,14 +31,14 @@
 pub(crate) use self::log::{Entry, Kind, Log, Snapshot};
 pub(crate) use self::member::Membership;
 pub use self::member::{Change, Member, Peer, Role};
-pub use self::message::Message;
-pub(crate) use self::message::Seen;
 #[cfg(test)]
-pub(crate) use self::message::Standing;
+pub(crate) use self::message::HelloAck;
+pub use self::message::Message;
+pub(crate) use self::message::SeenRun;
 #[cfg(test)]
-pub(crate) use self::message::{Append, AppendAck, Introduce, Vote, VoteAck};
-pub(crate) use self::message::{Ask, Body, Hello, Superseded};
-pub(crate) use self::outbox::{Cause, Effect, Hard, Persist};
+pub(crate) use self::message::{Append, AppendAck, ForwardHello, Vote, VoteAck};
+pub(crate) use self::message::{Body, Hello, HelloRequest, Superseded};
+pub(crate) use self::outbox::{Cause, Effect, HardState, Persist};
 pub(crate) use self::rejoin::RejoinReport;
 
 use self::election::Campaign;
@@ -46,20 +46,20 @@
 use self::progress::Leadership;
 use self::read::Reads;
 use self::rejoin::Rejoin;
-use self::snapshot::Incoming;
+use self::snapshot::IncomingSnapshot;
 
-/// Election timeouts for which a store that greeted is remembered. It greets
-/// again after two at the latest.
-const STRANGER_TIMEOUTS: u32 = 6;
+/// Election timeouts for which a non-member that sent a hello is listed. It
+/// sends the next hello after two at the latest.
+const NON_MEMBER_TIMEOUTS: u32 = 6;
 
-/// Part of the election timeout for which a replica that has just started waits
-/// for a leader. Longer than the usual time between heartbeats, a fourth.
-const FIRST_PART: u32 = 3;
+/// Divisor of the election timeout for a replica that has just started. The
+/// result exceeds the usual heartbeat interval, a fourth of the timeout.
+const INITIAL_TIMEOUT_DIVISOR: u32 = 3;
 
-/// Boot counter of a store whose folder was empty.
+/// Boot counter of a store whose directory was empty.
 const FIRST_BOOT: u64 = 1;
 
-/// Constants of one replica.
+/// Configuration of one replica.
 #[derive(Clone, Debug)]
 pub(crate) struct Settings {
     pub(crate) group: u32,
@@ -69,51 +69,50 @@
     pub(crate) boot: u64,
     /// Random number of this process.
     pub(crate) run: u64,
-    /// Instances that may know the leader; a store that is no member greets
-    /// them.
+    /// Instances that may know the leader. A non-member sends its hellos to them.
     pub(crate) contacts: Vec<u64>,
     /// Shortest election timeout; the longest is twice as long.
     pub(crate) election_timeout: Duration,
-    /// Time between heartbeats, a small part of `election`.
+    /// Time between heartbeats, a small fraction of `election_timeout`.
     pub(crate) heartbeat_interval: Duration,
     /// Seed of the election timeouts.
     pub(crate) seed: u64,
-    /// Entries kept behind a snapshot for followers that lag.
+    /// Entries before a snapshot that are retained for lagging followers.
     pub(crate) retained_entries: u64,
 }
 
-/// Durable state that a replica starts from.
+/// Durable state that a replica starts with.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Start {
-    pub(crate) hard: Hard,
+pub(crate) struct DurableState {
+    pub(crate) hard: HardState,
     pub(crate) snapshot: Snapshot,
     pub(crate) entries: Vec<Entry>,
 }
 
-/// What happens to a replica.
+/// An input to a replica.
 #[derive(Debug)]
 pub(crate) enum Event {
     /// Time has passed.
     Tick,
     /// A message arrived.
     Message(Message),
-    /// Commands to append, each with the driver's ticket.
+    /// Commands to append, each with the caller's ticket.
     Propose(Vec<(u64, Bytes)>),
-    /// A linearizable read is wanted.
+    /// A request for a linearizable read, by ticket.
     Read(u64),
-    /// A membership change is wanted.
+    /// A request for a membership change, by ticket.
     Change(u64, Change),
     /// The write with this number and all earlier ones are synced.
     Persisted(u64),
-    /// The machine's state after the entry at `index`, which was applied.
+    /// A snapshot of the state machine after the applied entry at `index`.
     Compact { index: u64, data: Bytes },
-    /// Hand leadership over.
+    /// A request to transfer leadership.
     Transfer,
 }
 
-/// Part that the replica plays in the current term.
+/// Raft state of the replica in the current term.
 #[derive(Debug)]
-enum Part {
+enum RaftState {
     Follower,
     Candidate(Campaign),
     Leader(Box<Leadership>),
@@ -130,51 +129,51 @@
     /// Set at most once a term.
     vote: Option<Peer>,
     log: Log,
-    /// Only grows, never past the log's end. What it covers is never
+    /// Only grows, never past the log's end. Entries up to it are never
     /// overwritten.
     commit: u64,
     /// Only grows, not past `commit` or `synced`.
     applied: u64,
     /// Last index known to be synced here.
     synced: u64,
-    part: Part,
+    state: RaftState,
     /// Leader of the current term, if known.
     leader: Option<Peer>,
-    /// When the leader was last heard.
-    heard: Option<Time>,
-    /// When a follower or candidate campaigns.
+    /// When the leader's last message arrived.
+    leader_contact: Option<Time>,
+    /// When a follower or candidate starts its next campaign.
     deadline: Time,
-    /// Ordered writes that aren't synced, with the log's end at each.
-    writes: VecDeque<(u64, u64)>,
+    /// Issued writes that aren't synced, each with the log's last index.
+    unsynced_writes: VecDeque<(u64, u64)>,
     /// Whether term or vote changed in this step.
-    hard_dirty: bool,
+    hard_state_dirty: bool,
     /// Whether a snapshot was taken or received in this step.
     snapshot_dirty: bool,
-    /// First index that was written in this step.
-    unsaved: Option<u64>,
+    /// First index that was changed in this step.
+    first_unsaved: Option<u64>,
     /// Proposals of this leader by index.
     tickets: BTreeMap<u64, u64>,
     reads: Reads,
-    incoming: Option<Incoming>,
-    /// Stores that greeted without being members, by instance.
-    strangers: BTreeMap<u64, (Peer, Time)>,
-    /// When this store began to ask the others.
-    asked: Time,
+    incoming: Option<IncomingSnapshot>,
+    /// Stores that sent a hello, by instance, and when.
+    hello_senders: BTreeMap<u64, (Peer, Time)>,
+    /// When this store began its latest peer query.
+    query_started: Time,
     /// Whether this store may vote and acknowledge.
     rejoin: Rejoin,
-    /// Whether the peers were told of this run.
-    greeted: bool,
+    /// Whether this run has sent its first hellos.
+    hello_sent: bool,
     outbox: Outbox,
     /// Term, vote, commit and applied after the last step.
-    checked: (u64, Option<Peer>, u64, u64),
+    last_checked: (u64, Option<Peer>, u64, u64),
 }
 
 impl Replica {
-    pub(crate) fn new(settings: Settings, start: Start, now: Time) -> Self {
+    pub(crate) fn new(settings: Settings, start: DurableState, now: Time) -> Self {
         let log = Log::new(start.snapshot, start.entries);
         let commit = start.hard.commit.max(log.snapshot().index);
         assert!(commit <= log.last_index(), "commit index past the log");
-        let head = Message {
+        let header = Message {
             group: settings.group,
             from: settings.me.id,
             from_store: settings.me.store,
@@ -190,27 +189,27 @@
             commit,
             applied: 0,
             synced: log.last_index(),
-            part: Part::Follower,
+            state: RaftState::Follower,
             leader: None,
-            heard: None,
+            leader_contact: None,
             deadline: now,
-            writes: VecDeque::new(),
-            hard_dirty: false,
+            unsynced_writes: VecDeque::new(),
+            hard_state_dirty: false,
             snapshot_dirty: false,
-            unsaved: None,
+            first_unsaved: None,
             tickets: BTreeMap::new(),
             reads: Reads::new(settings.run),
             incoming: None,
-            strangers: BTreeMap::new(),
-            asked: now,
+            hello_senders: BTreeMap::new(),
+            query_started: now,
             rejoin: Rejoin::new(settings.boot == FIRST_BOOT, now),
-            greeted: false,
-            outbox: Outbox::new(head),
-            checked: (start.hard.term, start.hard.vote, 0, 0),
+            hello_sent: false,
+            outbox: Outbox::new(header),
+            last_checked: (start.hard.term, start.hard.vote, 0, 0),
             log,
             settings,
         };
-        replica.wait_for_first();
+        replica.reset_initial_deadline();
         replica
     }
 
@@ -227,7 +226,7 @@
             Event::Compact { index, data } => self.on_compact(index, data),
             Event::Transfer => self.on_transfer(),
         }
-        self.lead();
+        self.run_leader();
         self.apply();
         self.serve_reads();
         self.save();
@@ -257,40 +256,40 @@
     }
 
     pub(crate) fn is_leader(&self) -> bool {
-        matches!(self.part, Part::Leader(_))
+        matches!(self.state, RaftState::Leader(_))
     }
 
     pub(crate) fn log(&self) -> &Log {
         &self.log
     }
 
-    /// Stores that greeted lately without being members. None while the group
-    /// forms, when every founder's store is new.
-    pub(crate) fn strangers(&self) -> impl Iterator<Item = Peer> + '_ {
+    /// Non-members that sent a hello lately. Empty during bootstrap, when every
+    /// initial voter's store is new.
+    pub(crate) fn non_members(&self) -> impl Iterator<Item = Peer> + '_ {
         let members = self.log.members().1;
-        let limit = STRANGER_TIMEOUTS * self.settings.election_timeout;
-        self.strangers
+        let limit = NON_MEMBER_TIMEOUTS * self.settings.election_timeout;
+        self.hello_senders
             .values()
             .filter(move |(_, at)| self.now.since(*at) < limit)
             .map(|(peer, _)| *peer)
-            .filter(|&p| !members.is_founding() && members.role(p).is_none())
+            .filter(|&p| !members.is_bootstrapping() && members.role(p).is_none())
     }
 
-    /// On the leader, milliseconds since each other member last answered.
+    /// Milliseconds since each other member last answered, on the leader.
     pub(crate) fn silences(&self) -> Vec<(Peer, u64)> {
-        let Part::Leader(lead) = &self.part else {
+        let RaftState::Leader(lead) = &self.state else {
             return Vec::new();
         };
         let progress = lead.progress.iter();
         progress
-            .map(|(&peer, p)| (peer, millis(self.now.since(p.heard))))
+            .map(|(&peer, p)| (peer, millis(self.now.since(p.last_contact))))
             .collect()
     }
 
-    /// The state that a rewritten log file must hold.
-    pub(crate) fn image(&self) -> Start {
-        Start {
-            hard: self.hard(),
+    /// State that a rewritten log file must hold.
+    pub(crate) fn durable_state(&self) -> DurableState {
+        DurableState {
+            hard: self.hard_state(),
             snapshot: self.log.snapshot().clone(),
             entries: self.log.tail(),
         }
@@ -298,16 +297,16 @@
 
     fn on_tick(&mut self) {
         self.expire_reads();
-        if !self.greeted {
-            self.greeted = true;
-            self.greet();
+        if !self.hello_sent {
+            self.hello_sent = true;
+            self.send_hellos();
         }
         self.tick_rejoin();
         if self.is_leader() {
             return self.tick_leader();
         }
         if self.now >= self.deadline {
-            self.on_timeout();
+            self.on_election_timeout();
         }
     }
 
@@ -320,7 +319,7 @@
         let term = message.term;
         let boot = message.boot;
         let Some(body) = message.body else { return };
-        if self.is_asking() && !body.is_greeting() {
+        if self.is_querying() && !body.is_hello_exchange() {
             return;
         }
         if !self.accept_term(from, term, &body) {
@@ -337,46 +336,47 @@
             Body::ReadAck(ack) => self.reads.on_ack(ack),
             Body::TimeoutNow(_) => self.on_timeout_now(),
             Body::Hello(_) => self.on_hello(from, message.run),
-            Body::Introduce(introduce) => self.on_introduce(introduce),
-            Body::Standing(standing) => self.on_standing(from, standing),
-            // The driver handles it: it concerns all groups.
-            Body::Superseded(_) | Body::Ask(_) => {}
+            Body::ForwardHello(hello) => self.on_forward_hello(hello),
+            Body::HelloAck(ack) => self.on_hello_ack(from, ack),
+            // Handled by the voter's core, since they concern all groups.
+            Body::Superseded(_) | Body::HelloRequest(_) => {}
         }
     }
 
-    /// Adopts a higher term. Returns whether the message deserves handling.
+    /// Adopts a higher term. Returns whether to handle the message.
     fn accept_term(&mut self, from: Peer, term: u64, body: &Body) -> bool {
         match body {
-            // Reads are answered by whoever confirms its leadership after the
-            // request, whatever the term; greetings carry none.
+            // A read is answered by a leader that confirms its leadership after
+            // the request, whatever the term; the other messages carry no term.
             Body::Read(_)
             | Body::ReadAck(_)
             | Body::Hello(_)
-            | Body::Introduce(_)
-            | Body::Standing(_)
+            | Body::ForwardHello(_)
+            | Body::HelloAck(_)
             | Body::Superseded(_)
-            | Body::Ask(_) => return true,
-            // The term asked for isn't in force yet.
+            | Body::HelloRequest(_) => return true,
+            // A pre-vote names a term that nobody has entered yet.
             Body::Vote(vote) if vote.pre => return true,
             Body::VoteAck(ack) if ack.pre && ack.granted => return true,
-            Body::Vote(vote) if !vote.transfer && self.hears_leader() => return false,
+            Body::Vote(vote) if !vote.transfer && self.has_recent_leader() => return false,
             _ => {}
         }
         if term > self.term {
             let from_leader = matches!(body, Body::Append(_) | Body::Chunk(_));
-            self.follow(term, from_leader.then_some(from));
+            self.become_follower(term, from_leader.then_some(from));
         }
         if term < self.term {
-            self.refuse_old(from, body);
+            self.reject_stale_term(from, body);
             return false;
         }
         true
     }
 
-    /// Tells a sender of an older term which term it is.
-    fn refuse_old(&mut self, from: Peer, body: &Body) {
+    /// Tells the sender of an older term the current one.
+    fn reject_stale_term(&mut self, from: Peer, body: &Body) {
         match body {
-            // The sender may lead this term by now, so all of it must be true.
+            // The sender may lead this term by the time the reply arrives, so
+            // every field must be accurate.
             Body::Append(_) | Body::Chunk(_) => self.ack(from, false, 0, 0, 0),
             Body::Vote(_) => {
                 let ack = Body::VoteAck(message::VoteAck::default());
@@ -386,34 +386,34 @@
         }
     }
 
-    /// Becomes follower in `term`.
-    fn follow(&mut self, term: u64, leader: Option<Peer>) {
+    /// Becomes a follower in `term`.
+    fn become_follower(&mut self, term: u64, leader: Option<Peer>) {
         assert!(term >= self.term, "term fell");
         if term > self.term {
             self.term = term;
             self.vote = None;
-            self.hard_dirty = true;
+            self.hard_state_dirty = true;
             self.incoming = None;
-            self.outbox.forget();
+            self.outbox.discard_replies();
         }
         if self.is_leader() {
-            self.abandon();
+            self.fail_pending();
         }
-        self.part = Part::Follower;
+        self.state = RaftState::Follower;
         self.leader = leader;
         if leader.is_some() {
-            self.heard = Some(self.now);
+            self.leader_contact = Some(self.now);
         }
         self.reset_deadline();
     }
 
-    /// Fails what this leader had promised to report.
-    fn abandon(&mut self) {
+    /// Fails the proposals and reads that wait for this leader.
+    fn fail_pending(&mut self) {
         let tickets = std::mem::take(&mut self.tickets);
         for ticket in tickets.into_values() {
             self.fail(ticket, Cause::Unknown);
         }
-        self.reads.abandon(&mut self.outbox);
+        self.reads.fail_all(&mut self.outbox);
     }
 
     fn fail(&mut self, ticket: u64, cause: Cause) {
@@ -421,29 +421,29 @@
     }
 
     fn reset_deadline(&mut self) {
-        self.wait_for(self.settings.election_timeout);
+        self.set_deadline(self.settings.election_timeout);
     }
 
-    /// Sets when a replica asks for a pre-vote that has heard no leader in this
-    /// run.
+    /// Sets a shorter deadline for a replica that has had no contact with a
+    /// leader in this run.
     ///
-    /// After a restart of all, nobody leads. Where there is a leader, its next
-    /// heartbeat is heard before, and who hears it grants no pre-vote; so asking
-    /// soon costs a message. Kill of five voters: 0.63 s until the next leader
-    /// with the whole timeout, counted from the third that was up again.
-    fn wait_for_first(&mut self) {
-        self.wait_for(self.settings.election_timeout / FIRST_PART);
+    /// After a restart of all voters there is no leader, and the whole timeout
+    /// delayed the election: 0.63 s for five killed voters, counted from the
+    /// restart of the third. If there is a leader, its next heartbeat arrives
+    /// earlier, and its followers refuse the pre-vote; the cost is one message.
+    fn reset_initial_deadline(&mut self) {
+        self.set_deadline(self.settings.election_timeout / INITIAL_TIMEOUT_DIVISOR);
     }
 
-    fn wait_for(&mut self, least: Duration) {
-        let least = least.as_micros() as u64;
-        let wait = self.rng.random_range(least..2 * least);
+    fn set_deadline(&mut self, min: Duration) {
+        let min = min.as_micros() as u64;
+        let wait = self.rng.random_range(min..2 * min);
         self.deadline = self.now + Duration::from_micros(wait);
     }
 
-    /// Asserts what must never change in the wrong direction.
+    /// Asserts the invariants between the previous step and this one.
     fn check(&mut self) {
-        let (term, vote, commit, applied) = self.checked;
+        let (term, vote, commit, applied) = self.last_checked;
         assert!(self.term >= term, "term fell");
         assert!(
             self.term > term || vote.is_none() || self.vote == vote,
@@ -455,6 +455,6 @@
         assert!(self.applied <= self.synced, "applied before its sync");
         assert!(self.commit <= self.log.last_index(), "commit past the log");
         assert!(self.synced <= self.log.last_index(), "synced past the log");
-        self.checked = (self.term, self.vote, self.commit, self.applied);
+        self.last_checked = (self.term, self.vote, self.commit, self.applied);
     }
 }
--- a/src/replica/durable.rs
+++ b/src/replica/durable.rs
@@ -1,15 +1,15 @@
-//! What must reach the disk before it counts, and what may be applied.
+//! Persistence of the replica's state and application of committed entries.
 
 use bytes::Bytes;
 
 use super::Replica;
 use super::log::Entry;
 use super::message::Message;
-use super::outbox::{Effect, Hard, Persist};
+use super::outbox::{Effect, HardState, Persist};
 
 impl Replica {
-    pub(super) fn hard(&self) -> Hard {
-        Hard {
+    pub(super) fn hard_state(&self) -> HardState {
+        HardState {
             term: self.term,
             vote: self.vote,
             commit: self.commit,
@@ -17,10 +17,10 @@
     }
 
     pub(super) fn on_persisted(&mut self, seq: u64) {
-        while let Some(&(number, last)) = self.writes.front()
+        while let Some(&(number, last)) = self.unsynced_writes.front()
             && number <= seq
         {
-            self.writes.pop_front();
+            self.unsynced_writes.pop_front();
             self.synced = last;
         }
         for message in self.outbox.release(seq) {
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Sends a reply that is durable now, or counts it when it's our own.
+    /// Sends a reply whose state is durable, or handles it here if it is this
+    /// store's own.
     fn release(&mut self, message: Message) {
         let me = self.settings.me;
         let own = message.to == me.id && message.to_store == me.store;
@@ -43,23 +44,23 @@
         assert!(index > self.commit, "committed entry overwritten");
         self.log.truncate(index);
         self.synced = self.synced.min(index - 1);
-        for (_, last) in &mut self.writes {
+        for (_, last) in &mut self.unsynced_writes {
             *last = (*last).min(index - 1);
         }
     }
 
     pub(super) fn push(&mut self, entry: Entry) {
         let index = entry.index;
-        self.unsaved = Some(self.unsaved.map_or(index, |at| at.min(index)));
+        self.first_unsaved = Some(self.first_unsaved.map_or(index, |at| at.min(index)));
         self.log.push(entry);
     }
 
-    /// Hands committed entries to the machine.
+    /// Passes committed entries to the state machine.
     pub(super) fn apply(&mut self) {
         let end = self.commit.min(self.synced);
         let snapshot = self.log.snapshot();
         if snapshot.index > self.applied {
-            // The entries before it are gone: wait until it is synced.
+            // The entries it replaces are gone, so it must be synced first.
             if end < snapshot.index {
                 return;
             }
@@ -77,7 +78,7 @@
     }
 
     pub(super) fn on_compact(&mut self, index: u64, data: Bytes) {
-        assert!(index <= self.applied, "snapshot of the future");
+        assert!(index <= self.applied, "snapshot past the applied index");
         if index <= self.log.snapshot().index {
             return;
         }
@@ -86,26 +87,30 @@
         self.snapshot_dirty = true;
     }
 
-    /// Orders the write of what changed in this step, and queues replies.
+    /// Issues a write of the state changed in this step, and queues replies
+    /// behind it.
     pub(super) fn save(&mut self) {
-        if self.hard_dirty || self.snapshot_dirty || self.unsaved.is_some() {
-            let seq = self.outbox.issue();
+        if self.hard_state_dirty || self.snapshot_dirty || self.first_unsaved.is_some() {
+            let seq = self.outbox.next_seq();
             let snapshot = self.log.snapshot();
-            let first = self.unsaved.take().map(|at| at.max(snapshot.index + 1));
+            let first = self
+                .first_unsaved
+                .take()
+                .map(|at| at.max(snapshot.index + 1));
             let entries =
                 first.map_or_else(Vec::new, |at| self.log.slice(at, usize::MAX, usize::MAX));
             let persist = Persist {
                 seq,
-                hard: self.hard(),
+                hard: self.hard_state(),
                 snapshot: self.snapshot_dirty.then(|| snapshot.clone()),
                 entries,
             };
-            self.hard_dirty = false;
+            self.hard_state_dirty = false;
             self.snapshot_dirty = false;
-            self.writes.push_back((seq, self.log.last_index()));
+            self.unsynced_writes.push_back((seq, self.log.last_index()));
             self.outbox.effects.push(Effect::Persist(persist));
         }
-        for message in self.outbox.queue() {
+        for message in self.outbox.defer_replies() {
             self.release(message);
         }
     }
--- a/src/replica/election.rs
+++ b/src/replica/election.rs
@@ -1,27 +1,27 @@
-//! Elections: pre-vote, vote, transfer of leadership.
+//! Elections: pre-votes, votes and leadership transfer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::member::{Membership, Peer, Role};
-use super::message::{Body, Hello, Introduce, Seen, TimeoutNow, Vote, VoteAck};
+use super::message::{Body, ForwardHello, Hello, SeenRun, TimeoutNow, Vote, VoteAck};
 use super::progress::Leadership;
-use super::{Kind, Part, Replica};
+use super::{Kind, RaftState, Replica};
 
-/// A running election of our own.
+/// A running campaign of this replica.
 #[derive(Debug)]
 pub(super) struct Campaign {
     /// Whether this is the pre-vote.
     pre: bool,
-    /// Whether the leader asked for it.
+    /// Whether the leader requested it to transfer leadership.
     transfer: bool,
-    /// Peers that support us, with the boot counter of the run that does.
+    /// Peers that granted their vote, with the boot counter of the run that did.
     votes: BTreeMap<Peer, u64>,
-    /// Highest boot counter that a voter has seen, by store.
+    /// Highest boot counter that any voter has seen, by store.
     seen: BTreeMap<u64, u64>,
 }
 
 impl Campaign {
-    /// Whether `peer` supports us. Founders are known by instance only.
+    /// Whether the vote of `peer` counts. Initial voters are known by instance only.
     fn has(&self, peer: Peer) -> bool {
         let mut votes = self.votes.iter();
         votes.any(|(voter, boot)| {
@@ -30,9 +30,9 @@
         })
     }
 
-    /// Counts votes of runs before those that a voter has seen no more: the
-    /// later run may have voted for another candidate since.
-    pub(super) fn forget_earlier(&mut self, seen: &[Seen]) {
+    /// Records the runs that a voter has seen. Votes of earlier runs no longer
+    /// count, since the later run may have voted for another candidate.
+    pub(super) fn record_seen_runs(&mut self, seen: &[SeenRun]) {
         for seen in seen {
             let boot = self.seen.entry(seen.store).or_default();
             *boot = seen.boot.max(*boot);
@@ -41,34 +41,34 @@
 }
 
 impl Replica {
-    /// Whether a leader was heard so lately that no election is due.
+    /// Whether a leader was in contact within the election timeout.
     ///
-    /// A member that can't hear the leader, or that was removed, would
-    /// otherwise depose a leader that works. Voters that hear the leader
-    /// ignore it.
-    pub(super) fn hears_leader(&self) -> bool {
+    /// A member that can't reach the leader, or that was removed, would
+    /// otherwise depose a working leader. Voters with a recent leader ignore its
+    /// requests for votes.
+    pub(super) fn has_recent_leader(&self) -> bool {
         if self.is_leader() {
             return true;
         }
         let recent = |at| self.now.since(at) < self.settings.election_timeout;
-        self.leader.is_some() && self.heard.is_some_and(recent)
+        self.leader.is_some() && self.leader_contact.is_some_and(recent)
     }
 
     fn can_campaign(&self) -> bool {
         let me = self.settings.me;
-        if self.is_asking() || self.end() < self.required_end() {
+        if self.is_querying() || self.end() < self.required_end() {
             return false;
         }
         let members = self.log.members().1;
-        if members.is_founding() {
+        if members.is_bootstrapping() {
             return members.members.iter().any(|m| m.id == me.id);
         }
         members.is_voter(me)
     }
 
-    pub(super) fn on_timeout(&mut self) {
-        self.greet();
-        self.renew_floor();
+    pub(super) fn on_election_timeout(&mut self) {
+        self.send_hellos();
+        self.requery_if_behind();
         if self.can_campaign() {
             return self.campaign(true, false);
         }
@@ -76,21 +76,21 @@
         self.reset_deadline();
     }
 
-    /// Makes this store known, whatever its own log says of it: the entry that
-    /// added it may have been overwritten elsewhere.
-    pub(super) fn greet(&mut self) {
-        self.greet_except(&BTreeSet::new());
+    /// Announces this store even if its own log lists it as a member, since the
+    /// entry that added it may have been overwritten on the other stores.
+    pub(super) fn send_hellos(&mut self) {
+        self.send_hellos_except(&BTreeSet::new());
     }
 
-    /// Greets contacts and members but for the instances given.
-    pub(super) fn greet_except(&mut self, skipped: &BTreeSet<u64>) {
+    /// Sends a hello to all contacts and members outside of `skipped`.
+    pub(super) fn send_hellos_except(&mut self, skipped: &BTreeSet<u64>) {
         for &id in self.known_instances().difference(skipped) {
             let hello = Body::Hello(Hello::default());
             self.outbox.send(Peer { id, store: 0 }, self.term, hello);
         }
     }
 
-    /// Contacts and members but for this instance.
+    /// Instances of all contacts and members, without this one.
     fn known_instances(&self) -> BTreeSet<u64> {
         let members = &self.log.members().1.members;
         let members = members.iter().map(|m| m.id);
@@ -100,26 +100,27 @@
         ids
     }
 
-    /// Remembers a store that greets, and tells the leader of it.
+    /// Records the sender of a hello, answers it, and forwards a non-member's
+    /// hello to the leader.
     ///
-    /// A store that comes back with an empty disk knows only the contacts of
-    /// its settings, and the leader may be none of them. It would wait for
-    /// ever, and the next loss could cost the quorum.
+    /// A store that comes back with an empty disk knows only its configured
+    /// contacts. If the leader is none of them, the store would never be added,
+    /// and the next failure could cost the quorum.
     pub(super) fn on_hello(&mut self, from: Peer, run: u64) {
-        self.strangers.insert(from.id, (from, self.now));
-        self.send_standing(from, run);
+        self.hello_senders.insert(from.id, (from, self.now));
+        self.send_hello_ack(from, run);
         let member = self.log.members().1.role(from).is_some();
         let leader = self.leader.filter(|l| *l != self.settings.me && *l != from);
         if let Some(leader) = leader.filter(|_| !member) {
             let peer = Some(from);
-            let introduce = Body::Introduce(Introduce { peer });
-            self.outbox.send(leader, self.term, introduce);
+            let hello = Body::ForwardHello(ForwardHello { peer });
+            self.outbox.send(leader, self.term, hello);
         }
     }
 
-    pub(super) fn on_introduce(&mut self, introduce: Introduce) {
-        if let Some(peer) = introduce.peer {
-            self.strangers.insert(peer.id, (peer, self.now));
+    pub(super) fn on_forward_hello(&mut self, hello: ForwardHello) {
+        if let Some(peer) = hello.peer {
+            self.hello_senders.insert(peer.id, (peer, self.now));
         }
     }
 
@@ -127,18 +128,18 @@
         let me = self.settings.me;
         self.leader = None;
         if !pre {
-            self.follow(self.term + 1, None);
+            self.become_follower(self.term + 1, None);
             self.vote = Some(me);
         }
-        self.part = Part::Candidate(Campaign {
+        self.state = RaftState::Candidate(Campaign {
             pre,
             transfer,
             votes: BTreeMap::new(),
             seen: BTreeMap::new(),
         });
-        // A vote needs syncs, and those may be slow; a pre-vote needs none.
-        if pre && self.heard.is_none() {
-            self.wait_for_first();
+        // A vote waits for syncs, which may be slow; a pre-vote doesn't.
+        if pre && self.leader_contact.is_none() {
+            self.reset_initial_deadline();
         } else {
             self.reset_deadline();
         }
@@ -155,7 +156,7 @@
                 self.outbox.reply(peer, term, Body::Vote(vote));
             }
         }
-        // Our own vote counts once it's synced, like any other.
+        // This replica's own vote counts once it's synced, like any other.
         let ack = VoteAck {
             pre,
             granted: true,
@@ -165,13 +166,13 @@
     }
 
     pub(super) fn on_vote(&mut self, from: Peer, term: u64, vote: Vote) {
-        if vote.pre && self.hears_leader() {
+        if vote.pre && self.has_recent_leader() {
             return;
         }
         let granted = self.grants(from, term, vote);
         if granted && !vote.pre {
             self.vote = Some(from);
-            self.hard_dirty = true;
+            self.hard_state_dirty = true;
             self.reset_deadline();
         }
         let ack = VoteAck {
@@ -197,8 +198,8 @@
     }
 
     pub(super) fn on_vote_ack(&mut self, from: Peer, boot: u64, term: u64, ack: &VoteAck) {
-        self.forget_earlier_runs(&ack.seen);
-        let Part::Candidate(campaign) = &mut self.part else {
+        self.record_seen_runs(&ack.seen);
+        let RaftState::Candidate(campaign) = &mut self.state else {
             return;
         };
         let expected = self.term + u64::from(campaign.pre);
@@ -215,24 +216,26 @@
                 let transfer = campaign.transfer;
                 self.campaign(false, transfer);
             }
-            false => self.win(),
+            false => self.become_leader(),
         }
     }
 
-    /// Becomes leader and appends the first entry of the term.
-    fn win(&mut self) {
+    /// Becomes the leader and appends the first entry of the term.
+    fn become_leader(&mut self) {
         let me = self.settings.me;
-        let Part::Candidate(campaign) = std::mem::replace(&mut self.part, Part::Follower) else {
+        let RaftState::Candidate(campaign) =
+            std::mem::replace(&mut self.state, RaftState::Follower)
+        else {
             return;
         };
         assert_eq!(self.vote, Some(me), "leader without its own vote");
         let first = self.log.last_index() + 1;
         self.leader = Some(me);
-        self.part = Part::Leader(Box::new(Leadership::new(first, self.now)));
+        self.state = RaftState::Leader(Box::new(Leadership::new(first, self.now)));
         let members = self.log.members().1;
-        if members.is_founding() {
-            let founded = found(campaign.votes.keys());
-            return self.append_members(&founded);
+        if members.is_bootstrapping() {
+            let initial = bootstrap_membership(campaign.votes.keys());
+            return self.append_members(&initial);
         }
         self.append(Kind::Noop, bytes::Bytes::new());
         self.track_members();
@@ -247,30 +250,30 @@
     pub(super) fn on_transfer(&mut self) {
         let end = self.now + self.settings.election_timeout;
         let voters: Vec<Peer> = self.log.members().1.voters().collect();
-        let Part::Leader(lead) = &mut self.part else {
+        let RaftState::Leader(lead) = &mut self.state else {
             return;
         };
         let best = voters
             .into_iter()
             .filter(|p| lead.progress.contains_key(p))
-            .max_by_key(|&p| (lead.matched(p), lead.progress[&p].heard));
+            .max_by_key(|&p| (lead.matched(p), lead.progress[&p].last_contact));
         lead.transfer = best.map(|p| (p, end));
-        lead.told = false;
+        lead.transfer_sent = false;
     }
 
-    /// Tells the chosen member to campaign once it has every entry.
-    pub(super) fn hand_over(&mut self) {
+    /// Tells the transfer target to campaign once it holds every entry.
+    pub(super) fn continue_transfer(&mut self) {
         let last = self.log.last_index();
-        let Part::Leader(lead) = &mut self.part else {
+        let RaftState::Leader(lead) = &mut self.state else {
             return;
         };
         let Some((peer, _)) = lead.transfer else {
             return;
         };
-        if lead.told || lead.matched(peer) < last {
+        if lead.transfer_sent || lead.matched(peer) < last {
             return;
         }
-        lead.told = true;
+        lead.transfer_sent = true;
         self.send_timeout_now(peer);
     }
 
@@ -280,8 +283,8 @@
     }
 }
 
-/// The first membership with stores, from the unanimous votes.
-fn found<'a>(votes: impl Iterator<Item = &'a Peer>) -> Membership {
+/// Builds the first membership with store ids from the unanimous votes.
+fn bootstrap_membership<'a>(votes: impl Iterator<Item = &'a Peer>) -> Membership {
     let mut members = Membership::default();
     for &peer in votes {
         let other = members.members.iter().find(|m| m.id == peer.id);
--- a/src/replica/log.rs
+++ b/src/replica/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: a snapshot and the entries after it.
+//! In-memory log: a snapshot and the entries after it.
 
 use std::collections::VecDeque;
 
@@ -7,15 +7,15 @@
 
 use super::member::Membership;
 
-/// What an entry holds.
+/// Type of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum Kind {
-    /// A command of the state machine.
+    /// A command for the state machine.
     Command = 0,
-    /// Nothing. It lets a new leader commit the entries of earlier terms.
+    /// No content. It lets a new leader commit the entries of earlier terms.
     Noop = 1,
-    /// An encoded [`Membership`], in force as soon as it is in the log.
+    /// An encoded [`Membership`], effective as soon as it is in the log.
     Members = 2,
 }
 
@@ -28,7 +28,7 @@
     /// Term of the leader that created it.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// What it holds.
+    /// Type of the content, a [`Kind`].
     #[prost(enumeration = "Kind", tag = "3")]
     pub kind: i32,
     /// Content.
@@ -36,7 +36,7 @@
     pub data: Bytes,
 }
 
-/// State of the machine after all entries up to `index`.
+/// State of the state machine after all entries up to `index`.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub(crate) struct Snapshot {
     /// Last entry it covers, zero for none.
@@ -48,7 +48,7 @@
     /// Membership at that index.
     #[prost(message, required, tag = "3")]
     pub members: Membership,
-    /// The machine's own encoding.
+    /// State in the state machine's own encoding.
     #[prost(bytes = "bytes", tag = "4")]
     pub data: Bytes,
 }
@@ -57,8 +57,8 @@
 #[derive(Debug)]
 pub(crate) struct Log {
     snapshot: Snapshot,
-    /// Index and term of the entry before the first of `entries`. Not after
-    /// the snapshot's index: some covered entries stay for slow followers.
+    /// Index and term of the entry before the first of `entries`. At most the
+    /// snapshot's index: some covered entries are retained for lagging followers.
     base: (u64, u64),
     /// Consecutive entries from `base` on.
     entries: VecDeque<Entry>,
@@ -93,7 +93,7 @@
         self.entries.back().map_or(self.base.1, |e| e.term)
     }
 
-    /// Lowest index whose entry is still held.
+    /// Lowest index whose entry is retained.
     pub(crate) fn first_index(&self) -> u64 {
         self.base.0 + 1
     }
@@ -120,7 +120,7 @@
         (*index, members)
     }
 
-    /// Membership in force at `index`.
+    /// Membership effective at `index`.
     fn members_at(&self, index: u64) -> &Membership {
         let found = self.members.iter().rev().find(|(at, _)| *at <= index);
         &found.unwrap_or(&self.members[0]).1
@@ -140,7 +140,7 @@
 
     /// Removes the entries from `index` on.
     pub(crate) fn truncate(&mut self, index: u64) {
-        assert!(index > self.snapshot.index, "snapshot cut off");
+        assert!(index > self.snapshot.index, "snapshot truncated");
         let keep = usize::try_from(index - self.first_index()).expect("log fits in memory");
         self.entries.truncate(keep);
         self.members.retain(|(at, _)| *at < index);
@@ -169,7 +169,7 @@
         self.entries.range(skip..).cloned().collect()
     }
 
-    /// First index of the run of entries that share the term at `index`.
+    /// First index of the consecutive entries that share the term at `index`.
     pub(crate) fn term_start(&self, index: u64) -> u64 {
         let term = self.term(index);
         (self.first_index()..=index)
@@ -179,8 +179,8 @@
             .unwrap_or(index)
     }
 
-    /// Takes the machine's state at `index` as snapshot, keeps `keep` covered
-    /// entries for followers that lag a little.
+    /// Replaces the snapshot by the state machine's state at `index`, and retains
+    /// `keep` covered entries for slightly lagging followers.
     pub(crate) fn compact(&mut self, index: u64, data: Bytes, keep: u64) {
         let term = self.term(index).expect("applied entries are in the log");
         let members = self.members_at(index).clone();
@@ -199,8 +199,8 @@
         self.members.drain(..first.unwrap_or(0));
     }
 
-    /// Replaces everything up to the snapshot's index. Entries after it stay
-    /// when the log agrees with the snapshot, since they may be acknowledged.
+    /// Replaces everything up to the snapshot's index. Entries after it stay if
+    /// the log matches the snapshot, since they may have been acknowledged.
     pub(crate) fn restore(&mut self, snapshot: Snapshot) {
         let agrees = self.term(snapshot.index) == Some(snapshot.term);
         let tail = match agrees {
--- a/src/replica/member.rs
+++ b/src/replica/member.rs
@@ -1,31 +1,31 @@
-//! Who votes, who only listens.
+//! Members of a group and their roles.
 
 use std::collections::BTreeSet;
 
 use serde::Serialize;
 
-/// One data folder of one instance: what votes and acknowledges.
+/// One data directory of one instance, the unit that votes and acknowledges.
 ///
-/// A wiped folder gets another store id, and so is another peer.
+/// A wiped directory gets another store id, so it is another peer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, prost::Message)]
 pub struct Peer {
     /// Number of the instance.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Random number of the data folder, zero while it is unknown.
+    /// Random id of the data directory, zero while it is unknown.
     #[prost(uint64, tag = "2")]
     pub store: u64,
 }
 
-/// Part of a member in elections and commits.
+/// Role of a member in elections and commits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum Role {
     /// Counts for elections and commits.
     Voter = 0,
-    /// Receives the log, is promoted once it has caught up.
+    /// Receives the log and is promoted once it has caught up.
     Learner = 1,
-    /// Has lost synced entries. Never votes again under this store id.
+    /// Lost synced entries. Never votes again under this store id.
     Barred = 2,
 }
 
@@ -35,16 +35,16 @@
     /// Number of the instance.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Its store, zero for a founder whose store isn't recorded yet.
+    /// Id of its store, zero for an initial voter whose store isn't recorded yet.
     #[prost(uint64, tag = "2")]
     pub store: u64,
-    /// Its part.
+    /// Its [`Role`].
     #[prost(enumeration = "Role", tag = "3")]
     pub role: i32,
 }
 
 impl Member {
-    /// A voter.
+    /// Returns `peer` as a voter.
     #[must_use]
     pub fn voter(peer: Peer) -> Self {
         Self {
@@ -73,7 +73,7 @@
 }
 
 impl Membership {
-    /// The members before anything was elected: known by instance only.
+    /// The membership before the first election, known by instance only.
     pub(crate) fn initial(ids: impl IntoIterator<Item = u64>) -> Self {
         let ids: BTreeSet<u64> = ids.into_iter().collect();
         let members = ids
@@ -83,12 +83,12 @@
         Self { members }
     }
 
-    /// Whether the stores of the founders aren't recorded yet.
-    pub(crate) fn is_founding(&self) -> bool {
+    /// Whether the stores of the initial voters aren't recorded yet.
+    pub(crate) fn is_bootstrapping(&self) -> bool {
         self.members.iter().any(|m| m.store == 0)
     }
 
-    /// Part of `peer`, if it is a member.
+    /// Role of `peer`, if it is a member.
     pub(crate) fn role(&self, peer: Peer) -> Option<Role> {
         let member = self.members.iter().find(|m| m.peer() == peer)?;
         Some(member.role())
@@ -107,17 +107,17 @@
             .map(Member::peer)
     }
 
-    /// Whether the peers for which `has` holds can decide.
+    /// Whether the peers for which `has` holds form a quorum.
     ///
-    /// Founders decide only together. With a mere majority, a founder wiped
-    /// while the group forms could help to elect two first leaders whose
-    /// membership lists name different stores, and the majorities of the two
-    /// lists need not meet. Any store that holds a first entry refuses to
-    /// found again, so there is one list unless a majority was wiped.
+    /// Bootstrap requires all initial voters. With a majority, a voter wiped
+    /// during bootstrap could help to elect two first leaders whose memberships
+    /// name different stores, and majorities of the two need not intersect. A
+    /// store that holds a first entry refuses to bootstrap again, so there is
+    /// one membership unless a majority was wiped.
     pub(crate) fn quorum(&self, has: impl Fn(Peer) -> bool) -> bool {
         let total = self.voters().count();
         let yes = self.voters().filter(|&p| has(p)).count();
-        if self.is_founding() {
+        if self.is_bootstrapping() {
             return total > 0 && yes == total;
         }
         yes > total / 2
@@ -130,7 +130,7 @@
         values.get(values.len() / 2).copied().unwrap_or(0)
     }
 
-    /// The membership with `peer` in the part `role`.
+    /// The membership with `peer` in `role`.
     pub(crate) fn with(&self, peer: Peer, role: Role) -> Self {
         let mut next = self.without(peer);
         next.members.push(Member {
@@ -154,13 +154,13 @@
     }
 }
 
-/// An operator's order to change the members of a group.
+/// A membership change of a group, requested by an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Add a store. It listens until it has caught up, then votes. When the
-    /// same instance has another store among the members, that one leaves
-    /// just before.
+    /// Adds a store as a learner, which is promoted to voter once it has caught
+    /// up. If the same instance has another store among the members, that one is
+    /// removed just before the promotion.
     Add(Peer),
-    /// Remove a store.
+    /// Removes a store.
     Remove(Peer),
 }
--- a/src/replica/message.rs
+++ b/src/replica/message.rs
@@ -11,16 +11,16 @@
     /// Number of the group.
     #[prost(uint32, tag = "1")]
     pub group: u32,
-    /// Instance that sends.
+    /// Instance of the sender.
     #[prost(uint64, tag = "2")]
     pub from: u64,
     /// Store of the sender.
     #[prost(uint64, tag = "3")]
     pub from_store: u64,
-    /// Instance that receives.
+    /// Instance of the receiver.
     #[prost(uint64, tag = "4")]
     pub to: u64,
-    /// Store that the message is meant for, zero for any store of `to`.
+    /// Store of the receiver, zero for any store of `to`.
     #[prost(uint64, tag = "5")]
     pub to_store: u64,
     /// Boot counter of the sender's store.
@@ -29,7 +29,7 @@
     /// Random number of the sender's process.
     #[prost(uint64, tag = "7")]
     pub run: u64,
-    /// The sender's term, or the term a pre-vote asks for.
+    /// The sender's term, or the term that a pre-vote asks for.
     #[prost(uint64, tag = "8")]
     pub term: u64,
     /// The content.
@@ -66,7 +66,7 @@
     /// Answer to [`Body::Append`], and to the last [`Body::Chunk`].
     #[prost(message, tag = "13")]
     AppendAck(AppendAck),
-    /// A piece of the leader's snapshot.
+    /// A chunk of the leader's snapshot.
     #[prost(message, tag = "14")]
     Chunk(Chunk),
     /// Answer to [`Body::Chunk`].
@@ -78,44 +78,44 @@
     /// Answer to [`Body::Read`].
     #[prost(message, tag = "17")]
     ReadAck(ReadAck),
-    /// The leader hands over: the receiver campaigns at once.
+    /// The leader transfers leadership: the receiver campaigns at once.
     #[prost(message, tag = "18")]
     TimeoutNow(TimeoutNow),
-    /// A store makes itself and its run known.
+    /// Announces a store and its run.
     #[prost(message, tag = "19")]
     Hello(Hello),
-    /// The receiver runs on an old copy of its data folder.
+    /// Tells the receiver that it runs on an old copy of its data directory.
     #[prost(message, tag = "20")]
     Superseded(Superseded),
-    /// The sender doesn't know the receiver's run: it wants a greeting.
+    /// Requests a [`Body::Hello`] from a run that the sender doesn't know.
     #[prost(message, tag = "21")]
-    Ask(Ask),
-    /// A member tells the leader of a store that greeted it.
+    HelloRequest(HelloRequest),
+    /// Forwards a non-member's [`Body::Hello`] to the leader.
     #[prost(message, tag = "22")]
-    Introduce(Introduce),
-    /// Answer to [`Body::Hello`]: what the sender's store may have forgotten.
+    ForwardHello(ForwardHello),
+    /// Answer to [`Body::Hello`] with the state that the store may have lost.
     #[prost(message, tag = "23")]
-    Standing(Standing),
+    HelloAck(HelloAck),
 }
 
 impl Body {
-    /// Whether this makes stores known to each other, which also a store does
-    /// that takes no part yet.
-    pub(super) fn is_greeting(&self) -> bool {
+    /// Whether the message belongs to the hello exchange, which a store also
+    /// handles before it takes part in elections and replication.
+    pub(super) fn is_hello_exchange(&self) -> bool {
         matches!(
             self,
-            Self::Hello(_) | Self::Introduce(_) | Self::Standing(_)
+            Self::Hello(_) | Self::ForwardHello(_) | Self::HelloAck(_)
         )
     }
 }
 
-/// Term, log and members of a store that answers a greeting.
+/// Term, log end and membership of the store that answers a hello.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Standing {
-    /// Run that greeted.
+pub struct HelloAck {
+    /// Run that sent the hello.
     #[prost(uint64, tag = "1")]
     pub run: u64,
-    /// Term of the store that answers.
+    /// Term of the answering store.
     #[prost(uint64, tag = "2")]
     pub term: u64,
     /// Term of the last entry that it can have acknowledged as a voter.
@@ -124,13 +124,13 @@
     /// Index of that entry.
     #[prost(uint64, tag = "4")]
     pub last_index: u64,
-    /// Whether it knows that it has forgotten nothing itself.
+    /// Whether the answering store has itself rejoined.
     #[prost(bool, tag = "5")]
     pub rejoined: bool,
     /// Index of the entry that holds `members`.
     #[prost(uint64, tag = "6")]
     pub members_index: u64,
-    /// The latest members in its log.
+    /// Latest membership in its log.
     #[prost(message, required, tag = "7")]
     pub members: Membership,
     /// Whether that entry is known to be committed.
@@ -138,9 +138,9 @@
     pub members_commit: bool,
 }
 
-/// Latest run of a store that the sender remembers durably.
+/// Latest run of a store that the sender has durably recorded.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Seen {
+pub struct SeenRun {
     /// The store.
     #[prost(uint64, tag = "1")]
     pub store: u64,
@@ -149,9 +149,9 @@
     pub boot: u64,
 }
 
-/// A store that is no member and greeted the sender.
+/// A non-member that sent a hello to the sender.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Introduce {
+pub struct ForwardHello {
     /// The store.
     #[prost(message, optional, tag = "1")]
     pub peer: Option<Peer>,
@@ -160,10 +160,10 @@
 /// Request for a vote or a pre-vote.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct Vote {
-    /// Whether this only asks how a vote would go.
+    /// Whether this is a pre-vote.
     #[prost(bool, tag = "1")]
     pub pre: bool,
-    /// Whether the leader asked for this election.
+    /// Whether the leader requested this election.
     #[prost(bool, tag = "2")]
     pub transfer: bool,
     /// Index of the candidate's last entry.
@@ -177,15 +177,15 @@
 /// Answer to a vote or pre-vote.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct VoteAck {
-    /// As in the request.
+    /// Whether this answers a pre-vote.
     #[prost(bool, tag = "1")]
     pub pre: bool,
-    /// Whether the vote was given.
+    /// Whether the vote was granted.
     #[prost(bool, tag = "2")]
     pub granted: bool,
-    /// Runs that the sender knows.
+    /// Runs of other stores that the sender has recorded.
     #[prost(message, repeated, tag = "3")]
-    pub seen: Vec<Seen>,
+    pub seen: Vec<SeenRun>,
 }
 
 /// Entries that follow `prev_index`.
@@ -203,35 +203,35 @@
     /// The leader's commit index.
     #[prost(uint64, tag = "4")]
     pub commit: u64,
-    /// Number of the leader's latest round of read confirmation.
+    /// Number of the leader's latest read round.
     #[prost(uint64, tag = "5")]
     pub round: u64,
 }
 
-/// Outcome of an append. A refusal is no loss: the leader sends earlier entries.
+/// Outcome of an append. After a mismatch the leader sends earlier entries.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct AppendAck {
     /// Whether the entry before the first one matched.
     #[prost(bool, tag = "1")]
     pub matched: bool,
-    /// Last matching and synced index, or the refused `prev_index`.
+    /// Last matching and synced index, or the `prev_index` that didn't match.
     #[prost(uint64, tag = "2")]
     pub index: u64,
-    /// After a refusal: the first index that the leader should try next.
+    /// First index that the leader should try next after a mismatch.
     #[prost(uint64, tag = "3")]
     pub hint: u64,
     /// Index of the last entry in the sender's log.
     #[prost(uint64, tag = "4")]
     pub last_index: u64,
-    /// Round of the append.
+    /// Read round of the append.
     #[prost(uint64, tag = "5")]
     pub round: u64,
-    /// Runs that the sender knows.
+    /// Runs of other stores that the sender has recorded.
     #[prost(message, repeated, tag = "6")]
-    pub seen: Vec<Seen>,
+    pub seen: Vec<SeenRun>,
 }
 
-/// A piece of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Chunk {
     /// Index of the last entry that the snapshot covers.
@@ -252,21 +252,21 @@
     /// Bytes of the snapshot.
     #[prost(bytes = "bytes", tag = "6")]
     pub data: Bytes,
-    /// Number of the leader's latest round of read confirmation.
+    /// Number of the leader's latest read round.
     #[prost(uint64, tag = "7")]
     pub round: u64,
 }
 
-/// How much of a snapshot the receiver holds.
+/// Amount of a snapshot that the receiver holds.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct ChunkAck {
     /// Index of the snapshot.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// Position from which the receiver needs bytes.
+    /// Position of the first byte that the receiver lacks.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
-    /// Round of the chunk.
+    /// Read round of the chunk.
     #[prost(uint64, tag = "3")]
     pub round: u64,
 }
@@ -274,7 +274,7 @@
 /// Request for a read index.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct Read {
-    /// The follower's number for the request, never used twice.
+    /// The follower's number for the request, never reused.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
 }
@@ -290,30 +290,30 @@
     pub index: u64,
 }
 
-/// Order to campaign at once.
+/// Request to campaign at once.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct TimeoutNow {}
 
-/// Greeting of a store that starts or hears no leader.
+/// Announcement of a store that has started or has no contact with a leader.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Hello {
-    /// Random numbers of the latest runs of the sender's store, in order, the
-    /// sender's own last.
+    /// Random numbers of the latest runs of the sender's store in order, the
+    /// current one last.
     #[prost(uint64, repeated, tag = "1")]
     pub runs: Vec<u64>,
 }
 
-/// Request for a greeting.
+/// Request for a hello.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Ask {}
+pub struct HelloRequest {}
 
-/// Refusal of everything that a run sends: a later run of its store was seen.
+/// Rejection of a run because a later run of its store was seen.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct Superseded {
-    /// Boot counter of the refused run.
+    /// Boot counter of the rejected run.
     #[prost(uint64, tag = "1")]
     pub boot: u64,
-    /// Random number of the refused run.
+    /// Random number of the rejected run.
     #[prost(uint64, tag = "2")]
     pub run: u64,
 }
--- a/src/replica/outbox.rs
+++ b/src/replica/outbox.rs
@@ -1,4 +1,4 @@
-//! What a replica asks its driver to do, and what waits for a sync.
+//! Effects for the voter's core to carry out, and replies that wait for a sync.
 
 use std::collections::VecDeque;
 
@@ -7,16 +7,16 @@
 use super::message::{Body, Message};
 use super::rejoin::RejoinReport;
 
-/// State that must be durable besides the log.
+/// Raft's hard state: the durable state besides the log.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub(crate) struct Hard {
+pub(crate) struct HardState {
     /// Latest term seen. Only grows.
     #[prost(uint64, tag = "1")]
     pub(crate) term: u64,
     /// Vote given in that term. Never changes within the term.
     #[prost(message, optional, tag = "2")]
     pub(crate) vote: Option<Peer>,
-    /// A commit index. May lag behind the true one, never exceeds the log.
+    /// A commit index. May lag behind the current one, never exceeds the log.
     #[prost(uint64, tag = "3")]
     pub(crate) commit: u64,
 }
@@ -24,20 +24,20 @@
 /// State to write and sync before `Event::Persisted` with the same number.
 #[derive(Clone, Debug)]
 pub(crate) struct Persist {
-    /// Number of the order, ascending by one.
+    /// Number of the write, ascending by one.
     pub(crate) seq: u64,
     /// Term, vote, commit.
-    pub(crate) hard: Hard,
+    pub(crate) hard: HardState,
     /// A snapshot that replaces everything up to its index.
     pub(crate) snapshot: Option<Snapshot>,
     /// Entries that replace the log from the first one's index on.
     pub(crate) entries: Vec<Entry>,
 }
 
-/// Why a proposal, read or change failed.
+/// Reason why a proposal, read or change failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Cause {
-    /// Nothing was done. The leader, if known, is in `hint`.
+    /// Not started: this store doesn't lead. `hint` is the leader, if known.
     NotLeader { hint: Option<u64> },
     /// It may or may not take effect.
     Unknown,
@@ -47,23 +47,23 @@
     Unsafe,
 }
 
-/// An order to the driver.
+/// An action for the voter's core.
 #[derive(Clone, Debug)]
 pub(crate) enum Effect {
     /// Send a message. It needs no sync.
     Send(Message),
     /// Make state durable.
     Persist(Persist),
-    /// Apply a committed entry, and answer its proposer if it is ours.
+    /// Apply a committed entry. `ticket` is set if it was proposed here.
     Apply { entry: Entry, ticket: Option<u64> },
-    /// Replace the machine's state.
+    /// Replace the state of the state machine.
     Restore(Snapshot),
     /// A read may proceed at `index`.
     Readable { ticket: u64, index: u64 },
-    /// This store holds a committed entry at `index` that the leader doesn't
-    /// have. Nothing that it sends may count any more.
+    /// The leader has another entry at `index` than the one committed here. The
+    /// store must send nothing further.
     Diverged { index: u64 },
-    /// The questions after a restart have ended.
+    /// The peer query after a restart has ended.
     Rejoined(RejoinReport),
     /// A proposal, read or change failed.
     Failed { ticket: u64, cause: Cause },
@@ -73,10 +73,10 @@
 #[derive(Debug)]
 pub(crate) struct Outbox {
     /// Header of every message.
-    head: Message,
+    header: Message,
     /// Effects of the current step.
     pub(crate) effects: Vec<Effect>,
-    /// Replies of the current step that attest durable state.
+    /// Replies of the current step that depend on durable state.
     replies: Vec<Message>,
     /// Replies of earlier steps with the number of the write they wait for.
     deferred: VecDeque<(u64, Message)>,
@@ -88,9 +88,9 @@
 
 impl Outbox {
     /// `head` carries group, sender, boot counter and run.
-    pub(crate) fn new(head: Message) -> Self {
+    pub(crate) fn new(header: Message) -> Self {
         Self {
-            head,
+            header,
             effects: Vec::new(),
             replies: Vec::new(),
             deferred: VecDeque::new(),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Sends a message that attests nothing durable.
+    /// Sends a message that doesn't depend on durable state.
     pub(crate) fn send(&mut self, to: Peer, term: u64, body: Body) {
         let message = self.message(to, term, body);
         self.effects.push(Effect::Send(message));
@@ -107,32 +107,32 @@
 
     /// Sends a message once everything written so far is synced.
     ///
-    /// A vote or acknowledgement that left before the sync would be forgotten
-    /// by a crash: the store could then vote twice in a term, or a majority
-    /// could count an entry that no longer exists.
+    /// A vote or acknowledgement sent before the sync could be lost in a crash:
+    /// the store could then vote twice in a term, or a majority could count an
+    /// entry that no longer exists.
     pub(crate) fn reply(&mut self, to: Peer, term: u64, body: Body) {
         let message = self.message(to, term, body);
         self.replies.push(message);
     }
 
-    /// Drops replies of the term that ends.
+    /// Drops the pending replies when the term changes.
     ///
-    /// An acknowledgement that waits for its sync while the next term
-    /// overwrites the entry would attest an entry that was never durable.
-    pub(crate) fn forget(&mut self) {
+    /// The next term may overwrite an entry before its sync. Its acknowledgement
+    /// would then refer to an entry that was never durable.
+    pub(crate) fn discard_replies(&mut self) {
         self.replies.clear();
         self.deferred.clear();
     }
 
-    /// Number for the next write.
-    pub(crate) fn issue(&mut self) -> u64 {
+    /// Returns the number of the next write.
+    pub(crate) fn next_seq(&mut self) -> u64 {
         self.issued += 1;
         self.issued
     }
 
-    /// Queues the replies of this step behind the writes so far. Returns
+    /// Queues the replies of this step behind the writes issued so far. Returns
     /// those that need not wait.
-    pub(crate) fn queue(&mut self) -> Vec<Message> {
+    pub(crate) fn defer_replies(&mut self) -> Vec<Message> {
         if self.synced == self.issued {
             return std::mem::take(&mut self.replies);
         }
@@ -144,7 +144,7 @@
 
     /// Takes the replies that waited for write `seq` or an earlier one.
     pub(crate) fn release(&mut self, seq: u64) -> Vec<Message> {
-        assert!(seq <= self.issued, "sync of a write that wasn't ordered");
+        assert!(seq <= self.issued, "sync of a write that was never issued");
         self.synced = self.synced.max(seq);
         let count = self.deferred.partition_point(|(s, _)| *s <= seq);
         self.deferred.drain(..count).map(|(_, m)| m).collect()
@@ -156,7 +156,7 @@
             to_store: to.store,
             term,
             body: Some(body),
-            ..self.head.clone()
+            ..self.header.clone()
         }
     }
 }
--- a/src/replica/progress.rs
+++ b/src/replica/progress.rs
@@ -1,43 +1,43 @@
-//! What a leader knows of each member.
+//! The leader's view of each member.
 
 use std::collections::BTreeMap;
 
 use super::member::Peer;
-use super::message::Seen;
+use super::message::SeenRun;
 use crate::clock::Time;
 
-/// How entries flow to a member.
+/// How the leader replicates to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Flow {
-    /// The end of its log is unknown: one message at a time.
+pub(super) enum ReplicationMode {
+    /// The end of its log is unknown: one message is sent at a time.
     Probe { waiting: bool },
     /// Entries are sent ahead of acknowledgements.
-    Stream,
-    /// It needs a snapshot; `offset` bytes of that at `index` have arrived,
-    /// and the next piece left at `sent`.
+    Pipeline,
+    /// It needs a snapshot. `offset` bytes of the one at `index` have arrived;
+    /// the next chunk was sent at `sent`.
     Snapshot { index: u64, offset: u64, sent: Time },
 }
 
-/// State of one member as the leader sees it.
+/// Replication progress of one member.
 #[derive(Debug)]
 pub(super) struct Progress {
-    /// Last index known to be synced there. Only grows within the term.
+    /// Last index known to be synced by the member. Only grows within the term.
     pub(super) matched: u64,
     /// Next index to send. Above `matched`.
     pub(super) next: u64,
-    pub(super) flow: Flow,
-    /// When it last answered in this term.
-    pub(super) heard: Time,
-    /// Latest read round it answered.
+    pub(super) mode: ReplicationMode,
+    /// When the member last answered in this term.
+    pub(super) last_contact: Time,
+    /// Latest read round that the member answered.
     pub(super) round: u64,
-    /// Highest commit index sent to it.
-    pub(super) told: u64,
-    /// Boot counter at the time of `matched`.
+    /// Highest commit index sent to the member.
+    pub(super) commit_sent: u64,
+    /// Boot counter of the run that acknowledged `matched`.
     pub(super) boot: u64,
-    /// Highest boot counter that another member has seen of it.
+    /// Highest boot counter of the member that another one has seen.
     pub(super) seen: u64,
-    /// Whether it lost entries that it had acknowledged.
-    pub(super) rolled: bool,
+    /// Whether the member lost entries that it had acknowledged.
+    pub(super) rolled_back: bool,
 }
 
 impl Progress {
@@ -45,32 +45,32 @@
         Self {
             matched: 0,
             next,
-            flow: Flow::Probe { waiting: false },
-            heard: now,
+            mode: ReplicationMode::Probe { waiting: false },
+            last_contact: now,
             round: 0,
-            told: 0,
+            commit_sent: 0,
             boot: 0,
             seen: 0,
-            rolled: false,
+            rolled_back: false,
         }
     }
 }
 
-/// State of a leader. It ends with the term.
+/// State of a leader, dropped at the end of its term.
 #[derive(Debug)]
 pub(super) struct Leadership {
     /// Index of the term's first entry.
     pub(super) first: u64,
-    /// Members but for this one.
+    /// Progress of all other members.
     pub(super) progress: BTreeMap<Peer, Progress>,
     /// Number of the latest read round. Only grows.
     pub(super) round: u64,
     /// When the last heartbeat was sent.
-    pub(super) beat: Time,
-    /// Member that takes over, and when the attempt ends.
+    pub(super) last_heartbeat: Time,
+    /// Target of a leadership transfer, and when the attempt ends.
     pub(super) transfer: Option<(Peer, Time)>,
-    /// Whether the member that takes over was told.
-    pub(super) told: bool,
+    /// Whether the target was told to campaign.
+    pub(super) transfer_sent: bool,
 }
 
 impl Leadership {
@@ -79,22 +79,24 @@
             first,
             progress: BTreeMap::new(),
             round: 0,
-            beat: now,
+            last_heartbeat: now,
             transfer: None,
-            told: false,
+            transfer_sent: false,
         }
     }
 
-    /// Last index that `peer` has synced, zero for one that must not count.
+    /// Last index that `peer` has synced, zero if its acknowledgements don't
+    /// count.
     pub(super) fn matched(&self, peer: Peer) -> u64 {
         let progress = self.progress.get(&peer);
-        let counts = |p: &&Progress| !p.rolled && p.boot >= p.seen;
+        let counts = |p: &&Progress| !p.rolled_back && p.boot >= p.seen;
         progress.filter(counts).map_or(0, |p| p.matched)
     }
 
-    /// Counts acknowledgements of runs before those that a member has seen no
-    /// more: the later run may run on a copy that lacks them.
-    pub(super) fn forget_earlier(&mut self, seen: &[Seen]) {
+    /// Records the runs that a member has seen. Acknowledgements of earlier runs
+    /// no longer count, since the later run may use a copy that lacks the
+    /// entries.
+    pub(super) fn record_seen_runs(&mut self, seen: &[SeenRun]) {
         for (peer, progress) in &mut self.progress {
             let boots = seen.iter().filter(|s| s.store == peer.store);
             let boot = boots.map(|s| s.boot).max();
--- a/src/replica/read.rs
+++ b/src/replica/read.rs
@@ -1,8 +1,8 @@
 //! Linearizable reads without log entries (read index).
 //!
-//! The leader notes its commit index, then hears a quorum in its own term: so
-//! no later leader had committed anything when the read began. Reads that
-//! arrive while a round runs share the next one.
+//! The leader records its commit index, then confirms with a quorum that its
+//! term is still current: no later leader had committed anything when the read
+//! began. Reads that arrive during a round share the next one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 use super::member::Peer;
 use super::message::{Body, Read, ReadAck};
 use super::outbox::Outbox;
-use super::{Cause, Effect, Part, Replica};
+use super::{Cause, Effect, RaftState, Replica};
 use crate::clock::Time;
 
-/// Who waits for a read index.
+/// Origin of a read, local or a follower.
 #[derive(Clone, Copy, Debug)]
-enum Reader {
+enum ReadOrigin {
     Local(u64),
     Remote(Peer, u64),
 }
@@ -23,14 +23,14 @@
 /// Reads of one replica.
 #[derive(Debug)]
 pub(super) struct Reads {
-    /// Number for the next request to a leader. Starts at a random point, so
-    /// that an answer to an earlier run of this process fits no request.
+    /// Number of the next request to a leader. Starts at a random value, so that
+    /// an answer to an earlier run of this process matches no request.
     next: u64,
-    queued: Vec<Reader>,
-    /// Round, commit index and readers of the leader's running confirmation.
-    round: Option<(u64, u64, Vec<Reader>)>,
-    /// Request, sending time and tickets of a follower's running request.
-    asked: Option<(u64, Time, Vec<u64>)>,
+    queued: Vec<ReadOrigin>,
+    /// Round, commit index and readers of the leader's current read round.
+    round: Option<(u64, u64, Vec<ReadOrigin>)>,
+    /// Number, sending time and tickets of a follower's current request.
+    forwarded: Option<(u64, Time, Vec<u64>)>,
     /// Tickets that wait until an index is applied, and since when.
     waiting: BTreeMap<u64, Vec<(u64, Time)>>,
 }
@@ -41,31 +41,31 @@
             next: run,
             queued: Vec::new(),
             round: None,
-            asked: None,
+            forwarded: None,
             waiting: BTreeMap::new(),
         }
     }
 
     pub(super) fn queue_local(&mut self, ticket: u64) {
-        self.queued.push(Reader::Local(ticket));
+        self.queued.push(ReadOrigin::Local(ticket));
     }
 
     pub(super) fn queue_remote(&mut self, from: Peer, ticket: u64) {
-        self.queued.push(Reader::Remote(from, ticket));
+        self.queued.push(ReadOrigin::Remote(from, ticket));
     }
 
     pub(super) fn on_ack(&mut self, ack: ReadAck) {
-        if let Some((_, at, tickets)) = self.asked.take_if(|(n, _, _)| *n == ack.ticket) {
+        if let Some((_, at, tickets)) = self.forwarded.take_if(|(n, _, _)| *n == ack.ticket) {
             let tickets = tickets.into_iter().map(|t| (t, at));
             self.waiting.entry(ack.index).or_default().extend(tickets);
         }
     }
 
-    /// Takes the tickets that have waited since before `limit` ago.
+    /// Removes and returns the tickets that have waited for `limit` or longer.
     fn expired(&mut self, now: Time, limit: Duration) -> Vec<u64> {
         let late = |at: Time| now.since(at) >= limit;
-        let asked = self.asked.take_if(|(_, at, _)| late(*at));
-        let mut expired = asked.map_or_else(Vec::new, |(_, _, tickets)| tickets);
+        let forwarded = self.forwarded.take_if(|(_, at, _)| late(*at));
+        let mut expired = forwarded.map_or_else(Vec::new, |(_, _, tickets)| tickets);
         self.waiting.retain(|_, tickets| {
             let gone = tickets.extract_if(.., |(_, at)| late(*at));
             expired.extend(gone.map(|(t, _)| t));
@@ -74,8 +74,8 @@
         expired
     }
 
-    /// Fails the reads of a leader that lost its place.
-    pub(super) fn abandon(&mut self, outbox: &mut Outbox) {
+    /// Fails the reads that wait for a leader which steps down.
+    pub(super) fn fail_all(&mut self, outbox: &mut Outbox) {
         let running = self.round.take().map(|(_, _, readers)| readers);
         let readers = running.into_iter().flatten().chain(self.queued.drain(..));
         for reader in readers {
@@ -84,9 +84,9 @@
     }
 }
 
-/// Fails a local read. A remote reader runs into its own timeout.
-fn fail(reader: Reader, hint: Option<u64>, outbox: &mut Outbox) {
-    if let Reader::Local(ticket) = reader {
+/// Fails a local read. A follower's read expires there.
+fn fail(reader: ReadOrigin, hint: Option<u64>, outbox: &mut Outbox) {
+    if let ReadOrigin::Local(ticket) = reader {
         let cause = Cause::NotLeader { hint };
         outbox.effects.push(Effect::Failed { ticket, cause });
     }
@@ -96,15 +96,15 @@
     /// Starts and finishes read rounds.
     pub(super) fn serve_reads(&mut self) {
         match self.is_leader() {
-            true => self.lead_reads(),
-            false => self.ask_reads(),
+            true => self.start_read_round(),
+            false => self.forward_reads(),
         }
         self.finish_reads();
     }
 
-    fn lead_reads(&mut self) {
+    fn start_read_round(&mut self) {
         self.confirm_reads();
-        let Part::Leader(lead) = &mut self.part else {
+        let RaftState::Leader(lead) = &mut self.state else {
             return;
         };
         // Before the first entry of its term is committed a leader may not
@@ -116,12 +116,12 @@
         lead.round += 1;
         let readers = std::mem::take(&mut self.reads.queued);
         self.reads.round = Some((lead.round, self.commit, readers));
-        self.beat();
+        self.broadcast_heartbeat();
         self.confirm_reads();
     }
 
     fn confirm_reads(&mut self) {
-        let Part::Leader(lead) = &self.part else {
+        let RaftState::Leader(lead) = &self.state else {
             return;
         };
         let me = self.settings.me;
@@ -129,7 +129,7 @@
         let heard = |round: u64| {
             members.quorum(|p| {
                 let progress = lead.progress.get(&p);
-                p == me || progress.is_some_and(|g| !g.rolled && g.round >= round)
+                p == me || progress.is_some_and(|g| !g.rolled_back && g.round >= round)
             })
         };
         let done = self.reads.round.take_if(|(round, _, _)| heard(*round));
@@ -138,11 +138,11 @@
         };
         for reader in readers {
             match reader {
-                Reader::Local(ticket) => {
+                ReadOrigin::Local(ticket) => {
                     let waiting = self.reads.waiting.entry(index).or_default();
                     waiting.push((ticket, self.now));
                 }
-                Reader::Remote(peer, ticket) => {
+                ReadOrigin::Remote(peer, ticket) => {
                     let ack = Body::ReadAck(ReadAck { ticket, index });
                     self.outbox.send(peer, self.term, ack);
                 }
@@ -151,8 +151,8 @@
     }
 
     /// Forwards a follower's reads to the leader.
-    fn ask_reads(&mut self) {
-        if self.reads.queued.is_empty() || self.reads.asked.is_some() {
+    fn forward_reads(&mut self) {
+        if self.reads.queued.is_empty() || self.reads.forwarded.is_some() {
             return;
         }
         let readers = std::mem::take(&mut self.reads.queued);
@@ -163,8 +163,8 @@
             return;
         };
         let local = |r| match r {
-            Reader::Local(ticket) => Some(ticket),
-            Reader::Remote(..) => None,
+            ReadOrigin::Local(ticket) => Some(ticket),
+            ReadOrigin::Remote(..) => None,
         };
         let tickets: Vec<u64> = readers.into_iter().filter_map(local).collect();
         if tickets.is_empty() {
@@ -172,13 +172,12 @@
         }
         let ticket = self.reads.next;
         self.reads.next = ticket.wrapping_add(1);
-        self.reads.asked = Some((ticket, self.now, tickets));
+        self.reads.forwarded = Some((ticket, self.now, tickets));
         self.outbox
             .send(leader, self.term, Body::Read(Read { ticket }));
     }
 
-    /// Fails reads that weren't confirmed, or whose index wasn't applied, in an
-    /// election timeout.
+    /// Fails reads that weren't confirmed and applied within an election timeout.
     pub(super) fn expire_reads(&mut self) {
         let expired = self.reads.expired(self.now, self.settings.election_timeout);
         let hint = self.leader.map(|l| l.id);
--- a/src/replica/reconfigure.rs
+++ b/src/replica/reconfigure.rs
@@ -1,10 +1,10 @@
-//! Changes of a group's members, one at a time.
+//! Membership changes of a group, one at a time.
 
 use prost::Message as _;
 
 use super::member::{Change, Membership, Role};
 use super::progress::Progress;
-use super::{Cause, Kind, Part, Replica};
+use super::{Cause, Kind, RaftState, Replica};
 
 impl Replica {
     pub(super) fn append_members(&mut self, members: &Membership) {
@@ -12,17 +12,17 @@
         self.track_members();
     }
 
-    /// Whether `progress` shows a member that answers.
+    /// Whether the member answered within the election timeout.
     fn is_recent(&self, progress: &Progress) -> bool {
-        self.now.since(progress.heard) < self.settings.election_timeout
+        self.now.since(progress.last_contact) < self.settings.election_timeout
     }
 
-    /// Follows the members of the latest membership.
+    /// Adjusts the tracked progress to the latest membership.
     pub(super) fn track_members(&mut self) {
         let me = self.settings.me;
         let last = self.log.last_index();
         let members = self.log.members().1;
-        let Part::Leader(lead) = &mut self.part else {
+        let RaftState::Leader(lead) = &mut self.state else {
             return;
         };
         lead.progress.retain(|&p, _| members.role(p).is_some());
@@ -36,7 +36,7 @@
     }
 
     pub(super) fn on_change(&mut self, ticket: u64, change: Change) {
-        let Part::Leader(lead) = &self.part else {
+        let RaftState::Leader(lead) = &self.state else {
             let hint = self.leader.map(|l| l.id);
             return self.fail(ticket, Cause::NotLeader { hint });
         };
@@ -56,23 +56,22 @@
         self.tickets.insert(self.log.last_index(), ticket);
     }
 
-    /// Whether members that were heard lately are a quorum of `next`.
+    /// Whether the members that answered lately form a quorum of `next`.
     fn keeps_quorum(&self, next: &Membership) -> bool {
-        let Part::Leader(lead) = &self.part else {
+        let RaftState::Leader(lead) = &self.state else {
             return false;
         };
         let recent = |p| lead.progress.get(&p).is_some_and(|g| self.is_recent(g));
         next.quorum(|p| p == self.settings.me || recent(p))
     }
 
-    /// Takes the next step of a membership change once the last is committed.
+    /// Starts the next step of a membership change once the last one is committed.
     ///
     /// Two memberships that differ by one voter always share a voter in their
-    /// quorums; two uncommitted changes at once would break that. So one
-    /// change runs at a time, and none before an entry of this term is
-    /// committed.
-    pub(super) fn settle_members(&mut self) {
-        let Part::Leader(lead) = &self.part else {
+    /// quorums; two uncommitted changes at once would break that. So changes run
+    /// one at a time, and none starts before an entry of this term is committed.
+    pub(super) fn advance_membership(&mut self) {
+        let RaftState::Leader(lead) = &self.state else {
             return;
         };
         let (at, members) = self.log.members();
@@ -82,37 +81,37 @@
         if !members.is_voter(self.settings.me) {
             return;
         }
-        if let Some(next) = self.next_members()
+        if let Some(next) = self.next_membership()
             && self.keeps_quorum(&next)
         {
             self.append_members(&next);
         }
     }
 
-    /// Steps down once this leader's own removal is committed and its operator
-    /// answered.
-    pub(super) fn retire(&mut self) {
+    /// Steps down once this leader's own removal is applied, which also answers
+    /// the operator.
+    pub(super) fn step_down_if_removed(&mut self) {
         let (at, members) = self.log.members();
         if at <= self.applied && !members.is_voter(self.settings.me) {
-            self.follow(self.term, None);
+            self.become_follower(self.term, None);
         }
     }
 
-    /// The membership that a finished change or a rolled back store asks for.
-    fn next_members(&self) -> Option<Membership> {
-        let Part::Leader(lead) = &self.part else {
+    /// The membership to append next, if a store rolled back or a learner caught up.
+    fn next_membership(&self) -> Option<Membership> {
+        let RaftState::Leader(lead) = &self.state else {
             return None;
         };
         let members = self.log.members().1;
-        let rolled = members
+        let rolled_back = members
             .voters()
-            .find(|p| lead.progress.get(p).is_some_and(|g| g.rolled));
-        if let Some(peer) = rolled {
+            .find(|p| lead.progress.get(p).is_some_and(|g| g.rolled_back));
+        if let Some(peer) = rolled_back {
             return Some(members.with(peer, Role::Barred));
         }
         let learner = members.members.iter().find(|m| {
-            // A newcomer that voted before it held every committed entry
-            // would complete a quorum that holds too few copies.
+            // A learner promoted before it holds every committed entry would
+            // complete a quorum with too few copies.
             let progress = lead.progress.get(&m.peer());
             let recent = progress.is_some_and(|g| self.is_recent(g));
             m.role() == Role::Learner && recent && lead.matched(m.peer()) >= self.commit
--- a/src/replica/rejoin.rs
+++ b/src/replica/rejoin.rs
@@ -1,82 +1,82 @@
-//! What a store must learn after a restart before it votes or acknowledges.
+//! Peer query that a restarted store completes before it votes or acknowledges.
 //!
-//! The folder that a store restarts on may be a copy of its latest run, or have
-//! lost its last frame. Such a store has forgotten votes and acknowledgements,
-//! and a majority that counts it may drop a committed entry. So it asks the
-//! other voters for their terms and the ends of their logs. Every majority that
-//! it was part of includes one of those that answer once these are
+//! The directory of a restarted store may be a copy of its latest run, or may have
+//! lost its last frame. Such a store lacks votes and acknowledgements, and a
+//! majority that counts it may drop a committed entry. So it asks the other voters
+//! for their terms and the ends of their logs. Every majority that it was part of
+//! includes one of the answering voters once these are
 //!
-//! - as many as no majority can leave out, none of them asking itself, or
-//! - all, but for those whose instance has an empty folder now: these have failed
-//!   for certain.
+//! - so many that no majority can be without one, and none is itself querying, or
+//! - all of them, except those whose instance has an empty directory now, which
+//!   have certainly failed.
 //!
-//! Then it takes over the highest term, gives no vote in that term any more, and
-//! votes only for logs that reach the furthest end it was told of. Whoever
-//! answered remembers this run durably, and names it with each vote and
-//! acknowledgement of its own ([`Seen`]): a candidate or leader then drops what
-//! an earlier run of the store had sent it.
+//! The store then adopts the highest term, grants no further vote in that term,
+//! and votes only for logs that reach the highest end in the answers. Each
+//! answering voter has durably recorded this run, and names it in its own votes and
+//! acknowledgements ([`SeenRun`]): a candidate or leader then drops those that an
+//! earlier run of the store had sent.
 //!
-//! After [`PATIENCE`] election timeouts answers of stores that ask themselves
-//! count like others: after a power failure of all, all ask. When not even these
-//! are enough, the store trusts its folder. As many others are away then as the
-//! group tolerates, and an old copy would be one fault more.
+//! After [`QUERY_TIMEOUTS`] election timeouts, answers of querying stores count as
+//! well: after a power failure of the whole group, all stores query. If these
+//! aren't enough either, the store trusts its directory. As many voters are then
+//! unreachable as the group tolerates, and an old copy would be one more fault.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::member::{Member, Membership, Peer, Role};
-use super::message::{Body, Seen, Standing};
+use super::message::{Body, HelloAck, SeenRun};
 use super::outbox::Effect;
-use super::{Part, Replica};
+use super::{RaftState, Replica};
 use crate::clock::Time;
 
 /// Election timeouts after which a voter that doesn't answer counts as failed.
-const PATIENCE: u32 = 4;
+const QUERY_TIMEOUTS: u32 = 4;
 
-/// Term and index of the end of a log.
-pub(super) type End = (u64, u64);
+/// Term and index of the last entry of a log.
+pub(super) type LogEnd = (u64, u64);
 
 /// Whether a store may vote and acknowledge.
 #[derive(Debug)]
 pub(super) enum Rejoin {
-    /// It asks what it may have forgotten.
-    Asking(Inquiry),
-    /// It may, and votes for no log that ends before `floor`.
-    Done { floor: End, confirmed: bool },
+    /// It queries its peers for the state that it may have lost.
+    Querying(PeerQuery),
+    /// It may, and refuses its vote to logs that end before `floor`.
+    Done { floor: LogEnd, confirmed: bool },
 }
 
-/// A store's questions after a restart.
+/// State of the peer query after a restart.
 #[derive(Debug)]
-pub(super) struct Inquiry {
-    answers: BTreeMap<Peer, Standing>,
-    /// When the store last asked.
-    asked: Time,
-    /// When time was last counted.
-    counted: Time,
-    /// Time spent asking, without pauses of the process.
+pub(super) struct PeerQuery {
+    answers: BTreeMap<Peer, HelloAck>,
+    /// When the store last sent its hellos.
+    last_sent: Time,
+    /// When `waited` was last updated.
+    updated: Time,
+    /// Time spent waiting, without pauses of the process.
     waited: Duration,
 }
 
-/// How a store's questions ended.
+/// Result of the peer query after a restart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RejoinReport {
-    /// Voters that answered.
+    /// Number of answers.
     pub(crate) answers: usize,
-    /// Voters besides this one.
+    /// Number of voters besides this one.
     pub(crate) others: usize,
-    /// Whether enough of them answered.
+    /// Whether the answers were enough.
     pub(crate) confirmed: bool,
-    /// Time spent asking.
+    /// Time spent waiting.
     pub(crate) waited: Duration,
     /// End of this store's log.
-    pub(crate) end: End,
-    /// Furthest end that it was told of.
-    pub(crate) floor: End,
+    pub(crate) end: LogEnd,
+    /// Highest log end in the answers.
+    pub(crate) floor: LogEnd,
 }
 
 impl Rejoin {
-    /// The state of a store that was just opened. One whose folder was empty
-    /// has nothing to forget.
+    /// The state after the store was opened. A `fresh` store had an empty directory
+    /// and so has lost nothing.
     pub(super) fn new(fresh: bool, now: Time) -> Self {
         if fresh {
             return Self::Done {
@@ -84,217 +84,219 @@
                 confirmed: true,
             };
         }
-        Self::Asking(Inquiry {
+        Self::Querying(PeerQuery {
             answers: BTreeMap::new(),
-            asked: now,
-            counted: now,
+            last_sent: now,
+            updated: now,
             waited: Duration::ZERO,
         })
     }
 }
 
 impl Replica {
-    pub(super) fn is_asking(&self) -> bool {
-        matches!(self.rejoin, Rejoin::Asking(_))
+    pub(super) fn is_querying(&self) -> bool {
+        matches!(self.rejoin, Rejoin::Querying(_))
     }
 
-    /// Whether other voters confirmed this run. `None` while it asks them.
+    /// Whether other voters confirmed this run. `None` during the peer query.
     pub(crate) fn confirmed(&self) -> Option<bool> {
         match self.rejoin {
             Rejoin::Done { confirmed, .. } => Some(confirmed),
-            Rejoin::Asking(_) => None,
+            Rejoin::Querying(_) => None,
         }
     }
 
     /// The end that a candidate's log must reach to get this store's vote.
-    pub(super) fn required_end(&self) -> End {
+    pub(super) fn required_end(&self) -> LogEnd {
         let end = self.end();
         match self.rejoin {
             Rejoin::Done { floor, .. } => end.max(floor),
-            Rejoin::Asking(_) => end,
+            Rejoin::Querying(_) => end,
         }
     }
 
-    pub(super) fn end(&self) -> End {
+    pub(super) fn end(&self) -> LogEnd {
         (self.log.last_term(), self.log.last_index())
     }
 
-    /// Asks again, or gives up.
+    /// Resends the hellos, or ends the query when its time is up.
     pub(super) fn tick_rejoin(&mut self) {
         let (now, period) = (self.now, self.settings.heartbeat_interval);
-        let limit = PATIENCE * self.settings.election_timeout;
-        let Rejoin::Asking(inquiry) = &mut self.rejoin else {
+        let limit = QUERY_TIMEOUTS * self.settings.election_timeout;
+        let Rejoin::Querying(query) = &mut self.rejoin else {
             return;
         };
-        inquiry.waited += now.since(inquiry.counted).min(period);
-        inquiry.counted = now;
-        if inquiry.waited >= limit {
-            let confirmed = self.is_answered(|_| true);
+        query.waited += now.since(query.updated).min(period);
+        query.updated = now;
+        if query.waited >= limit {
+            let confirmed = self.has_enough_answers(|_| true);
             return self.finish_rejoin(confirmed);
         }
-        if now.since(inquiry.asked) >= period {
-            inquiry.asked = now;
-            let answered = inquiry.answers.keys().map(|p| p.id).collect();
-            self.greet_except(&answered);
+        if now.since(query.last_sent) >= period {
+            query.last_sent = now;
+            let answered = query.answers.keys().map(|p| p.id).collect();
+            self.send_hellos_except(&answered);
         }
-        // A voter without others has nobody to ask.
-        self.review_answers();
+        // A single voter needs no answers.
+        self.check_answers();
     }
 
-    /// Answers a store that may have restarted. By now its run is durably
-    /// remembered here.
-    pub(super) fn send_standing(&mut self, to: Peer, run: u64) {
+    /// Answers the hello of a store that may have restarted. Its run has already
+    /// been recorded durably here.
+    pub(super) fn send_hello_ack(&mut self, to: Peer, run: u64) {
         let (members_index, members) = self.log.members();
         let knows = |m: &Member| m.peer() == to || (m.store == 0 && m.id == to.id);
         let blank = members.members.is_empty();
         if !blank && !members.members.iter().any(knows) {
             return;
         }
-        let (last_term, last_index) = self.counted_end();
-        let standing = Standing {
+        let (last_term, last_index) = self.acknowledged_end();
+        let ack = HelloAck {
             run,
             term: self.term,
             last_term,
             last_index,
-            rejoined: !self.is_asking(),
+            rejoined: !self.is_querying(),
             members_index,
             members: members.clone(),
             members_commit: members_index <= self.commit,
         };
-        self.outbox.reply(to, self.term, Body::Standing(standing));
+        self.outbox.reply(to, self.term, Body::HelloAck(ack));
     }
 
-    /// End of the entries that this store can have acknowledged as a voter: from
-    /// the entry that removed it on, no majority includes it.
-    fn counted_end(&self) -> End {
+    /// End of the entries that this store can have acknowledged as a voter. From
+    /// the entry on that removed it, no majority includes it.
+    fn acknowledged_end(&self) -> LogEnd {
         let (at, members) = self.log.members();
-        if members.is_founding() || members.is_voter(self.settings.me) {
+        if members.is_bootstrapping() || members.is_voter(self.settings.me) {
             return self.end();
         }
         let before = at.saturating_sub(1);
         self.log.term(before).map_or((0, 0), |term| (term, before))
     }
 
-    pub(super) fn on_standing(&mut self, from: Peer, standing: Standing) {
+    pub(super) fn on_hello_ack(&mut self, from: Peer, ack: HelloAck) {
         let run = self.settings.run;
-        let Rejoin::Asking(inquiry) = &mut self.rejoin else {
+        let Rejoin::Querying(query) = &mut self.rejoin else {
             return;
         };
-        if standing.run == run {
-            inquiry.answers.insert(from, standing);
-            self.review_answers();
+        if ack.run == run {
+            query.answers.insert(from, ack);
+            self.check_answers();
         }
     }
 
-    /// Ends the inquiry once enough have answered.
-    fn review_answers(&mut self) {
-        if self.is_answered(|s| s.rejoined) {
+    /// Ends the query once the answers are enough.
+    fn check_answers(&mut self) {
+        if self.has_enough_answers(|s| s.rejoined) {
             self.finish_rejoin(true);
         }
     }
 
-    /// Whether no majority that may have counted this store is without one that
-    /// has answered. Without a known membership nobody can tell.
-    fn is_answered(&self, counts: impl Fn(&Standing) -> bool) -> bool {
-        let Rejoin::Asking(inquiry) = &self.rejoin else {
+    /// Whether each majority that may have counted this store includes one that has
+    /// answered. Unknown, hence false, while a membership is empty.
+    fn has_enough_answers(&self, counts: impl Fn(&HelloAck) -> bool) -> bool {
+        let Rejoin::Querying(query) = &self.rejoin else {
             return false;
         };
-        let known = self.known_members(inquiry);
-        let covered = |m: &&Membership| inquiry.covers(m, self.settings.me, &counts);
+        let known = self.possible_memberships(query);
+        let covered = |m: &&Membership| query.covers(m, self.settings.me, &counts);
         known.iter().all(|m| !m.members.is_empty()) && known.iter().all(covered)
     }
 
-    /// Memberships that may be in force: the latest one known to be committed,
+    /// Memberships that may be effective: the latest one known to be committed,
     /// and those after it.
-    fn known_members<'a>(&'a self, inquiry: &'a Inquiry) -> Vec<&'a Membership> {
+    fn possible_memberships<'a>(&'a self, query: &'a PeerQuery) -> Vec<&'a Membership> {
         let (at, own) = self.log.members();
         let own = (at, own, at <= self.commit);
-        let told = inquiry.answers.values();
-        let told = told.filter(|s| !s.members.members.is_empty());
-        let told = told.map(|s| (s.members_index, &s.members, s.members_commit));
-        let known: Vec<_> = told.chain([own]).collect();
-        let settled = known.iter().filter(|(_, _, commit)| *commit);
-        let settled = settled.map(|(at, ..)| *at).max().unwrap_or(0);
-        let known = known.into_iter().filter(|(at, ..)| *at >= settled);
+        let answers = query.answers.values();
+        let answers = answers.filter(|s| !s.members.members.is_empty());
+        let answers = answers.map(|s| (s.members_index, &s.members, s.members_commit));
+        let known: Vec<_> = answers.chain([own]).collect();
+        let committed = known.iter().filter(|(_, _, commit)| *commit);
+        let committed = committed.map(|(at, ..)| *at).max().unwrap_or(0);
+        let known = known.into_iter().filter(|(at, ..)| *at >= committed);
         known.map(|(_, members, _)| members).collect()
     }
 
     fn finish_rejoin(&mut self, confirmed: bool) {
         let me = self.settings.me;
-        let Rejoin::Asking(inquiry) = &self.rejoin else {
+        let Rejoin::Querying(query) = &self.rejoin else {
             return;
         };
-        let known = self.known_members(inquiry);
+        let known = self.possible_memberships(query);
         let others = known.iter().flat_map(|m| m.voters());
         let others: BTreeSet<Peer> = others.filter(|p| p.id != me.id).collect();
-        let term = inquiry.answers.values().map(|s| s.term).max();
+        let term = query.answers.values().map(|s| s.term).max();
         // Only a voter can be elected with entries that this store lacks.
         let votes = |p: &Peer| known.iter().any(|m| m.is_voter(*p));
-        let told = inquiry.answers.iter().filter(|(p, _)| votes(p));
-        let floor = told.map(|(_, s)| (s.last_term, s.last_index)).max();
+        let answers = query.answers.iter().filter(|(p, _)| votes(p));
+        let floor = answers.map(|(_, s)| (s.last_term, s.last_index)).max();
         let report = RejoinReport {
-            answers: inquiry.answers.len(),
+            answers: query.answers.len(),
             others: others.len(),
             confirmed,
-            waited: inquiry.waited,
+            waited: query.waited,
             end: self.end(),
             floor: floor.unwrap_or((0, 0)),
         };
         let floor = report.floor;
         self.rejoin = Rejoin::Done { floor, confirmed };
         if let Some(term) = term.filter(|&t| t > self.term) {
-            self.follow(term, None);
+            self.become_follower(term, None);
         }
-        // A forgotten vote of this term can't be given again.
+        // Prevents a second vote in this term in place of a lost one.
         if self.vote.is_none() {
             self.vote = Some(me);
-            self.hard_dirty = true;
+            self.hard_state_dirty = true;
         }
-        self.wait_for_first();
+        self.reset_initial_deadline();
         self.outbox.effects.push(Effect::Rejoined(report));
     }
 
-    /// Asks anew when no leader came up with the entries that this store lacks:
-    /// the one that holds them may have failed since it answered.
-    pub(super) fn renew_floor(&mut self) {
-        let limit = PATIENCE * self.settings.election_timeout;
-        let heard = self.heard.map_or(self.asked, |at| at.max(self.asked));
-        if self.end() < self.required_end() && self.now.since(heard) >= limit {
-            self.asked = self.now;
+    /// Repeats the query if no leader appears that holds the entries which this
+    /// store lacks: the voter that reported them may have failed since.
+    pub(super) fn requery_if_behind(&mut self) {
+        let limit = QUERY_TIMEOUTS * self.settings.election_timeout;
+        let contact = self
+            .leader_contact
+            .map_or(self.query_started, |at| at.max(self.query_started));
+        if self.end() < self.required_end() && self.now.since(contact) >= limit {
+            self.query_started = self.now;
             self.rejoin = Rejoin::new(false, self.now);
         }
     }
 
-    /// Drops what earlier runs of other stores told this candidate or leader.
-    pub(super) fn forget_earlier_runs(&mut self, seen: &[Seen]) {
-        match &mut self.part {
-            Part::Follower => {}
-            Part::Candidate(campaign) => campaign.forget_earlier(seen),
-            Part::Leader(lead) => lead.forget_earlier(seen),
+    /// Drops the votes or acknowledgements that earlier runs of other stores sent.
+    pub(super) fn record_seen_runs(&mut self, seen: &[SeenRun]) {
+        match &mut self.state {
+            RaftState::Follower => {}
+            RaftState::Candidate(campaign) => campaign.record_seen_runs(seen),
+            RaftState::Leader(lead) => lead.record_seen_runs(seen),
         }
     }
 }
 
-impl Inquiry {
-    /// Whether every majority of `members`, or of members that differ by one
-    /// change, includes one that has answered.
-    fn covers(&self, members: &Membership, me: Peer, counts: impl Fn(&Standing) -> bool) -> bool {
+impl PeerQuery {
+    /// Whether every majority of `members`, and of each membership that differs by
+    /// one change, includes a voter that has answered.
+    fn covers(&self, members: &Membership, me: Peer, counts: impl Fn(&HelloAck) -> bool) -> bool {
         let total = members.voters().count();
-        // With two voters, one and a promoted learner would be a majority.
+        // With two voters, one voter and a promoted learner would be a majority.
         let votes = |role| role == Role::Voter || (role == Role::Learner && total <= 2);
         let others = members.members.iter();
         let others: Vec<Peer> = others
             .filter(|m| m.id != me.id && votes(m.role()))
             .map(Member::peer)
             .collect();
-        let told = others.iter().filter_map(|p| self.answer(*p));
-        let counted = told.filter(|s| counts(s)).count();
+        let answers = others.iter().filter_map(|p| self.answer(*p));
+        let counted = answers.filter(|s| counts(s)).count();
         let accounted = |p: &Peer| self.answers.keys().any(|a| a.id == p.id);
         counted > total / 2 || others.iter().all(accounted)
     }
 
-    /// What `peer` answered. Founders are known by instance only.
-    fn answer(&self, peer: Peer) -> Option<&Standing> {
+    /// Answer of `peer`. Initial voters are known by instance only.
+    fn answer(&self, peer: Peer) -> Option<&HelloAck> {
         let same = |p: &Peer| *p == peer || (peer.store == 0 && p.id == peer.id);
         let mut answers = self.answers.iter();
         answers.find(|(p, _)| same(p)).map(|(_, s)| s)
--- a/src/replica/snapshot.rs
+++ b/src/replica/snapshot.rs
@@ -1,54 +1,54 @@
-//! Transfer of a snapshot in pieces to a member whose next entry is gone.
+//! Chunked transfer of a snapshot to a member whose next entry was compacted.
 
 use bytes::Bytes;
 
 use super::log::Snapshot;
 use super::member::Peer;
 use super::message::{Body, Chunk, ChunkAck};
-use super::progress::Flow;
-use super::{Part, Replica};
+use super::progress::ReplicationMode;
+use super::{RaftState, Replica};
 
-/// Bytes of a snapshot in one message.
+/// Maximum number of snapshot bytes in one message.
 const CHUNK_BYTES: usize = 256 * 1024;
 
-/// A snapshot that arrives.
+/// A partially received snapshot.
 #[derive(Debug)]
-pub(super) struct Incoming {
-    /// The leader that sends it. Another one's bytes may differ.
+pub(super) struct IncomingSnapshot {
+    /// Leader that sends it. Another leader's bytes may differ.
     from: Peer,
     index: u64,
     data: Vec<u8>,
 }
 
 impl Replica {
-    /// Sends the next piece, or only asks how far `peer` is.
-    pub(super) fn send_chunk(&mut self, peer: Peer, ask: bool) {
+    /// Sends the next chunk, or with `probe` an empty one that asks for the offset.
+    pub(super) fn send_chunk(&mut self, peer: Peer, probe: bool) {
         let snapshot = self.log.snapshot();
-        let Part::Leader(lead) = &mut self.part else {
+        let RaftState::Leader(lead) = &mut self.state else {
             return;
         };
         let round = lead.round;
         let Some(progress) = lead.progress.get_mut(&peer) else {
             return;
         };
-        let Flow::Snapshot {
+        let ReplicationMode::Snapshot {
             index,
             offset,
             sent,
-        } = progress.flow
+        } = progress.mode
         else {
             return;
         };
         let offset = if index == snapshot.index { offset } else { 0 };
-        progress.flow = Flow::Snapshot {
+        progress.mode = ReplicationMode::Snapshot {
             index: snapshot.index,
             offset,
-            sent: if ask { sent } else { self.now },
+            sent: if probe { sent } else { self.now },
         };
         progress.next = snapshot.index + 1;
         let data = &snapshot.data;
         let from = usize::try_from(offset).map_or(data.len(), |at| at.min(data.len()));
-        let size = if ask { 0 } else { CHUNK_BYTES };
+        let size = if probe { 0 } else { CHUNK_BYTES };
         let to = data.len().min(from + size);
         let chunk = Chunk {
             index: snapshot.index,
@@ -64,17 +64,21 @@
 
     pub(super) fn on_chunk(&mut self, from: Peer, chunk: Chunk) {
         assert!(!self.is_leader(), "two leaders in a term");
-        self.follow(self.term, Some(from));
+        self.become_follower(self.term, Some(from));
         if chunk.index <= self.commit {
             self.incoming = None;
             return self.ack(from, true, self.commit, 0, chunk.round);
         }
-        let fits = |i: &Incoming| i.from == from && i.index == chunk.index;
-        let mut incoming = self.incoming.take().filter(fits).unwrap_or(Incoming {
-            from,
-            index: chunk.index,
-            data: Vec::new(),
-        });
+        let fits = |i: &IncomingSnapshot| i.from == from && i.index == chunk.index;
+        let mut incoming = self
+            .incoming
+            .take()
+            .filter(fits)
+            .unwrap_or(IncomingSnapshot {
+                from,
+                index: chunk.index,
+                data: Vec::new(),
+            });
         if incoming.data.len() as u64 == chunk.offset {
             incoming.data.extend_from_slice(&chunk.data);
         }
@@ -90,7 +94,7 @@
         self.outbox.reply(from, self.term, Body::ChunkAck(ack));
     }
 
-    /// Replaces log and state by a complete snapshot.
+    /// Replaces the log by a complete snapshot.
     fn install(&mut self, from: Peer, chunk: &Chunk, data: Vec<u8>) {
         let snapshot = Snapshot {
             index: chunk.index,
@@ -100,7 +104,7 @@
         };
         let agrees = self.log.term(snapshot.index) == Some(snapshot.term);
         self.log.restore(snapshot);
-        // What is durable: all that stays, or only what was committed here.
+        // Durable up to here: the retained log if it matches, else the commit index.
         let last = if agrees {
             self.log.last_index()
         } else {
@@ -108,7 +112,7 @@
         };
         self.commit = chunk.index;
         self.synced = self.synced.min(last);
-        for (_, at) in &mut self.writes {
+        for (_, at) in &mut self.unsynced_writes {
             *at = (*at).min(last);
         }
         self.snapshot_dirty = true;
@@ -116,24 +120,24 @@
     }
 
     pub(super) fn on_chunk_ack(&mut self, from: Peer, ack: ChunkAck) {
-        let (now, patience) = (self.now, 2 * self.settings.heartbeat_interval);
-        let Some(progress) = self.hear(from, ack.round) else {
+        let (now, resend_after) = (self.now, 2 * self.settings.heartbeat_interval);
+        let Some(progress) = self.record_contact(from, ack.round) else {
             return;
         };
-        let Flow::Snapshot {
+        let ReplicationMode::Snapshot {
             index,
             offset,
             sent,
-        } = progress.flow
+        } = progress.mode
         else {
             return;
         };
-        // A piece on its way is only sent again when it seems lost.
-        let lost = now.since(sent) >= patience;
+        // A chunk in flight is resent only when it is probably lost.
+        let lost = now.since(sent) >= resend_after;
         if index != ack.index || (offset == ack.offset && !lost) {
             return;
         }
-        progress.flow = Flow::Snapshot {
+        progress.mode = ReplicationMode::Snapshot {
             index,
             offset: ack.offset,
             sent: now,
--- a/src/store.rs
+++ b/src/store.rs
@@ -18,7 +18,7 @@
 
 use self::record::{Batch, Content, Entries, Identity, Mark, Record, Sighting, State};
 use crate::disk::Disk;
-use crate::replica::{Persist, Snapshot, Start};
+use crate::replica::{DurableState, Persist, Snapshot};
 
 mod frame;
 mod load;
@@ -122,7 +122,7 @@
     /// Numbers of the latest runs, in order, this one last.
     pub(crate) runs: Vec<u64>,
     /// State by group.
-    pub(crate) groups: BTreeMap<u32, Start>,
+    pub(crate) groups: BTreeMap<u32, DurableState>,
     /// Boot counter and run last seen, by store.
     pub(crate) sightings: BTreeMap<u64, (u64, u64)>,
 }
@@ -258,7 +258,7 @@
     /// may wait for a sync.
     pub(crate) fn rewrite(
         &mut self,
-        groups: &BTreeMap<u32, Start>,
+        groups: &BTreeMap<u32, DurableState>,
         sightings: &BTreeMap<u64, (u64, u64)>,
     ) -> Result<(), StoreError> {
         assert!(self.pending.is_empty(), "rewrite between write and sync");
@@ -357,7 +357,7 @@
 /// Records of a whole state.
 fn records(
     identity: &Identity,
-    groups: &BTreeMap<u32, Start>,
+    groups: &BTreeMap<u32, DurableState>,
     sightings: &BTreeMap<u64, (u64, u64)>,
 ) -> Vec<Record> {
     let mut records = vec![record(Content::Identity(identity.clone()))];
--- a/src/store/load.rs
+++ b/src/store/load.rs
@@ -12,7 +12,7 @@
     snapshot_name,
 };
 use crate::disk::Disk;
-use crate::replica::{Snapshot, Start};
+use crate::replica::{DurableState, Snapshot};
 
 /// Reads the newest log file and the snapshots it names.
 pub(super) fn load(disk: &dyn Disk, names: &[String]) -> Result<Contents, StoreError> {
@@ -87,7 +87,7 @@
     Some(())
 }
 
-fn replay_mark(start: &mut Start, mark: Mark) {
+fn replay_mark(start: &mut DurableState, mark: Mark) {
     let held = start.entries.iter().find(|e| e.index == mark.index);
     let agrees = held.is_some_and(|e| e.term == mark.term);
     start.entries.retain(|e| agrees && e.index > mark.index);
@@ -99,7 +99,7 @@
     };
 }
 
-fn replay_entries(start: &mut Start, entries: Entries) -> Option<()> {
+fn replay_entries(start: &mut DurableState, entries: Entries) -> Option<()> {
     let Some(first) = entries.entries.first().map(|e| e.index) else {
         return Some(());
     };
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -1,6 +1,6 @@
 //! Records in the payload of log frames.
 
-use crate::replica::{Entry, Hard, Membership};
+use crate::replica::{Entry, HardState, Membership};
 
 /// Payload of one frame: everything that one sync makes durable.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -55,7 +55,7 @@
     #[prost(uint32, tag = "1")]
     pub(super) group: u32,
     #[prost(message, required, tag = "2")]
-    pub(super) hard: Hard,
+    pub(super) hard: HardState,
 }
 
 /// Entries that replace a group's log from the first one's index on.
--- a/src/tests/replica.rs
+++ b/src/tests/replica.rs
@@ -6,9 +6,9 @@
 
 use crate::Time;
 use crate::replica::{
-    Append, AppendAck, Body, Cause, Change, Effect, Entry, Event, Hard, Hello, Introduce, Kind,
-    Member, Membership, Message, Peer, Replica, Role, Seen, Settings, Snapshot, Standing, Start,
-    Vote, VoteAck,
+    Append, AppendAck, Body, Cause, Change, DurableState, Effect, Entry, Event, ForwardHello,
+    HardState, Hello, HelloAck, Kind, Member, Membership, Message, Peer, Replica, Role, SeenRun,
+    Settings, Snapshot, Vote, VoteAck,
 };
 
 const ELECTION: Duration = Duration::from_millis(300);
@@ -40,10 +40,10 @@
     /// Replica 1 in its run number `boot`.
     fn booted(boot: u64, terms: &[u64]) -> Self {
         let members = (1..=3).map(|id| Member::voter(peer(id))).collect();
-        let start = Start {
-            hard: Hard {
+        let start = DurableState {
+            hard: HardState {
                 term: terms.last().copied().unwrap_or(0),
-                ..Hard::default()
+                ..HardState::default()
             },
             snapshot: Snapshot {
                 members: Membership { members },
@@ -350,21 +350,21 @@
         Effect::Send(m) if m.to == 2 => m.body.clone(),
         _ => None,
     });
-    let introduce = Introduce {
+    let introduce = ForwardHello {
         peer: Some(peer(9)),
     };
-    assert_eq!(told, Some(Body::Introduce(introduce)));
+    assert_eq!(told, Some(Body::ForwardHello(introduce)));
 }
 
 #[test]
 fn introduce_makes_stranger() {
     let mut bench = Bench::new(&[1]);
     bench.lead();
-    let introduce = Introduce {
+    let introduce = ForwardHello {
         peer: Some(peer(9)),
     };
-    bench.receive(2, 0, Body::Introduce(introduce));
-    assert!(bench.replica.strangers().any(|p| p == peer(9)));
+    bench.receive(2, 0, Body::ForwardHello(introduce));
+    assert!(bench.replica.non_members().any(|p| p == peer(9)));
 }
 
 /// Whether the effects ask for a pre-vote, or for a vote.
@@ -417,14 +417,14 @@
 /// The answer of another member to a store that asks after a restart.
 fn standing(term: u64, end: (u64, u64)) -> Body {
     let members = (1..=3).map(|id| Member::voter(peer(id))).collect();
-    Body::Standing(Standing {
+    Body::HelloAck(HelloAck {
         run: 1,
         term,
         last_term: end.0,
         last_index: end.1,
         rejoined: true,
         members: Membership { members },
-        ..Standing::default()
+        ..HelloAck::default()
     })
 }
 
@@ -519,7 +519,7 @@
             ..AppendAck::default()
         })
     };
-    let later = Seen { store: 2, boot: 2 };
+    let later = SeenRun { store: 2, boot: 2 };
     bench.receive(3, term, ack(1, vec![later]));
     bench.receive(2, term, ack(2, Vec::new()));
     assert_eq!(bench.replica.commit(), 0);
@@ -537,7 +537,7 @@
     let term = bench.replica.term() + 1;
     let ack = |pre, granted, seen| Body::VoteAck(VoteAck { pre, granted, seen });
     let effects = bench.receive(2, term, ack(true, true, Vec::new()));
-    let later = vec![Seen { store: 2, boot: 2 }];
+    let later = vec![SeenRun { store: 2, boot: 2 }];
     bench.receive(3, term, ack(false, false, later));
     bench.receive(2, term, ack(false, true, Vec::new()));
     bench.step(Event::Persisted(written(&effects).unwrap()));
@@ -601,10 +601,10 @@
     let mut bench = Bench::booted(2, &[1]);
     bench.receive(2, 0, standing(1, (1, 1)));
     assert_eq!(bench.replica.confirmed(), None);
-    let blank = Standing {
+    let blank = HelloAck {
         run: 1,
         rejoined: true,
-        ..Standing::default()
+        ..HelloAck::default()
     };
     let message = Message {
         from: 3,
@@ -613,7 +613,7 @@
         to_store: 1,
         boot: 1,
         run: 3,
-        body: Some(Body::Standing(blank)),
+        body: Some(Body::HelloAck(blank)),
         ..Message::default()
     };
     bench.step(Event::Message(message));
--- a/src/tests/simulation/mod.rs
+++ b/src/tests/simulation/mod.rs
@@ -344,7 +344,7 @@
             };
             self.replace_barred(at, group);
             let core = self.nodes[at].core.as_ref().unwrap();
-            let strangers: Vec<Peer> = core.replica(group as usize).strangers().collect();
+            let strangers: Vec<Peer> = core.replica(group as usize).non_members().collect();
             for peer in strangers {
                 if self.store(peer.id) == peer.store {
                     self.change(at, group, Change::Add(peer));
--- a/src/tests/store.rs
+++ b/src/tests/store.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 
 use super::simulation::disk::SimDisk;
-use crate::replica::{Entry, Hard, Kind, Persist, Snapshot};
+use crate::replica::{Entry, HardState, Kind, Persist, Snapshot};
 use crate::store::{Contents, Store, StoreError};
 
 fn open(disk: &SimDisk) -> Result<(Store, Contents), StoreError> {
@@ -25,7 +25,7 @@
 fn persist(entries: &[u64]) -> Persist {
     Persist {
         seq: 0,
-        hard: Hard {
+        hard: HardState {
             term: 1,
             vote: None,
             commit: 0,
--- a/src/voter/core.rs
+++ b/src/voter/core.rs
@@ -12,7 +12,7 @@
 use crate::clock::Time;
 use crate::disk::Disk;
 use crate::replica::{
-    Body, Change, Effect, Event, Membership, Message, Peer, Replica, Settings, Start,
+    Body, Change, DurableState, Effect, Event, Membership, Message, Peer, Replica, Settings,
 };
 use crate::store::{DivergedSnafu, Store, StoreError, UnusedSnafu};
 
@@ -286,8 +286,8 @@
         let founding = members.contains(&0);
         self.sightings
             .retain(|store| founding || members.contains(&store));
-        let images = self.groups.iter().map(|g| g.replica.image());
-        let images: BTreeMap<u32, Start> = (0..).zip(images).collect();
+        let images = self.groups.iter().map(|g| g.replica.durable_state());
+        let images: BTreeMap<u32, DurableState> = (0..).zip(images).collect();
         self.store.rewrite(&images, self.sightings.known())
     }
 
--- a/src/voter/inbound.rs
+++ b/src/voter/inbound.rs
@@ -5,7 +5,7 @@
 use super::core::Core;
 use super::sighting::Verdict;
 use crate::clock::Time;
-use crate::replica::{Ask, Body, Event, Hello, Member, Message, Peer, Superseded};
+use crate::replica::{Body, Event, Hello, HelloRequest, Member, Message, Peer, Superseded};
 use crate::store::{StoreError, SupersededSnafu};
 
 impl Core {
@@ -27,7 +27,7 @@
                 ensure!(!ours || message.to_store != self.me.store, SupersededSnafu);
                 return Ok(());
             }
-            Some(Body::Ask(_)) => {
+            Some(Body::HelloRequest(_)) => {
                 send(self.answer(&message, self.hello()));
                 return Ok(());
             }
@@ -55,7 +55,7 @@
                 self.store.write_sighting(store, boot, run);
                 self.held.push(message.clone());
             }
-            Verdict::Unproven => send(self.answer(message, Body::Ask(Ask {}))),
+            Verdict::Unproven => send(self.answer(message, Body::HelloRequest(HelloRequest {}))),
             Verdict::Superseded => {
                 self.refused += 1;
                 let (boot, run) = (message.boot, message.run);
--- a/src/voter/sighting.rs
+++ b/src/voter/sighting.rs
@@ -12,7 +12,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::replica::{Body, Message, Seen};
+use crate::replica::{Body, Message, SeenRun};
 
 /// What to do with a message, judged by the run that sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -67,9 +67,9 @@
     }
 
     /// The latest runs of all stores but that of `reader`, who knows better.
-    pub(super) fn seen(&self, reader: u64) -> Vec<Seen> {
+    pub(super) fn seen(&self, reader: u64) -> Vec<SeenRun> {
         let others = self.known.iter().filter(|(store, _)| **store != reader);
-        let seen = others.map(|(&store, &(boot, _))| Seen { store, boot });
+        let seen = others.map(|(&store, &(boot, _))| SeenRun { store, boot });
         seen.collect()
     }
 
