--- a/src/disk.rs
+++ b/src/disk.rs
@@ -1,4 +1,4 @@
-//! Files of one data folder, behind an interface that tests can break.
+//! Files of one data directory, behind a trait for fault injection in tests.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -8,23 +8,23 @@
 
 use crate::collections::HashMap;
 
-/// Name of the file whose lock keeps a second process off the folder.
+/// Name of the file whose lock excludes a second process from the directory.
 const LOCK: &str = "lock";
 
-/// A flat folder of files. Nothing is durable before [`Disk::sync`] of the
-/// file and, for names, [`Disk::sync_names`].
+/// A flat directory of files. Content is durable after [`Disk::sync`] of the
+/// file, and names after [`Disk::sync_names`].
 pub(crate) trait Disk: Send {
-    /// Names of all files.
+    /// Returns the names of all files.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// Content of a file.
+    /// Reads a file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Creates an empty file, or empties it.
+    /// Creates an empty file, or truncates an existing one.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Adds bytes to a file created before.
+    /// Appends bytes to a file that this process created.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Makes a file's content durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Gives a file another name, in place of any file with that name.
+    /// Renames a file, replacing any file with the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
@@ -32,20 +32,20 @@
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the machine's file system.
+/// A directory in the host's file system.
 #[derive(Debug)]
-pub(crate) struct Folder {
+pub(crate) struct DataDir {
     path: PathBuf,
     /// Files open for writing.
     open: HashMap<String, File>,
-    /// Holds the lock while it is open.
+    /// Lock file, locked while it is open.
     _lock: File,
 }
 
-impl Folder {
-    /// Opens the folder, creating it if missing, and locks it.
+impl DataDir {
+    /// Opens and locks the directory, and creates it if it doesn't exist.
     ///
-    /// Two processes on one folder would both vote as its store.
+    /// Two processes on one directory would both vote as its store.
     pub(crate) fn open(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         let lock = OpenOptions::new()
@@ -70,7 +70,7 @@
     }
 }
 
-impl Disk for Folder {
+impl Disk for DataDir {
     fn list(&self) -> io::Result<Vec<String>> {
         let names: io::Result<Vec<String>> = fs::read_dir(&self.path)?
             .map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned()))
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,13 +1,13 @@
 //! Durable log and snapshot files of a store.
 //!
 //! One file holds the log of all groups, so that a single sync serves them
-//! all. Its first frame is the whole state at the time the file was made; a
-//! start, and growth, write the next file and remove the one before. Each
-//! group's snapshot is a file of its own.
+//! all. Its first frame is the full state at the time the file was created. Each
+//! start, and each rewrite after growth, writes a new file and removes the
+//! previous one. Each group's snapshot is a file of its own.
 //!
-//! Damage to the very last frame looks like a torn write and is cut off. The
-//! store has then forgotten what the frame held, and asks the other voters after
-//! its start, see [`crate::replica`].
+//! Damage to the last frame looks like a torn write, and the frame is dropped.
+//! The store then lacks its content and queries the other voters after its start,
+//! see [`crate::replica`].
 
 use std::collections::BTreeMap;
 use std::io;
@@ -16,7 +16,7 @@
 use prost::Message as _;
 use snafu::{ResultExt, Snafu, ensure};
 
-use self::record::{Batch, Content, Entries, Identity, Mark, Record, Sighting, State};
+use self::record::{Batch, Content, Entries, Identity, KnownRun, Record, SnapshotRef, State};
 use crate::disk::Disk;
 use crate::replica::{DurableState, Persist, Snapshot};
 
@@ -24,23 +24,23 @@
 mod load;
 mod record;
 
-/// Prefix of log files; the number of their first frame follows.
-const LOG: &str = "log-";
-/// Prefix of snapshot files; group and index follow.
-const SNAPSHOT: &str = "snapshot-";
-/// Suffix of files that aren't complete.
-const PART: &str = ".part";
-/// Runs remembered. A store that starts more often without a word to one of
-/// its peers must be replaced.
-const RUNS: usize = 1000;
-/// Frame numbers left to one log file, so that numbers never repeat.
+/// Prefix of log files, followed by the number of their first frame.
+const LOG_PREFIX: &str = "log-";
+/// Prefix of snapshot files, followed by group and index.
+const SNAPSHOT_PREFIX: &str = "snapshot-";
+/// Suffix of incomplete files.
+const PART_SUFFIX: &str = ".part";
+/// Runs recorded in a store. One that starts more often without contact to one
+/// of its peers must be replaced.
+const MAX_RUNS: usize = 1000;
+/// Frame numbers reserved for one log file, so that numbers never repeat.
 const FRAMES_PER_FILE: u64 = 1 << 32;
 /// Size below which a log file is never rewritten, in bytes.
 const REWRITE_BYTES: usize = 4 * 1024 * 1024;
-/// A log file is rewritten when it has grown by this factor.
+/// Growth factor since the last rewrite at which a log file is rewritten.
 const REWRITE_FACTOR: usize = 4;
 
-/// Why a store can't be used.
+/// Reason why a store can't be used.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StoreError {
@@ -50,7 +50,7 @@
          free space or replace the disk, then start the process again"
     ))]
     Io {
-        /// What was tried.
+        /// Operation that failed.
         action: &'static str,
         /// File.
         name: String,
@@ -69,7 +69,7 @@
         /// Position of the first bad byte.
         offset: usize,
     },
-    /// Files that must be there are missing.
+    /// A required file is missing.
     #[snafu(display(
         "{name} is missing from the data folder; move the folder away, start with an \
          empty one and add this instance's new store as a member"
@@ -78,23 +78,23 @@
         /// File.
         name: String,
     },
-    /// The folder holds a group that isn't run.
+    /// The directory holds a group that this release doesn't run.
     #[snafu(display(
         "the data folder holds group {group}, which this release doesn't run; start \
          the release that wrote it, or give this instance an empty folder"
     ))]
-    Unused {
+    UnknownGroup {
         /// Number of the group.
         group: u32,
     },
-    /// The folder is an old copy.
+    /// The directory is an old copy.
     #[snafu(display(
         "the data folder was put back from an old copy and has forgotten what it \
          promised since; move the folder away, start with an empty one and add this \
          instance's new store as a member"
     ))]
     Superseded,
-    /// The leader has another entry than the one committed here.
+    /// The leader's entry differs from the one committed here.
     #[snafu(display(
         "entry {index} of group {group} is committed here, and the leader has another \
          one: a store was put back from an old copy while too few others answered, and \
@@ -112,22 +112,22 @@
     Failed,
 }
 
-/// What a store held when it was opened.
+/// Content of a store when it was opened.
 #[derive(Debug, Default)]
 pub(crate) struct Contents {
-    /// Random number of the folder.
+    /// Random id of the directory.
     pub(crate) store: u64,
-    /// Starts of the folder so far, this one included.
+    /// Number of starts so far, including this one.
     pub(crate) boot: u64,
-    /// Numbers of the latest runs, in order, this one last.
+    /// Random numbers of the latest runs in order, this one last.
     pub(crate) runs: Vec<u64>,
     /// State by group.
     pub(crate) groups: BTreeMap<u32, DurableState>,
     /// Boot counter and run last seen, by store.
-    pub(crate) sightings: BTreeMap<u64, (u64, u64)>,
+    pub(crate) known_runs: BTreeMap<u64, (u64, u64)>,
 }
 
-/// The files of one data folder.
+/// The files of one data directory.
 pub(crate) struct Store {
     disk: Box<dyn Disk>,
     identity: Identity,
@@ -137,28 +137,28 @@
     number: u64,
     /// Bytes in the log file.
     size: usize,
-    /// Bytes of its first frame.
-    base: usize,
+    /// Bytes in its first frame.
+    base_size: usize,
     /// Records that wait for [`Store::sync`].
     pending: Vec<Record>,
     /// Snapshot files to remove after the next sync.
-    stale: Vec<String>,
-    /// Snapshot file in force, by group.
+    obsolete_snapshots: Vec<String>,
+    /// Current snapshot file, by group.
     snapshots: BTreeMap<u32, String>,
     /// Set by the first failure and never cleared.
     ///
-    /// After a failed sync the kernel may drop the written pages and report
-    /// the next sync as good. Only a new start, which reads the files and
-    /// writes them anew, can tell what is durable.
+    /// After a failed sync the kernel may drop the written pages and report the
+    /// next sync as successful. Only a new start, which reads and rewrites the
+    /// files, can tell what is durable.
     failed: bool,
 }
 
 impl Store {
-    /// Opens the folder and records the start. `fresh` is the id that an empty
-    /// folder gets, `run` the random number of this start.
+    /// Opens the directory and records the start. `new_store` is the id for an
+    /// empty directory, `run` the random number of this start.
     pub(crate) fn open(
         disk: Box<dyn Disk>,
-        fresh: u64,
+        new_store: u64,
         run: u64,
     ) -> Result<(Self, Contents), StoreError> {
         let names = disk.list().context(IoSnafu {
@@ -167,11 +167,11 @@
         })?;
         let mut content = load::load(&*disk, &names)?;
         if content.store == 0 {
-            content.store = fresh;
+            content.store = new_store;
         }
         content.boot += 1;
         content.runs.push(run);
-        let excess = content.runs.len().saturating_sub(RUNS);
+        let excess = content.runs.len().saturating_sub(MAX_RUNS);
         content.runs.drain(..excess);
         let number = names.iter().filter_map(|n| log_number(n)).max();
         let identity = Identity {
@@ -191,15 +191,15 @@
             name: String::new(),
             number: number.map_or(1, |n| n + FRAMES_PER_FILE),
             size: 0,
-            base: 0,
+            base_size: 0,
             pending: Vec::new(),
-            stale: Vec::new(),
+            obsolete_snapshots: Vec::new(),
             snapshots,
             failed: false,
         };
-        // What was read may never have been synced; the new file is.
-        store.rewrite(&content.groups, &content.sightings)?;
-        store.clean(&names)?;
+        // The content just read may never have been synced; the new file is.
+        store.rewrite(&content.groups, &content.known_runs)?;
+        store.remove_leftovers(&names)?;
         Ok((store, content))
     }
 
@@ -219,10 +219,10 @@
         Ok(())
     }
 
-    /// Adds the run of another store to the next sync.
-    pub(crate) fn write_sighting(&mut self, store: u64, boot: u64, run: u64) {
-        let sighting = Sighting { store, boot, run };
-        self.pending.push(record(Content::Sighting(sighting)));
+    /// Adds a run of another store to the next sync.
+    pub(crate) fn write_known_run(&mut self, store: u64, boot: u64, run: u64) {
+        let known_run = KnownRun { store, boot, run };
+        self.pending.push(record(Content::KnownRun(known_run)));
     }
 
     /// Makes everything written so far durable, as one frame.
@@ -232,89 +232,91 @@
             return Ok(());
         }
         let batch = Batch {
-            whole: false,
+            full: false,
             records: std::mem::take(&mut self.pending),
         };
         let bytes = frame::encode(self.number, &batch.encode_to_vec());
         let name = self.name.clone();
         let begin = Instant::now();
-        self.run("write to", &name, |disk| disk.append(&name, &bytes))?;
-        self.run("sync", &name, |disk| disk.sync(&name))?;
+        self.run_operation("write to", &name, |disk| disk.append(&name, &bytes))?;
+        self.run_operation("sync", &name, |disk| disk.sync(&name))?;
         metrics::histogram!("log_sync_seconds").record(begin.elapsed().as_secs_f64());
         self.number += 1;
         self.size += bytes.len();
-        for old in std::mem::take(&mut self.stale) {
-            self.run("remove", &old, |disk| disk.remove(&old))?;
+        for old in std::mem::take(&mut self.obsolete_snapshots) {
+            self.run_operation("remove", &old, |disk| disk.remove(&old))?;
         }
         Ok(())
     }
 
-    /// Whether the log file has grown so much that a rewrite pays.
-    pub(crate) fn wants_rewrite(&self) -> bool {
-        self.size > REWRITE_BYTES.max(REWRITE_FACTOR * self.base)
+    /// Whether the log file has grown enough for a rewrite.
+    pub(crate) fn needs_rewrite(&self) -> bool {
+        self.size > REWRITE_BYTES.max(REWRITE_FACTOR * self.base_size)
     }
 
-    /// Replaces the log file by one that holds just the state given. Nothing
-    /// may wait for a sync.
+    /// Replaces the log file by one that holds only the given state. No write may
+    /// be pending.
     pub(crate) fn rewrite(
         &mut self,
         groups: &BTreeMap<u32, DurableState>,
-        sightings: &BTreeMap<u64, (u64, u64)>,
+        known_runs: &BTreeMap<u64, (u64, u64)>,
     ) -> Result<(), StoreError> {
         assert!(self.pending.is_empty(), "rewrite between write and sync");
         let batch = Batch {
-            whole: true,
-            records: records(&self.identity, groups, sightings),
+            full: true,
+            records: records(&self.identity, groups, known_runs),
         };
         let number = self.number;
         let bytes = frame::encode(number, &batch.encode_to_vec());
         let name = log_name(number);
-        self.replace(&name, &bytes)?;
+        self.write_atomically(&name, &bytes)?;
         let old = std::mem::replace(&mut self.name, name);
         if !old.is_empty() {
-            self.run("remove", &old, |disk| disk.remove(&old))?;
+            self.run_operation("remove", &old, |disk| disk.remove(&old))?;
         }
         self.number = number + 1;
         self.size = bytes.len();
-        self.base = bytes.len();
+        self.base_size = bytes.len();
         Ok(())
     }
 
     fn write_snapshot(&mut self, group: u32, snapshot: &Snapshot) -> Result<(), StoreError> {
         let name = snapshot_name(group, snapshot.index);
         let bytes = frame::encode(snapshot.index, &snapshot.data);
-        self.replace(&name, &bytes)?;
+        self.write_atomically(&name, &bytes)?;
         let old = self.snapshots.insert(group, name.clone());
-        self.stale.extend(old.filter(|old| *old != name));
+        self.obsolete_snapshots
+            .extend(old.filter(|old| *old != name));
         self.pending
-            .push(record(Content::Mark(mark(group, snapshot))));
+            .push(record(Content::SnapshotRef(snapshot_ref(group, snapshot))));
         Ok(())
     }
 
-    /// Writes a whole file so that a crash leaves it complete or not at all.
-    fn replace(&mut self, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
-        let part = format!("{name}{PART}");
-        self.run("create", &part, |disk| disk.create(&part))?;
-        self.run("write to", &part, |disk| disk.append(&part, bytes))?;
-        self.run("sync", &part, |disk| disk.sync(&part))?;
-        self.run("rename", &part, |disk| disk.rename(&part, name))?;
-        self.run("sync", "names", |disk| disk.sync_names())
+    /// Writes a file atomically: after a crash it is complete or doesn't exist.
+    fn write_atomically(&mut self, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
+        let part = format!("{name}{PART_SUFFIX}");
+        self.run_operation("create", &part, |disk| disk.create(&part))?;
+        self.run_operation("write to", &part, |disk| disk.append(&part, bytes))?;
+        self.run_operation("sync", &part, |disk| disk.sync(&part))?;
+        self.run_operation("rename", &part, |disk| disk.rename(&part, name))?;
+        self.run_operation("sync", "names", |disk| disk.sync_names())
     }
 
-    /// Removes files that an earlier run left behind.
-    fn clean(&mut self, names: &[String]) -> Result<(), StoreError> {
+    /// Removes files left behind by an earlier run.
+    fn remove_leftovers(&mut self, names: &[String]) -> Result<(), StoreError> {
         let used: Vec<String> = self.snapshots.values().cloned().collect();
         for name in names {
-            let ours =
-                log_number(name).is_some() || name.starts_with(SNAPSHOT) || name.ends_with(PART);
-            if ours && *name != self.name && !used.contains(name) {
-                self.run("remove", name, |disk| disk.remove(name))?;
+            let owned = log_number(name).is_some()
+                || name.starts_with(SNAPSHOT_PREFIX)
+                || name.ends_with(PART_SUFFIX);
+            if owned && *name != self.name && !used.contains(name) {
+                self.run_operation("remove", name, |disk| disk.remove(name))?;
             }
         }
         Ok(())
     }
 
-    fn run(
+    fn run_operation(
         &mut self,
         action: &'static str,
         name: &str,
@@ -328,15 +330,15 @@
 }
 
 fn log_name(number: u64) -> String {
-    format!("{LOG}{number:020}")
+    format!("{LOG_PREFIX}{number:020}")
 }
 
 fn log_number(name: &str) -> Option<u64> {
-    name.strip_prefix(LOG)?.parse().ok()
+    name.strip_prefix(LOG_PREFIX)?.parse().ok()
 }
 
 fn snapshot_name(group: u32, index: u64) -> String {
-    format!("{SNAPSHOT}{group}-{index}")
+    format!("{SNAPSHOT_PREFIX}{group}-{index}")
 }
 
 fn record(content: Content) -> Record {
@@ -345,8 +347,8 @@
     }
 }
 
-fn mark(group: u32, snapshot: &Snapshot) -> Mark {
-    Mark {
+fn snapshot_ref(group: u32, snapshot: &Snapshot) -> SnapshotRef {
+    SnapshotRef {
         group,
         index: snapshot.index,
         term: snapshot.term,
@@ -354,19 +356,22 @@
     }
 }
 
-/// Records of a whole state.
+/// Records of a full state.
 fn records(
     identity: &Identity,
     groups: &BTreeMap<u32, DurableState>,
-    sightings: &BTreeMap<u64, (u64, u64)>,
+    known_runs: &BTreeMap<u64, (u64, u64)>,
 ) -> Vec<Record> {
     let mut records = vec![record(Content::Identity(identity.clone()))];
-    for (&store, &(boot, run)) in sightings {
-        records.push(record(Content::Sighting(Sighting { store, boot, run })));
+    for (&store, &(boot, run)) in known_runs {
+        records.push(record(Content::KnownRun(KnownRun { store, boot, run })));
     }
     for (&group, start) in groups {
         if start.snapshot.index > 0 {
-            records.push(record(Content::Mark(mark(group, &start.snapshot))));
+            records.push(record(Content::SnapshotRef(snapshot_ref(
+                group,
+                &start.snapshot,
+            ))));
         }
         let hard = start.hard;
         records.push(record(Content::State(State { group, hard })));
--- a/src/store/frame.rs
+++ b/src/store/frame.rs
@@ -5,7 +5,7 @@
 //! the length counts the payload. Each frame is synced before the next one is
 //! written, so only the last frame can be torn.
 
-/// Marks the start of a frame.
+/// First bytes of a frame.
 const MAGIC: [u8; 4] = *b"LQF1";
 /// Bytes before the payload.
 const HEADER: usize = 20;
@@ -15,9 +15,8 @@
 pub(super) struct Frame<'a> {
     /// Position in the sequence of frames of one store.
     pub(super) number: u64,
-    /// Content.
     pub(super) payload: &'a [u8],
-    /// Position after the frame, in bytes.
+    /// Offset of the first byte after the frame.
     pub(super) end: usize,
 }
 
@@ -33,7 +32,7 @@
     bytes
 }
 
-/// The frame that starts at `at`, if a valid one does.
+/// Decodes the frame that starts at offset `at`, if it is valid.
 pub(super) fn decode(file: &[u8], at: usize) -> Option<Frame<'_>> {
     let header = file.get(at..at.checked_add(HEADER)?)?;
     if header[..4] != MAGIC {
@@ -52,7 +51,7 @@
 }
 
 /// Whether any valid frame starts after `at`.
-pub(super) fn follows(file: &[u8], at: usize) -> bool {
+pub(super) fn any_frame_after(file: &[u8], at: usize) -> bool {
     (at + 1..file.len()).any(|from| decode(file, from).is_some())
 }
 
--- a/src/store/load.rs
+++ b/src/store/load.rs
@@ -1,4 +1,4 @@
-//! Reads a data folder.
+//! Reads a data directory.
 
 use std::io;
 
@@ -6,10 +6,10 @@
 use prost::Message as _;
 use snafu::{OptionExt, ResultExt, ensure};
 
-use super::record::{Batch, Content, Entries, Mark, Record};
+use super::record::{Batch, Content, Entries, Record, SnapshotRef};
 use super::{
-    Contents, DamagedSnafu, IoSnafu, MissingSnafu, PART, SNAPSHOT, StoreError, frame, log_number,
-    snapshot_name,
+    Contents, DamagedSnafu, IoSnafu, MissingSnafu, PART_SUFFIX, SNAPSHOT_PREFIX, StoreError, frame,
+    log_number, snapshot_name,
 };
 use crate::disk::Disk;
 use crate::replica::{DurableState, Snapshot};
@@ -18,7 +18,7 @@
 pub(super) fn load(disk: &dyn Disk, names: &[String]) -> Result<Contents, StoreError> {
     let mut content = Contents::default();
     let Some(name) = names.iter().filter(|n| log_number(n).is_some()).max() else {
-        let snapshot = |n: &&String| n.starts_with(SNAPSHOT) && !n.ends_with(PART);
+        let snapshot = |n: &&String| n.starts_with(SNAPSHOT_PREFIX) && !n.ends_with(PART_SUFFIX);
         let orphan = names.iter().find(snapshot);
         ensure!(
             orphan.is_none(),
@@ -38,14 +38,14 @@
         let damaged = || DamagedSnafu { name, offset: at };
         let frame = frame::decode(&file, at).filter(|f| f.number == number);
         let Some(frame) = frame else {
-            // A frame is written only after the one before it was synced. So a
-            // valid frame further on proves that this one was durable, and
-            // acknowledged; only the last one may be a torn write.
-            ensure!(at > 0 && !frame::follows(&file, at), damaged());
+            // Each frame is synced before the next one is written. So a later
+            // valid frame proves that this one was durable and acknowledged; only
+            // the last one may be a torn write.
+            ensure!(at > 0 && !frame::any_frame_after(&file, at), damaged());
             break;
         };
         let batch = Batch::decode(frame.payload).ok();
-        let batch = batch.filter(|b| b.whole == (at == 0));
+        let batch = batch.filter(|b| b.full == (at == 0));
         let batch = batch.with_context(damaged)?;
         for record in batch.records {
             replay(&mut content, record).with_context(damaged)?;
@@ -66,7 +66,7 @@
     Ok(content)
 }
 
-/// Applies one record, or nothing when it doesn't fit.
+/// Applies one record. Returns `None` if it doesn't fit the records before it.
 fn replay(content: &mut Contents, record: Record) -> Option<()> {
     match record.content? {
         Content::Identity(identity) => {
@@ -74,11 +74,14 @@
             content.boot = identity.boot;
             content.runs = identity.runs;
         }
-        Content::Sighting(s) => {
-            content.sightings.insert(s.store, (s.boot, s.run));
+        Content::KnownRun(s) => {
+            content.known_runs.insert(s.store, (s.boot, s.run));
         }
         Content::State(state) => content.groups.entry(state.group).or_default().hard = state.hard,
-        Content::Mark(mark) => replay_mark(content.groups.entry(mark.group).or_default(), mark),
+        Content::SnapshotRef(snapshot_ref) => replay_snapshot(
+            content.groups.entry(snapshot_ref.group).or_default(),
+            snapshot_ref,
+        ),
         Content::Entries(entries) => {
             let start = content.groups.entry(entries.group).or_default();
             return replay_entries(start, entries);
@@ -87,14 +90,16 @@
     Some(())
 }
 
-fn replay_mark(start: &mut DurableState, mark: Mark) {
-    let held = start.entries.iter().find(|e| e.index == mark.index);
-    let agrees = held.is_some_and(|e| e.term == mark.term);
-    start.entries.retain(|e| agrees && e.index > mark.index);
+fn replay_snapshot(start: &mut DurableState, snapshot_ref: SnapshotRef) {
+    let held = start.entries.iter().find(|e| e.index == snapshot_ref.index);
+    let agrees = held.is_some_and(|e| e.term == snapshot_ref.term);
+    start
+        .entries
+        .retain(|e| agrees && e.index > snapshot_ref.index);
     start.snapshot = Snapshot {
-        index: mark.index,
-        term: mark.term,
-        members: mark.members,
+        index: snapshot_ref.index,
+        term: snapshot_ref.term,
+        members: snapshot_ref.members,
         data: Bytes::new(),
     };
 }
--- a/src/store/record.rs
+++ b/src/store/record.rs
@@ -2,12 +2,12 @@
 
 use crate::replica::{Entry, HardState, Membership};
 
-/// Payload of one frame: everything that one sync makes durable.
+/// Payload of one frame: the records that one sync makes durable.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Batch {
-    /// Whether the batch is the whole state, the first of its file.
+    /// Whether the batch is the full state, which is the first of its file.
     #[prost(bool, tag = "1")]
-    pub(super) whole: bool,
+    pub(super) full: bool,
     /// Records in order.
     #[prost(message, repeated, tag = "2")]
     pub(super) records: Vec<Record>,
@@ -30,21 +30,21 @@
     #[prost(message, tag = "3")]
     Entries(Entries),
     #[prost(message, tag = "4")]
-    Mark(Mark),
+    SnapshotRef(SnapshotRef),
     #[prost(message, tag = "5")]
-    Sighting(Sighting),
+    KnownRun(KnownRun),
 }
 
-/// The store itself.
+/// Identity of the store.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub(super) struct Identity {
-    /// Random number of the folder. Never changes.
+    /// Random id of the directory. Never changes.
     #[prost(uint64, tag = "1")]
     pub(super) store: u64,
-    /// Starts so far.
+    /// Number of starts so far.
     #[prost(uint64, tag = "2")]
     pub(super) boot: u64,
-    /// Random numbers of the latest runs, in order.
+    /// Random numbers of the latest runs in order.
     #[prost(uint64, repeated, tag = "3")]
     pub(super) runs: Vec<u64>,
 }
@@ -67,9 +67,9 @@
     pub(super) entries: Vec<Entry>,
 }
 
-/// A snapshot file that is in force. Its name follows from group and index.
+/// The current snapshot file of a group. Its name follows from group and index.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct Mark {
+pub(super) struct SnapshotRef {
     #[prost(uint32, tag = "1")]
     pub(super) group: u32,
     #[prost(uint64, tag = "2")]
@@ -82,7 +82,7 @@
 
 /// Latest run seen of another store.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub(super) struct Sighting {
+pub(super) struct KnownRun {
     #[prost(uint64, tag = "1")]
     pub(super) store: u64,
     #[prost(uint64, tag = "2")]
--- a/src/tests/simulation/mod.rs
+++ b/src/tests/simulation/mod.rs
@@ -10,8 +10,8 @@
 use self::disk::SimDisk;
 use self::ledger::{Shared, Tape};
 use crate::clock::Time;
-use crate::voter::answer::Answer;
 use crate::voter::core::{Config, Core, Input};
+use crate::voter::responder::Responder;
 use crate::{Change, ChangeError, Message, Peer, ProposeError, ReadError, Role, StoreError};
 
 mod copies;
@@ -302,7 +302,7 @@
             vec![Input::Propose {
                 group,
                 command,
-                answer: Answer::new(done, ProposeError::Stopped),
+                responder: Responder::new(done, ProposeError::Stopped),
             }],
         );
     }
@@ -320,8 +320,8 @@
                 tape.check(count);
             }
         });
-        let answer = Answer::new(done, ReadError::Stopped);
-        self.run(at, vec![Input::Read { group, answer }]);
+        let responder = Responder::new(done, ReadError::Stopped);
+        self.run(at, vec![Input::Read { group, responder }]);
     }
 
     /// The instance that leads a group, in the highest term if two believe so.
@@ -380,7 +380,7 @@
             vec![Input::Change {
                 group,
                 change,
-                answer: Answer::new(done, ChangeError::Stopped),
+                responder: Responder::new(done, ChangeError::Stopped),
             }],
         );
     }
--- a/src/tests/simulation/runs.rs
+++ b/src/tests/simulation/runs.rs
@@ -68,7 +68,7 @@
         }
         self.losses += 1;
         let old = self.nodes[at].old.take();
-        let known = self.is_life_known(at);
+        let known = self.is_run_known(at);
         match old.filter(|_| known) {
             None => self.replace(at),
             Some(disk) => {
@@ -83,7 +83,7 @@
     /// Copies the disk of an instance while it runs.
     fn copy_disk(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        node.recent = node.core.as_ref().map(|c| (c.life(), node.disk.copy()));
+        node.recent = node.core.as_ref().map(|c| (c.run_id(), node.disk.copy()));
     }
 
     /// Starts an instance on a copy of its latest run, or with its last frame
@@ -97,7 +97,10 @@
         let damage = self.chance(30);
         let node = &mut self.nodes[at];
         let Some(core) = node.core.take() else { return };
-        let recent = node.recent.take().filter(|(life, _)| *life == core.life());
+        let recent = node
+            .recent
+            .take()
+            .filter(|(run_id, _)| *run_id == core.run_id());
         let disk = match (damage, recent) {
             (true, _) => {
                 let disk = node.disk.copy();
@@ -158,15 +161,15 @@
 
     /// Whether all others know the present run of an instance. An old copy is
     /// only recognised by those that do.
-    pub(super) fn is_life_known(&self, at: usize) -> bool {
+    pub(super) fn is_run_known(&self, at: usize) -> bool {
         let Some(core) = &self.nodes[at].core else {
             return false;
         };
-        let (store, life) = (self.nodes[at].store, core.life());
+        let (store, run_id) = (self.nodes[at].store, core.run_id());
         let mut others = (0..self.nodes.len()).filter(|&n| n != at);
         others.all(|n| {
             let core = self.nodes[n].core.as_ref();
-            core.is_some_and(|c| c.sighting(store) == Some(life))
+            core.is_some_and(|c| c.known_run(store) == Some(run_id))
         })
     }
 
--- a/src/tests/simulation/stories.rs
+++ b/src/tests/simulation/stories.rs
@@ -110,7 +110,7 @@
     let copy = sim.nodes[at].disk.copy();
     for _ in 0..2 {
         sim.lose_power(at);
-        sim.until("known", |s| s.is_life_known(at));
+        sim.until("known", |s| s.is_run_known(at));
     }
     let store = sim.nodes[at].store;
     sim.nodes[at].core = None;
@@ -248,7 +248,7 @@
     let (at, other) = followers(&sim);
     let store = sim.nodes[other].store;
     let core = sim.nodes[at].core.as_mut().unwrap();
-    let (boot, run) = core.sighting(store).unwrap();
+    let (boot, run) = core.known_run(store).unwrap();
     let message = |body| {
         Input::Message(Message {
             from: other as u64 + 1,
--- a/src/tests/store.rs
+++ b/src/tests/store.rs
@@ -175,7 +175,7 @@
     let (disk, mut store) = filled();
     let (_, contents) = open(&disk.copy()).unwrap();
     store
-        .rewrite(&contents.groups, &contents.sightings)
+        .rewrite(&contents.groups, &contents.known_runs)
         .unwrap();
     store.write(0, &persist(&[4])).unwrap();
     store.sync().unwrap();
--- a/src/tests/voter.rs
+++ b/src/tests/voter.rs
@@ -183,10 +183,10 @@
 fn spawn_locked_folder() {
     let folder = tempfile::tempdir().unwrap();
     let mut cluster = Cluster::start(folder.path(), 1);
-    let second = crate::disk::Folder::open(&folder.path().join("0"));
+    let second = crate::disk::DataDir::open(&folder.path().join("0"));
     assert!(second.is_err());
     cluster.halt(0);
-    assert!(crate::disk::Folder::open(&folder.path().join("0")).is_ok());
+    assert!(crate::disk::DataDir::open(&folder.path().join("0")).is_ok());
 }
 
 #[test]
--- a/src/voter.rs
+++ b/src/voter.rs
@@ -1,4 +1,4 @@
-//! The thread that owns a store and its replicas, and the handle to it.
+//! Thread that owns a store and its replicas, and the handle to it.
 
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,42 +10,42 @@
 use serde::Serialize;
 use snafu::ResultExt;
 
-use self::answer::{Answer, Reply};
 use self::core::{Config, Core, Input};
 pub use self::error::{ChangeError, ProposeError, ReadError};
+use self::responder::{Callback, Responder};
 use crate::clock::{Clock, Time};
-use crate::disk::{Disk, Folder};
+use crate::disk::{DataDir, Disk};
 use crate::event;
 use crate::id::InstanceId;
 use crate::replica::{Change, Member, Message, Peer};
 use crate::store::StoreError;
 
-pub(crate) mod answer;
 pub(crate) mod core;
 mod error;
 mod group;
 mod inbound;
-mod sighting;
+mod known_runs;
+pub(crate) mod responder;
 mod watch;
 
-/// Inputs that may wait for the thread.
-const QUEUE: usize = 65_536;
-/// Inputs handled with one sync.
-const BATCH: usize = 1024;
+/// Maximum number of inputs that wait for the thread.
+const QUEUE_CAPACITY: usize = 65_536;
+/// Maximum number of inputs handled with one sync.
+const MAX_BATCH: usize = 1024;
 /// Time between two updates of the gauges.
-const PUBLISH: Duration = Duration::from_secs(1);
-/// Ticks in one heartbeat.
-const TICKS: u32 = 4;
+const METRICS_INTERVAL: Duration = Duration::from_secs(1);
+/// Ticks in one heartbeat interval.
+const TICKS_PER_HEARTBEAT: u32 = 4;
 
-/// Application state of one group. Every store applies the same commands in
-/// the same order, so each method must depend on nothing else.
+/// Replicated state of one group. Every store applies the same commands in the
+/// same order, so each method must be deterministic.
 pub trait StateMachine: Send {
     /// Applies the committed command at `index`. The result goes to the
     /// proposer.
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8>;
-    /// The whole state, for [`StateMachine::restore`].
+    /// Encodes the full state for [`StateMachine::restore`].
     fn snapshot(&self) -> Vec<u8>;
-    /// Replaces the state.
+    /// Replaces the state by a snapshot.
     fn restore(&mut self, snapshot: &[u8]);
 }
 
@@ -75,14 +75,14 @@
     pub seed: u64,
 }
 
-/// State of one group as this voter sees it.
+/// Status of one group on this voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct GroupStatus {
     /// Number of the group.
     pub group: u32,
     /// This store.
     pub me: Peer,
-    /// Starts of this store.
+    /// Number of starts of this store.
     pub boot: u64,
     /// Current term.
     pub term: u64,
@@ -98,29 +98,29 @@
     pub applied: u64,
     /// Index of the snapshot.
     pub snapshot: u64,
-    /// Members, the latest in the log.
+    /// Latest membership in the log.
     pub members: Vec<Member>,
-    /// Stores that ask to become members, such as one whose folder was wiped.
+    /// Stores that ask to become members, such as one whose directory was wiped.
     pub strangers: Vec<Peer>,
-    /// Messages refused because they came from a superseded run of a store.
+    /// Number of messages rejected because they came from a superseded run.
     pub refused: u64,
-    /// Whether other voters told this store what it may have forgotten; none
-    /// while it asks them, false if too few answered.
+    /// Whether other voters confirmed this run of the store. None during the
+    /// query after a restart, false if too few answered.
     pub confirmed: Option<bool>,
-    /// On the leader, milliseconds since each other member last answered.
+    /// Milliseconds since each other member last answered, on the leader.
     pub silences: Vec<(Peer, u64)>,
 }
 
-/// Who leads a group, as one voter sees it.
+/// Leader of a group as known to one voter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LeaderInfo {
-    /// The term, if this voter leads in it.
+    /// Current term, if this voter leads it.
     pub(crate) term: Option<u64>,
     /// The leader, if known.
     pub(crate) leader: Option<InstanceId>,
 }
 
-enum Order {
+enum Task {
     Input(Input),
     Stop,
 }
@@ -128,38 +128,38 @@
 /// Handle to a voter's thread.
 #[derive(Clone)]
 pub struct Voter {
-    orders: Sender<Order>,
+    tasks: Sender<Task>,
     status: Arc<Mutex<Vec<GroupStatus>>>,
 }
 
-/// Sends a message to an instance. Must not block; may lose the message.
+/// Sends a message to an instance. Must not block, and may drop the message.
 pub type MessageSender = Box<dyn Fn(InstanceId, Message) + Send>;
 
 impl Voter {
-    /// Opens the data folder and starts the thread, with one group for each
-    /// machine.
+    /// Opens the data directory and starts the thread, with one group for each
+    /// state machine.
     ///
-    /// The thread ends after [`Voter::stop`], when all handles are gone, or
-    /// when the store fails; in that last case it returns the error, and the
-    /// process should end: only a new start can tell what is durable.
+    /// The thread ends after [`Voter::stop`], when all handles are dropped, or
+    /// when the store fails. In the last case it returns the error, and the
+    /// process should exit, since only a new start can tell what is durable.
     ///
     /// # Errors
     ///
-    /// Fails when the folder can't be opened or holds damaged files.
+    /// Fails if the directory can't be opened or holds damaged files.
     pub fn spawn(
         settings: VoterSettings,
         machines: Vec<Box<dyn StateMachine>>,
         peers: MessageSender,
         clock: Arc<dyn Clock>,
     ) -> Result<(Self, JoinHandle<Result<(), StoreError>>), StoreError> {
-        let disk = Folder::open(&settings.data_dir).context(crate::store::IoSnafu {
+        let disk = DataDir::open(&settings.data_dir).context(crate::store::IoSnafu {
             action: "open",
             name: settings.data_dir.display().to_string(),
         })?;
         Self::spawn_on(settings, Box::new(disk), machines, peers, clock)
     }
 
-    /// As [`Voter::spawn`], on any disk.
+    /// Like [`Voter::spawn`], on any disk.
     pub(crate) fn spawn_on(
         settings: VoterSettings,
         disk: Box<dyn Disk>,
@@ -168,7 +168,7 @@
         clock: Arc<dyn Clock>,
     ) -> Result<(Self, JoinHandle<Result<(), StoreError>>), StoreError> {
         let core = Core::open(config(&settings), disk, machines, clock.now())?;
-        let (orders, inbox) = channel::bounded(QUEUE);
+        let (tasks, inbox) = channel::bounded(QUEUE_CAPACITY);
         let status = Arc::new(Mutex::new(core.status()));
         let worker = Worker {
             core,
@@ -176,9 +176,9 @@
             peers,
             clock,
             status: status.clone(),
-            tick: settings.heartbeat_interval / TICKS,
-            patience: 2 * settings.election_timeout,
-            stopping: None,
+            tick: settings.heartbeat_interval / TICKS_PER_HEARTBEAT,
+            stop_timeout: 2 * settings.election_timeout,
+            stop_deadline: None,
         };
         let thread = thread::Builder::new().name("voter".to_owned());
         let handle = thread
@@ -187,47 +187,47 @@
                 action: "start a thread for",
                 name: "the log",
             })?;
-        Ok((Self { orders, status }, handle))
+        Ok((Self { tasks, status }, handle))
     }
 
-    /// Hands over a message from the network. Drops it when too much waits.
+    /// Passes on a message from the network. Drops it when the queue is full.
     pub fn deliver(&self, message: Message) {
-        let order = Order::Input(Input::Message(message));
-        // A lost message is sent again; a blocked network thread would stall
+        let task = Task::Input(Input::Message(message));
+        // A dropped message is resent, and blocking the network thread would stall
         // other traffic.
-        let _ = self.orders.try_send(order);
+        let _ = self.tasks.try_send(task);
     }
 
-    /// Appends a command to a group's log. `done` runs on the voter's thread,
-    /// exactly once, and must not block.
-    pub fn propose(&self, group: u32, command: Bytes, done: Reply<Vec<u8>, ProposeError>) {
+    /// Proposes a command to a group. `done` runs exactly once, on the voter's
+    /// thread, and must not block.
+    pub fn propose(&self, group: u32, command: Bytes, done: Callback<Vec<u8>, ProposeError>) {
         let input = Input::Propose {
             group,
             command,
-            answer: Answer::new(done, ProposeError::Stopped),
+            responder: Responder::new(done, ProposeError::Stopped),
         };
         self.request(input);
     }
 
-    /// Confirms a linearizable read: at `done`, the machine of this voter has
+    /// Confirms a linearizable read: at `done`, the state machine of this voter has
     /// applied everything that was committed when the call began.
-    pub fn read(&self, group: u32, done: Reply<u64, ReadError>) {
-        let answer = Answer::new(done, ReadError::Stopped);
-        self.request(Input::Read { group, answer });
+    pub fn read(&self, group: u32, done: Callback<u64, ReadError>) {
+        let responder = Responder::new(done, ReadError::Stopped);
+        self.request(Input::Read { group, responder });
     }
 
-    /// Changes the members of a group, on its leader. `done` reports the
-    /// commit of the first step; a newcomer votes once it has caught up.
-    pub fn change_member(&self, group: u32, change: Change, done: Reply<(), ChangeError>) {
+    /// Changes the members of a group, on its leader. `done` reports the commit of
+    /// the first step; an added store votes once it has caught up.
+    pub fn change_member(&self, group: u32, change: Change, done: Callback<(), ChangeError>) {
         let input = Input::Change {
             group,
             change,
-            answer: Answer::new(done, ChangeError::Stopped),
+            responder: Responder::new(done, ChangeError::Stopped),
         };
         self.request(input);
     }
 
-    /// Who leads a group, after the last batch.
+    /// Leader of a group after the last batch.
     pub(crate) fn leader_info(&self, group: u32) -> LeaderInfo {
         let status = self.status.lock().unwrap_or_else(PoisonError::into_inner);
         let status = status.iter().find(|s| s.group == group);
@@ -237,24 +237,23 @@
         })
     }
 
-    /// State of each group after the last batch.
+    /// Status of each group after the last batch.
     #[must_use]
     pub fn status(&self) -> Vec<GroupStatus> {
         let status = self.status.lock();
         status.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Hands leadership over, then ends the thread.
+    /// Transfers leadership, then ends the thread.
     pub fn stop(&self) {
-        // A thread that has ended needs no order.
-        let _ = self.orders.send(Order::Stop);
+        // Fails only if the thread has ended already.
+        let _ = self.tasks.send(Task::Stop);
     }
 
     fn request(&self, input: Input) {
-        if let Err(TrySendError::Full(Order::Input(input))) =
-            self.orders.try_send(Order::Input(input))
+        if let Err(TrySendError::Full(Task::Input(input))) = self.tasks.try_send(Task::Input(input))
         {
-            input.refuse_busy();
+            input.fail_busy();
         }
     }
 }
@@ -277,25 +276,25 @@
     }
 }
 
-/// What the thread owns.
+/// State of the voter's thread.
 struct Worker {
     core: Core,
-    inbox: Receiver<Order>,
+    inbox: Receiver<Task>,
     peers: MessageSender,
     clock: Arc<dyn Clock>,
     status: Arc<Mutex<Vec<GroupStatus>>>,
     tick: Duration,
-    /// Longest wait for a successor.
-    patience: Duration,
-    /// When the thread ends, successor or not.
-    stopping: Option<Time>,
+    /// Longest wait for a leadership transfer at shutdown.
+    stop_timeout: Duration,
+    /// When the thread ends even if it still leads.
+    stop_deadline: Option<Time>,
 }
 
 impl Worker {
     fn run(mut self) -> Result<(), StoreError> {
         let outcome = self.serve();
         if let Err(error) = &outcome {
-            tracing::error!(event = event::STORE_FAILED.id, %error, "the store failed");
+            tracing::error!(event = event::STORE_FAILED.id, %error, "store failed; stopping the voter");
         }
         outcome
     }
@@ -310,7 +309,7 @@
             let status = self.core.status();
             if now >= publish {
                 watch::publish(&status);
-                publish = now + PUBLISH;
+                publish = now + METRICS_INTERVAL;
             }
             let mut shared = self.status.lock().unwrap_or_else(PoisonError::into_inner);
             watch::report(&shared, &status);
@@ -322,30 +321,30 @@
     /// Waits for inputs or the next tick. `None` ends the thread.
     fn receive(&mut self) -> Option<Vec<Input>> {
         let now = self.clock.now();
-        if let Some(end) = self.stopping
+        if let Some(end) = self.stop_deadline
             && (now >= end || !self.core.leads())
         {
             return None;
         }
         let mut inputs = Vec::new();
         match self.inbox.recv_timeout(self.tick) {
-            Ok(order) => self.take(order, now, &mut inputs),
+            Ok(task) => self.handle(task, now, &mut inputs),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return None,
         }
-        while inputs.len() < BATCH
-            && let Ok(order) = self.inbox.try_recv()
+        while inputs.len() < MAX_BATCH
+            && let Ok(task) = self.inbox.try_recv()
         {
-            self.take(order, now, &mut inputs);
+            self.handle(task, now, &mut inputs);
         }
         Some(inputs)
     }
 
-    fn take(&mut self, order: Order, now: Time, inputs: &mut Vec<Input>) {
-        match order {
-            Order::Input(input) => inputs.push(input),
-            Order::Stop => {
-                self.stopping = Some(now + self.patience);
+    fn handle(&mut self, task: Task, now: Time, inputs: &mut Vec<Input>) {
+        match task {
+            Task::Input(input) => inputs.push(input),
+            Task::Stop => {
+                self.stop_deadline = Some(now + self.stop_timeout);
                 inputs.push(Input::Transfer);
             }
         }
--- a/src/voter/core.rs
+++ b/src/voter/core.rs
@@ -1,20 +1,21 @@
-//! Joins replicas, machines and store: one sync serves all groups.
+//! Drives the replicas and state machines of all groups on one store, with one
+//! sync for all.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use bytes::Bytes;
 
-use super::answer::Answer;
 use super::group::{Group, Pending};
-use super::sighting::Sightings;
+use super::known_runs::KnownRuns;
+use super::responder::Responder;
 use super::{ChangeError, GroupStatus, ProposeError, ReadError, StateMachine, watch};
 use crate::clock::Time;
 use crate::disk::Disk;
 use crate::replica::{
     Body, Change, DurableState, Effect, Event, Membership, Message, Peer, Replica, Settings,
 };
-use crate::store::{DivergedSnafu, Store, StoreError, UnusedSnafu};
+use crate::store::{DivergedSnafu, Store, StoreError, UnknownGroupSnafu};
 
 /// A request or message for the core.
 pub(crate) enum Input {
@@ -22,37 +23,37 @@
     Propose {
         group: u32,
         command: Bytes,
-        answer: Answer<Vec<u8>, ProposeError>,
+        responder: Responder<Vec<u8>, ProposeError>,
     },
     Read {
         group: u32,
-        answer: Answer<u64, ReadError>,
+        responder: Responder<u64, ReadError>,
     },
     Change {
         group: u32,
         change: Change,
-        answer: Answer<(), ChangeError>,
+        responder: Responder<(), ChangeError>,
     },
     Transfer,
 }
 
 impl Input {
-    /// Answers a request that nothing was done for lack of room.
-    pub(super) fn refuse_busy(self) {
+    /// Fails a request that the full queue has no room for.
+    pub(super) fn fail_busy(self) {
         match self {
-            Self::Propose { answer, .. } => answer.send(Err(ProposeError::Busy)),
-            Self::Read { answer, .. } => answer.send(Err(ReadError::Busy)),
-            Self::Change { answer, .. } => answer.send(Err(ChangeError::Busy)),
+            Self::Propose { responder, .. } => responder.send(Err(ProposeError::Busy)),
+            Self::Read { responder, .. } => responder.send(Err(ReadError::Busy)),
+            Self::Change { responder, .. } => responder.send(Err(ChangeError::Busy)),
             Self::Message(_) | Self::Transfer => {}
         }
     }
 }
 
-/// Constants of a core.
+/// Configuration of a core.
 #[derive(Clone, Debug)]
 pub(crate) struct Config {
     pub(crate) instance: u64,
-    /// Instances that form the groups.
+    /// Instances that bootstrap the groups.
     pub(crate) initial_voters: Vec<u64>,
     /// Instances that may know the leaders.
     pub(crate) contacts: Vec<u64>,
@@ -60,12 +61,12 @@
     pub(crate) heartbeat_interval: Duration,
     /// Applied entries between snapshots.
     pub(crate) snapshot_interval: u64,
-    /// Entries kept behind a snapshot.
+    /// Entries before a snapshot that are retained.
     pub(crate) retained_entries: u64,
     pub(crate) seed: u64,
     /// Random number of this process.
     pub(crate) run: u64,
-    /// Id for the store if its folder is empty.
+    /// Id for the store if its directory is empty.
     pub(crate) new_store: u64,
 }
 
@@ -76,18 +77,18 @@
     pub(super) boot: u64,
     pub(super) store: Store,
     pub(super) groups: Vec<Group>,
-    /// Numbers of this store's runs.
+    /// Random numbers of this store's runs.
     pub(super) runs: Vec<u64>,
-    pub(super) sightings: Sightings,
-    /// Messages of runs whose sighting isn't durable yet.
-    pub(super) held: Vec<Message>,
-    /// Messages of superseded runs that were refused.
+    pub(super) known_runs: KnownRuns,
+    /// Messages of runs that aren't recorded durably yet.
+    pub(super) deferred: Vec<Message>,
+    /// Number of messages rejected because they came from a superseded run.
     pub(super) refused: u64,
     pub(super) ticket: u64,
 }
 
 impl Core {
-    /// Opens the store and starts one replica for each machine.
+    /// Opens the store and starts one replica for each state machine.
     pub(crate) fn open(
         config: Config,
         disk: Box<dyn Disk>,
@@ -110,8 +111,8 @@
             groups.push(Group::new(group, replica, machine));
         }
         if let Some(&group) = contents.groups.keys().next() {
-            // The next rewrite of the log would drop it.
-            return UnusedSnafu { group }.fail();
+            // The next rewrite of the log would drop this group.
+            return UnknownGroupSnafu { group }.fail();
         }
         Ok(Self {
             me,
@@ -119,18 +120,18 @@
             store,
             groups,
             runs: contents.runs,
-            sightings: Sightings::new(contents.sightings),
-            held: Vec::new(),
+            known_runs: KnownRuns::new(contents.known_runs),
+            deferred: Vec::new(),
             refused: 0,
             ticket: 0,
             config,
         })
     }
 
-    /// Handles inputs and the passing of time. Returns with everything synced.
+    /// Handles inputs and the time that has passed. Returns with everything synced.
     ///
-    /// An error means that the store has failed or is an old copy: drop the
-    /// core then.
+    /// After an error, which means that the store has failed or is an old copy,
+    /// the core must be dropped.
     pub(crate) fn run(
         &mut self,
         now: Time,
@@ -138,7 +139,7 @@
         send: &mut dyn FnMut(Message),
     ) -> Result<(), StoreError> {
         for input in inputs {
-            self.take(now, input, send)?;
+            self.handle(now, input, send)?;
         }
         for at in 0..self.groups.len() {
             let proposals = std::mem::take(&mut self.groups[at].proposals);
@@ -147,8 +148,8 @@
             }
             self.step(at, now, Event::Tick, send)?;
         }
-        self.settle(now, send)?;
-        if self.store.wants_rewrite() {
+        self.sync_all(now, send)?;
+        if self.store.needs_rewrite() {
             self.rewrite()?;
         }
         Ok(())
@@ -164,25 +165,24 @@
         groups.map(|g| g.status(self.boot, self.refused)).collect()
     }
 
-    /// The replica of a group.
     #[cfg(test)]
     pub(crate) fn replica(&self, group: usize) -> &Replica {
         &self.groups[group].replica
     }
 
-    /// Latest run known of another store.
+    /// Boot counter and run last recorded of another store.
     #[cfg(test)]
-    pub(crate) fn sighting(&self, store: u64) -> Option<(u64, u64)> {
-        self.sightings.known().get(&store).copied()
+    pub(crate) fn known_run(&self, store: u64) -> Option<(u64, u64)> {
+        self.known_runs.known().get(&store).copied()
     }
 
     /// Boot counter and run of this store.
     #[cfg(test)]
-    pub(crate) fn life(&self) -> (u64, u64) {
+    pub(crate) fn run_id(&self) -> (u64, u64) {
         (self.boot, self.config.run)
     }
 
-    fn take(
+    fn handle(
         &mut self,
         now: Time,
         input: Input,
@@ -193,33 +193,33 @@
             Input::Propose {
                 group,
                 command,
-                mut answer,
+                mut responder,
             } => {
                 let Some(at) = self.position(group) else {
                     return Ok(());
                 };
-                answer.else_tell(ProposeError::Unknown);
-                let ticket = self.wait(at, Pending::Propose(answer));
+                responder.set_fallback(ProposeError::Unknown);
+                let ticket = self.add_pending(at, Pending::Propose(responder));
                 self.groups[at].proposals.push((ticket, command));
                 Ok(())
             }
-            Input::Read { group, answer } => {
+            Input::Read { group, responder } => {
                 let Some(at) = self.position(group) else {
                     return Ok(());
                 };
-                let ticket = self.wait(at, Pending::Read(answer));
+                let ticket = self.add_pending(at, Pending::Read(responder));
                 self.step(at, now, Event::Read(ticket), send)
             }
             Input::Change {
                 group,
                 change,
-                mut answer,
+                mut responder,
             } => {
                 let Some(at) = self.position(group) else {
                     return Ok(());
                 };
-                answer.else_tell(ChangeError::Unknown);
-                let ticket = self.wait(at, Pending::Change(answer));
+                responder.set_fallback(ChangeError::Unknown);
+                let ticket = self.add_pending(at, Pending::Change(responder));
                 self.step(at, now, Event::Change(ticket, change), send)
             }
             Input::Transfer => {
@@ -236,18 +236,18 @@
         (at < self.groups.len()).then_some(at)
     }
 
-    fn wait(&mut self, at: usize, pending: Pending) -> u64 {
+    fn add_pending(&mut self, at: usize, pending: Pending) -> u64 {
         self.ticket += 1;
-        self.groups[at].wait(self.ticket, pending);
+        self.groups[at].add_pending(self.ticket, pending);
         self.ticket
     }
 
-    /// Syncs until nothing is left to sync.
-    fn settle(&mut self, now: Time, send: &mut dyn FnMut(Message)) -> Result<(), StoreError> {
+    /// Syncs until no writes are pending.
+    fn sync_all(&mut self, now: Time, send: &mut dyn FnMut(Message)) -> Result<(), StoreError> {
         loop {
             self.compact(now, send)?;
             let idle = self.groups.iter().all(|g| g.written.is_none());
-            if idle && self.held.is_empty() {
+            if idle && self.deferred.is_empty() {
                 return Ok(());
             }
             self.store.sync()?;
@@ -256,18 +256,18 @@
                     self.step(at, now, Event::Persisted(seq), send)?;
                 }
             }
-            for message in std::mem::take(&mut self.held) {
+            for message in std::mem::take(&mut self.deferred) {
                 let at = message.group as usize;
                 self.step(at, now, Event::Message(message), send)?;
             }
         }
     }
 
-    /// Takes snapshots of machines that have applied enough.
+    /// Takes snapshots of state machines that are due.
     fn compact(&mut self, now: Time, send: &mut dyn FnMut(Message)) -> Result<(), StoreError> {
         for at in 0..self.groups.len() {
             let group = &mut self.groups[at];
-            if group.wants_snapshot(self.config.snapshot_interval) {
+            if group.needs_snapshot(self.config.snapshot_interval) {
                 let index = group.replica.applied();
                 let data = group.snapshot();
                 self.step(at, now, Event::Compact { index, data }, send)?;
@@ -284,11 +284,11 @@
             .map(|m| m.store)
             .collect();
         let founding = members.contains(&0);
-        self.sightings
+        self.known_runs
             .retain(|store| founding || members.contains(&store));
         let images = self.groups.iter().map(|g| g.replica.durable_state());
         let images: BTreeMap<u32, DurableState> = (0..).zip(images).collect();
-        self.store.rewrite(&images, self.sightings.known())
+        self.store.rewrite(&images, self.known_runs.known())
     }
 
     pub(super) fn step(
@@ -304,7 +304,7 @@
         for effect in effects {
             match effect {
                 Effect::Send(mut message) => {
-                    complete(&mut message, &self.runs, &self.sightings);
+                    add_known_runs(&mut message, &self.runs, &self.known_runs);
                     send(message);
                 }
                 Effect::Persist(persist) => group.write(&persist, &mut self.store)?,
@@ -323,13 +323,13 @@
     }
 }
 
-/// Adds what this store knows of runs, its own and others'.
-fn complete(message: &mut Message, runs: &[u64], sightings: &Sightings) {
+/// Adds the recorded runs of this store or of others to a message.
+fn add_known_runs(message: &mut Message, runs: &[u64], known_runs: &KnownRuns) {
     let reader = message.to_store;
     match &mut message.body {
         Some(Body::Hello(hello)) => hello.runs = runs.to_vec(),
-        Some(Body::VoteAck(ack)) => ack.seen = sightings.seen(reader),
-        Some(Body::AppendAck(ack)) => ack.seen = sightings.seen(reader),
+        Some(Body::VoteAck(ack)) => ack.seen = known_runs.seen(reader),
+        Some(Body::AppendAck(ack)) => ack.seen = known_runs.seen(reader),
         _ => {}
     }
 }
--- a/src/voter/error.rs
+++ b/src/voter/error.rs
@@ -1,32 +1,32 @@
-//! Outcomes other than success, as a caller sees them.
+//! Errors that callers of a voter receive.
 
 use snafu::Snafu;
 
 use crate::id::InstanceId;
 use crate::replica::Cause;
 
-/// Why a proposal has no result.
+/// Reason why a proposal has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ProposeError {
-    /// Nothing was done: another instance leads.
+    /// Not started: another instance leads.
     #[snafu(display("this instance doesn't lead the group; send the change to the leader"))]
     NotLeader {
         /// The leader, if known.
         hint: Option<InstanceId>,
     },
-    /// Nothing was done: too much waits already.
+    /// Not started: the queue is full.
     #[snafu(display("too many changes wait; try again later"))]
     Busy,
     /// It may or may not take effect.
     #[snafu(display("the outcome is unknown; send the same change again"))]
     Unknown,
-    /// Nothing was done: the voter has stopped.
+    /// Not started: the voter has stopped.
     #[snafu(display("this instance has stopped; send the change to another one"))]
     Stopped,
 }
 
-/// Why a read can't be linearizable now.
+/// Reason why a linearizable read failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ReadError {
@@ -36,7 +36,7 @@
         /// The leader, if known.
         hint: Option<InstanceId>,
     },
-    /// Too much waits already.
+    /// The queue is full.
     #[snafu(display("too many requests wait; try again later"))]
     Busy,
     /// The voter has stopped.
@@ -44,26 +44,26 @@
     Stopped,
 }
 
-/// Why a membership change didn't take place.
+/// Reason why a membership change failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ChangeError {
-    /// Nothing was done: another instance leads.
+    /// Not started: another instance leads.
     #[snafu(display("this instance doesn't lead the group; send the change to the leader"))]
     NotLeader {
         /// The leader, if known.
         hint: Option<InstanceId>,
     },
-    /// Nothing was done: another change runs, or too much waits.
+    /// Not started: another change is in progress, or the queue is full.
     #[snafu(display("another change runs; try again later"))]
     Busy,
-    /// Nothing was done: the members that answer would be no quorum.
+    /// Not started: the members that answer would form no quorum.
     #[snafu(display("the members that answer would be no quorum; bring others back first"))]
     Unsafe,
     /// It may or may not take effect.
     #[snafu(display("the outcome is unknown; look at the members, then try again"))]
     Unknown,
-    /// Nothing was done: the voter has stopped.
+    /// Not started: the voter has stopped.
     #[snafu(display("this instance has stopped; send the change to another one"))]
     Stopped,
 }
--- a/src/voter/group.rs
+++ b/src/voter/group.rs
@@ -1,19 +1,19 @@
-//! One group on this store: its replica, its machine, and who waits.
+//! One group on this store: its replica, state machine and pending requests.
 
 use bytes::Bytes;
 
-use super::answer::Answer;
+use super::responder::Responder;
 use super::{ChangeError, GroupStatus, ProposeError, ReadError, StateMachine};
 use crate::collections::HashMap;
 use crate::id::InstanceId;
 use crate::replica::{Cause, Entry, Kind, Persist, Replica};
 use crate::store::{Store, StoreError};
 
-/// A request that waits for its outcome.
+/// A request without an outcome yet.
 pub(super) enum Pending {
-    Propose(Answer<Vec<u8>, ProposeError>),
-    Read(Answer<u64, ReadError>),
-    Change(Answer<(), ChangeError>),
+    Propose(Responder<Vec<u8>, ProposeError>),
+    Read(Responder<u64, ReadError>),
+    Change(Responder<(), ChangeError>),
 }
 
 pub(super) struct Group {
@@ -24,13 +24,13 @@
     pending: HashMap<u64, Pending>,
     /// Proposals of the current batch.
     pub(super) proposals: Vec<(u64, Bytes)>,
-    /// Number of the latest write that awaits a sync.
+    /// Number of the latest unsynced write.
     pub(super) written: Option<u64>,
-    /// Bytes of the entries applied since the snapshot, about.
-    grown: usize,
+    /// Approximate bytes of the entries applied since the snapshot.
+    applied_bytes: usize,
 }
 
-/// Bytes of an entry besides its command, about.
+/// Approximate bytes of an entry besides its command.
 const ENTRY_BYTES: usize = 32;
 
 impl Group {
@@ -42,11 +42,11 @@
             pending: HashMap::default(),
             proposals: Vec::new(),
             written: None,
-            grown: 0,
+            applied_bytes: 0,
         }
     }
 
-    pub(super) fn wait(&mut self, ticket: u64, pending: Pending) {
+    pub(super) fn add_pending(&mut self, ticket: u64, pending: Pending) {
         self.pending.insert(ticket, pending);
     }
 
@@ -56,46 +56,46 @@
     }
 
     pub(super) fn apply(&mut self, entry: &Entry, ticket: Option<u64>) {
-        self.grown += entry.data.len() + ENTRY_BYTES;
+        self.applied_bytes += entry.data.len() + ENTRY_BYTES;
         let reply = match entry.kind() {
             Kind::Command => self.machine.apply(entry.index, &entry.data),
             Kind::Noop | Kind::Members => Vec::new(),
         };
         let pending = ticket.and_then(|t| self.pending.remove(&t));
         match pending {
-            Some(Pending::Propose(answer)) => answer.send(Ok(reply)),
-            Some(Pending::Change(answer)) => answer.send(Ok(())),
+            Some(Pending::Propose(responder)) => responder.send(Ok(reply)),
+            Some(Pending::Change(responder)) => responder.send(Ok(())),
             Some(Pending::Read(_)) => unreachable!("reads have no entry"),
             None => {}
         }
     }
 
-    /// Whether a snapshot is due: after `count` entries, and not before the
-    /// entries weigh as much as the snapshot. A big state with small commands
-    /// would otherwise spend the disk on snapshots.
-    pub(super) fn wants_snapshot(&self, count: u64) -> bool {
+    /// Whether a snapshot is due: after `count` entries, and not before these are
+    /// as large as the last snapshot. Otherwise a large state with small commands
+    /// would use up the disk's throughput for snapshots.
+    pub(super) fn needs_snapshot(&self, count: u64) -> bool {
         let snapshot = self.replica.log().snapshot();
         let applied = self.replica.applied();
-        applied >= snapshot.index + count && self.grown >= snapshot.data.len()
+        applied >= snapshot.index + count && self.applied_bytes >= snapshot.data.len()
     }
 
-    /// The machine's state, to be kept as snapshot.
+    /// Takes a snapshot of the state machine.
     pub(super) fn snapshot(&mut self) -> Bytes {
-        self.grown = 0;
+        self.applied_bytes = 0;
         self.machine.snapshot().into()
     }
 
     pub(super) fn readable(&mut self, ticket: u64, index: u64) {
-        if let Some(Pending::Read(answer)) = self.pending.remove(&ticket) {
-            answer.send(Ok(index));
+        if let Some(Pending::Read(responder)) = self.pending.remove(&ticket) {
+            responder.send(Ok(index));
         }
     }
 
     pub(super) fn fail(&mut self, ticket: u64, cause: Cause) {
         match self.pending.remove(&ticket) {
-            Some(Pending::Propose(answer)) => answer.send(Err(cause.into())),
-            Some(Pending::Read(answer)) => answer.send(Err(cause.into())),
-            Some(Pending::Change(answer)) => answer.send(Err(cause.into())),
+            Some(Pending::Propose(responder)) => responder.send(Err(cause.into())),
+            Some(Pending::Read(responder)) => responder.send(Err(cause.into())),
+            Some(Pending::Change(responder)) => responder.send(Err(cause.into())),
             None => {}
         }
     }
--- a/src/voter/inbound.rs
+++ b/src/voter/inbound.rs
@@ -1,9 +1,9 @@
-//! Messages from other stores, judged before they reach a replica.
+//! Checks messages from other stores by their run before they reach a replica.
 
 use snafu::ensure;
 
 use super::core::Core;
-use super::sighting::Verdict;
+use super::known_runs::RunStatus;
 use crate::clock::Time;
 use crate::replica::{Body, Event, Hello, HelloRequest, Member, Message, Peer, Superseded};
 use crate::store::{StoreError, SupersededSnafu};
@@ -28,46 +28,50 @@
                 return Ok(());
             }
             Some(Body::HelloRequest(_)) => {
-                send(self.answer(&message, self.hello()));
+                send(self.reply(&message, self.hello()));
                 return Ok(());
             }
             _ => {}
         }
-        if !self.sight(&message, send) {
+        if !self.check_run(&message, send) {
             return Ok(());
         }
-        // A vote or acknowledgement counts only once we'd remember its run.
-        if self.held.iter().any(|h| h.from_store == message.from_store) {
-            self.held.push(message);
+        // A vote or acknowledgement counts only once its run is recorded durably.
+        if self
+            .deferred
+            .iter()
+            .any(|h| h.from_store == message.from_store)
+        {
+            self.deferred.push(message);
             return Ok(());
         }
         self.step(at, now, Event::Message(message), send)
     }
 
-    /// Whether a message may be handled now, by the run that sent it.
-    fn sight(&mut self, message: &Message, send: &mut dyn FnMut(Message)) -> bool {
-        match self.sightings.judge(message) {
-            Verdict::Current => return true,
-            Verdict::Later if !self.is_member(message.sender()) => return true,
-            Verdict::Later => {
-                self.sightings.insert(message);
+    /// Whether a message may be handled now, judged by the run that sent it.
+    fn check_run(&mut self, message: &Message, send: &mut dyn FnMut(Message)) -> bool {
+        match self.known_runs.classify(message) {
+            RunStatus::Current => return true,
+            RunStatus::Later if !self.is_member(message.sender()) => return true,
+            RunStatus::Later => {
+                self.known_runs.insert(message);
                 let (store, boot, run) = (message.from_store, message.boot, message.run);
-                self.store.write_sighting(store, boot, run);
-                self.held.push(message.clone());
+                self.store.write_known_run(store, boot, run);
+                self.deferred.push(message.clone());
             }
-            Verdict::Unproven => send(self.answer(message, Body::HelloRequest(HelloRequest {}))),
-            Verdict::Superseded => {
+            RunStatus::Unproven => send(self.reply(message, Body::HelloRequest(HelloRequest {}))),
+            RunStatus::Superseded => {
                 self.refused += 1;
                 let (boot, run) = (message.boot, message.run);
                 let body = Body::Superseded(Superseded { boot, run });
-                send(self.answer(message, body));
+                send(self.reply(message, body));
             }
         }
         false
     }
 
-    /// A message back to the run that sent `message`.
-    fn answer(&self, message: &Message, body: Body) -> Message {
+    /// Builds a reply to the run that sent `message`.
+    fn reply(&self, message: &Message, body: Body) -> Message {
         Message {
             group: message.group,
             from: self.me.id,
@@ -86,7 +90,8 @@
         Body::Hello(Hello { runs })
     }
 
-    /// Whether `peer` is a member of any group. Bounds what is remembered.
+    /// Whether `peer` is a member of any group. Only their runs are recorded, which
+    /// bounds the records.
     fn is_member(&self, peer: Peer) -> bool {
         self.groups.iter().any(|g| {
             let members = &g.replica.log().members().1.members;
--- a/src/voter/sighting.rs
+++ b/src/voter/known_runs.rs
@@ -1,58 +1,58 @@
-//! Recognises a data folder that was put back from an old copy.
+//! Detects a data directory that was restored from an old copy.
 //!
 //! Each start of a store is a run with a random number, and the store keeps
-//! the numbers of its runs. A peer durably remembers the latest run that it
-//! saw of each other member, and takes a later one only if that run knows the
-//! remembered one. An old copy doesn't: it has forgotten what the store
-//! promised since. A boot counter alone isn't enough, since a copy that starts
-//! often enough overtakes the counter.
+//! the numbers of its runs. A peer durably records the latest run that it saw of
+//! each other member, and accepts a later one only if that run lists the recorded
+//! one. An old copy doesn't, and lacks the votes and acknowledgements given since.
+//! A boot counter alone isn't enough, since a copy that starts often enough
+//! overtakes it.
 //!
-//! A copy of the latest run itself looks the same to all peers: what such a store
-//! has forgotten it asks them after its start, see [`crate::replica`].
+//! Peers can't tell a copy of the latest run itself. Such a store queries them
+//! after its start for the state that it lacks, see [`crate::replica`].
 
 use std::collections::BTreeMap;
 
 use crate::replica::{Body, Message, SeenRun};
 
-/// What to do with a message, judged by the run that sent it.
+/// Relation of a message's run to the latest recorded run of its store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
-    /// The latest known run.
+pub(super) enum RunStatus {
+    /// The latest recorded run.
     Current,
-    /// A later run: remember it durably before the message counts.
+    /// A later run, to be recorded durably before the message is handled.
     Later,
-    /// A run that may be later: ask for its greeting.
+    /// A run that may be later, to be asked for a hello.
     Unproven,
     /// An earlier run, or one of an old copy.
     Superseded,
 }
 
-/// Latest run seen of each other member.
+/// Latest runs of other members.
 #[derive(Debug, Default)]
-pub(super) struct Sightings {
-    /// Boot counter and run by store. Durable but for those just added.
+pub(super) struct KnownRuns {
+    /// Boot counter and run by store. Durable after the next sync.
     known: BTreeMap<u64, (u64, u64)>,
 }
 
-impl Sightings {
+impl KnownRuns {
     pub(super) fn new(known: BTreeMap<u64, (u64, u64)>) -> Self {
         Self { known }
     }
 
-    pub(super) fn judge(&self, message: &Message) -> Verdict {
+    pub(super) fn classify(&self, message: &Message) -> RunStatus {
         let Some(&(boot, run)) = self.known.get(&message.from_store) else {
-            return Verdict::Later;
+            return RunStatus::Later;
         };
         if (message.boot, message.run) == (boot, run) {
-            return Verdict::Current;
+            return RunStatus::Current;
         }
         if message.boot <= boot {
-            return Verdict::Superseded;
+            return RunStatus::Superseded;
         }
         match &message.body {
-            Some(Body::Hello(hello)) if hello.runs.contains(&run) => Verdict::Later,
-            Some(Body::Hello(_)) => Verdict::Superseded,
-            _ => Verdict::Unproven,
+            Some(Body::Hello(hello)) if hello.runs.contains(&run) => RunStatus::Later,
+            Some(Body::Hello(_)) => RunStatus::Superseded,
+            _ => RunStatus::Unproven,
         }
     }
 
@@ -61,12 +61,12 @@
         self.known.insert(message.from_store, seen);
     }
 
-    /// Forgets all stores but those that `keep` names.
+    /// Drops the stores for which `keep` is false.
     pub(super) fn retain(&mut self, keep: impl Fn(u64) -> bool) {
         self.known.retain(|&store, _| keep(store));
     }
 
-    /// The latest runs of all stores but that of `reader`, who knows better.
+    /// Latest runs of all stores except `reader`, the receiver's own.
     pub(super) fn seen(&self, reader: u64) -> Vec<SeenRun> {
         let others = self.known.iter().filter(|(store, _)| **store != reader);
         let seen = others.map(|(&store, &(boot, _))| SeenRun { store, boot });
--- a/src/voter/watch.rs
+++ b/src/voter/watch.rs
@@ -1,11 +1,11 @@
-//! Log lines and metrics of what a voter's groups do.
+//! Log events and metrics of a voter's groups.
 
 use super::GroupStatus;
 use crate::clock::millis;
 use crate::event;
 use crate::replica::{Member, RejoinReport, Role};
 
-/// Compares two states of all groups and reports what changed.
+/// Logs the differences between two states of all groups.
 pub(super) fn report(before: &[GroupStatus], after: &[GroupStatus]) {
     for (old, new) in before.iter().zip(after) {
         report_leadership(old, new);
@@ -16,14 +16,14 @@
 fn report_leadership(old: &GroupStatus, new: &GroupStatus) {
     let (group, term) = (new.group, new.term);
     if new.leads && (!old.leads || old.term != term) {
-        tracing::info!(event = event::LEADS.id, group, term, "this voter leads");
+        tracing::info!(event = event::LEADS.id, group, term, "became leader");
     }
     if old.leads && !new.leads {
         tracing::info!(
             event = event::LEADS_NO_MORE.id,
             group,
             term,
-            "this voter leads no more"
+            "lost leadership"
         );
     }
 }
@@ -36,7 +36,7 @@
             group,
             id,
             store,
-            "a store is no member"
+            "a store outside of the membership asks to join"
         );
     }
     let barred = |m: &&Member| m.role() == Role::Barred && !old.members.contains(m);
@@ -47,12 +47,12 @@
             group,
             id,
             store,
-            "a store lost entries"
+            "a store lost acknowledged entries and is barred from voting"
         );
     }
 }
 
-/// Reports how a store's questions after a restart ended.
+/// Logs the result of a store's peer query after a restart.
 pub(super) fn report_rejoin(group: u32, report: &RejoinReport) {
     let RejoinReport {
         answers,
@@ -71,7 +71,7 @@
             waited_ms,
             ?end,
             ?floor,
-            "other voters told what this store may have forgotten"
+            "other voters confirmed this store's state after its restart"
         );
     } else {
         tracing::warn!(
@@ -82,7 +82,7 @@
             waited_ms,
             ?end,
             ?floor,
-            "too few voters answer; this store trusts its folder"
+            "too few voters answered; continuing with the local state"
         );
     }
 }
