--- a/src/confirm.rs
+++ b/src/confirm.rs
@@ -1,8 +1,8 @@
-//! Confirmations by a quorum, many at a time.
+//! Batches linearizable reads of the replicated log.
 //!
-//! Each read of the replicated log costs the leader a round to all voters. At
-//! 360 instances that ask twice a second, one round for each question was most
-//! of a voter's traffic; now all questions of one window share a round.
+//! Each read costs the leader a round trip to all voters. With 360 instances
+//! polling twice a second, one round per poll was most of a voter's traffic. So
+//! all requests of one window share a round.
 
 use std::time::Duration;
 
@@ -12,44 +12,45 @@
 
 use crate::voter::Voter;
 
-/// Time for which questions are gathered. It only delays their answers; a
-/// lease counts from the sending of its question.
+/// Time for which requests are collected. It only delays their answers: a lease
+/// counts from the sending time of its request.
 const WINDOW: Duration = Duration::from_millis(50);
 
-/// Questions that may wait; more are dropped and asked again.
-const QUEUE: usize = 4096;
+/// Maximum number of waiting requests. Further ones are dropped, and retried by
+/// their senders.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// Told whether a quorum confirmed the leader after the question came.
+/// Receives whether a quorum confirmed the leader after the request arrived.
 type Done = Box<dyn FnOnce(bool) + Send>;
 
-/// Confirms questions about one group of the replicated log.
+/// Confirms requests to one group of the replicated log.
 #[derive(Clone)]
 pub(crate) struct ReadBatcher(mpsc::Sender<Done>);
 
 impl ReadBatcher {
-    /// Starts to confirm by reads of `voter`'s `group`, on `runtime`.
+    /// Starts a task on `runtime` that confirms by reads of `voter`'s `group`.
     pub(crate) fn start(voter: Voter, group: u32, runtime: &Handle) -> Self {
-        let (sender, receiver) = mpsc::channel(QUEUE);
+        let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
         runtime.spawn(run(voter, group, receiver));
         Self(sender)
     }
 
-    /// Calls `done` once a quorum has confirmed, or failed to confirm, that all
-    /// that is committed now is applied here. A full queue drops it.
+    /// Calls `done` with whether a quorum confirmed that everything committed now
+    /// is applied here. Drops `done` when the queue is full.
     pub(crate) fn confirm(&self, done: Done) {
         let _ = self.0.try_send(done);
     }
 }
 
-async fn run(voter: Voter, group: u32, mut questions: mpsc::Receiver<Done>) {
-    while let Some(first) = questions.recv().await {
+async fn run(voter: Voter, group: u32, mut requests: mpsc::Receiver<Done>) {
+    while let Some(first) = requests.recv().await {
         sleep(WINDOW).await;
         let mut batch = vec![first];
-        while let Ok(done) = questions.try_recv() {
+        while let Ok(done) = requests.try_recv() {
             batch.push(done);
         }
-        // The read begins after every question of the batch has come, so it
-        // confirms what was committed at each of their arrivals.
+        // The read begins after all requests of the batch have arrived, so it
+        // covers everything committed at each arrival.
         let (reply, answer) = oneshot::channel();
         let read = move |read: Result<u64, _>| {
             let _ = reply.send(read.is_ok());
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -1,11 +1,11 @@
-//! How an instance keeps its catalogue current and knows when it may not.
+//! Keeps an instance's catalogue and its lease current.
 //!
-//! Each instance, voter or not, asks a voter once a period for what it misses.
-//! A voter answers only after a quorum has confirmed its leader after the
-//! request arrived, so the reply holds everything accepted before the request
-//! was sent. From that moment the catalogue may be acted on for one lease.
-//! Both ends of the lease are read from this instance's own clock: the
-//! distance between the clocks of two machines plays no part.
+//! Each instance, voter or not, periodically polls a voter for the commands that
+//! it lacks. A voter answers only after a quorum has confirmed its leader after
+//! the request arrived, so the reply contains everything accepted before the
+//! request was sent. The lease on the catalogue counts from that sending time.
+//! Both its ends are read from this instance's clock, so clock offsets between
+//! hosts don't matter.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,30 +16,30 @@
 use crate::lease::LeasedCatalogue;
 use crate::message::FeedReply;
 
-/// Asks `voter` for everything behind index `have`.
+/// A poll for all commands after index `applied`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Ask {
-    /// Whom to ask.
+pub(crate) struct Poll {
+    /// Voter to poll.
     pub voter: InstanceId,
     /// Index of the last command applied here.
-    pub have: u64,
-    /// When the question is sent; the lease counts from here.
+    pub applied: u64,
+    /// Sending time, from which the lease counts.
     pub sent: Time,
 }
 
-/// Follows the catalogue: a state machine without I/O.
+/// Applies the catalogue's commands and extends its lease. Does no I/O.
 pub(crate) struct CatalogueFollower {
     book: Book,
     voters: Vec<InstanceId>,
-    /// Position in `voters` of the one asked next.
+    /// Position in `voters` of the one polled next.
     next: usize,
     lease: Duration,
     shared: Arc<LeasedCatalogue>,
 }
 
 impl CatalogueFollower {
-    /// Starts with an empty catalogue. `voters` must not be empty; the first
-    /// is asked first, the others only after a failure.
+    /// Starts with an empty catalogue. `voters` must not be empty. The first is
+    /// polled first, the others only after failures.
     pub(crate) fn new(
         voters: Vec<InstanceId>,
         lease: Duration,
@@ -55,24 +55,24 @@
         }
     }
 
-    /// The question to send at `now`.
-    pub(crate) fn ask(&self, now: Time) -> Ask {
-        Ask {
+    /// Returns the poll to send at `now`.
+    pub(crate) fn poll(&self, now: Time) -> Poll {
+        Poll {
             voter: self.voters[self.next],
-            have: self.book.index(),
+            applied: self.book.index(),
             sent: now,
         }
     }
 
-    /// Takes the answer to `ask`.
-    pub(crate) fn answered(&mut self, ask: Ask, feed: &FeedReply) {
+    /// Handles the reply to a poll.
+    pub(crate) fn on_reply(&mut self, poll: Poll, feed: &FeedReply) {
         let before = self.book.catalogue_revision();
         if !feed.snapshot.is_empty() && !self.restore(&feed.snapshot) {
-            return self.failed(ask);
+            return self.on_failure(poll);
         }
         for command in &feed.commands {
-            // A late answer repeats what a later one has brought already.
-            // Applied again, it would count twice or revert a change.
+            // A late reply repeats commands of a newer one. Applied again, they
+            // would count twice or revert a change.
             if command.index > self.book.index() {
                 self.book.apply(command.index, &command.command);
             }
@@ -80,23 +80,23 @@
         if self.book.catalogue_revision() != before {
             self.shared.publish(self.book.catalogue());
         }
-        self.shared.extend(ask.sent + self.lease);
+        self.shared.extend(poll.sent + self.lease);
     }
 
-    /// Takes note that `ask` got no answer: another voter is asked next.
-    pub(crate) fn failed(&mut self, ask: Ask) {
-        if self.voters[self.next] == ask.voter {
+    /// Handles a poll without a reply: the next one goes to another voter.
+    pub(crate) fn on_failure(&mut self, poll: Poll) {
+        if self.voters[self.next] == poll.voter {
             self.next = (self.next + 1) % self.voters.len();
         }
     }
 
-    /// Recent changes, newest last.
+    /// Returns the last changes, at most `most`, newest last.
     pub(crate) fn history(&self, most: usize) -> Vec<Past> {
         self.book.history(most)
     }
 
-    /// Learns who votes now.
-    pub(crate) fn learn(&mut self, voters: &[InstanceId]) {
+    /// Replaces the voters to poll. An empty list is ignored.
+    pub(crate) fn set_voters(&mut self, voters: &[InstanceId]) {
         if self.voters == voters || voters.is_empty() {
             return;
         }
@@ -104,8 +104,8 @@
         self.next = 0;
     }
 
-    /// Whether the snapshot could be read. An older one than what stands here
-    /// is passed over: installed, it would revert accepted changes.
+    /// Installs a snapshot, and returns whether it could be decoded. One older than
+    /// the current state is skipped, since it would revert accepted changes.
     fn restore(&mut self, snapshot: &[u8]) -> bool {
         let Some(book) = Book::from_snapshot(snapshot) else {
             return false;
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,5 +1,5 @@
-//! The catalogue in force on this instance, and the lease under which it may
-//! be acted on. See [`crate::follow`] for how the lease is extended.
+//! The catalogue on this instance and the lease for its use. See
+//! [`crate::follow`] for how the lease is extended.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,78 +11,78 @@
 use crate::clock::Time;
 use crate::event;
 
-/// The catalogue under its lease, shared with the request path.
+/// The catalogue with its lease, shared with the request path.
 pub(crate) struct LeasedCatalogue {
     catalogue: ArcSwap<Catalogue>,
-    /// End of the lease on this instance's clock, in microseconds. Only grows.
-    until: AtomicU64,
-    /// Whether the last look found the lease held; only for the log.
-    held: AtomicBool,
+    /// Expiry of the lease on this instance's clock, in microseconds. Only grows.
+    expires: AtomicU64,
+    /// Whether the lease was held at the last check. Only used for logging.
+    last_held: AtomicBool,
 }
 
-/// The lease on the catalogue has run out: a change may have been accepted
-/// that this instance doesn't know of.
+/// The catalogue lease has expired: an accepted change may not have reached this
+/// instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LeaseLost;
 
 impl LeasedCatalogue {
-    /// No catalogue and no lease.
+    /// Starts with an empty catalogue and without a lease.
     pub(crate) fn new() -> Self {
         Self {
             catalogue: ArcSwap::from_pointee(Catalogue::default()),
-            until: AtomicU64::new(0),
-            held: AtomicBool::new(false),
+            expires: AtomicU64::new(0),
+            last_held: AtomicBool::new(false),
         }
     }
 
-    /// The catalogue, if it may be acted on at `now`.
+    /// Returns the catalogue if the lease is held at `now`.
     pub(crate) fn get(&self, now: Time) -> Result<Arc<Catalogue>, LeaseLost> {
-        // Read in this order: a lease read after the catalogue could belong
-        // to a newer one than the catalogue that is returned.
-        let held = now.0 < self.until.load(Ordering::Acquire);
-        self.note(held);
+        // The lease is read first: read after the catalogue, it could belong to a
+        // newer catalogue than the one returned.
+        let held = now.0 < self.expires.load(Ordering::Acquire);
+        self.log_change(held);
         if held {
             return Ok(self.catalogue.load_full());
         }
         Err(LeaseLost)
     }
 
-    /// The catalogue as last applied, whether or not it may be acted on.
+    /// Returns the latest catalogue, with or without a lease.
     pub(crate) fn latest(&self) -> Arc<Catalogue> {
         self.catalogue.load_full()
     }
 
     /// Time left on the lease.
     pub(crate) fn remaining(&self, now: Time) -> Duration {
-        Time(self.until.load(Ordering::Acquire)).since(now)
+        Time(self.expires.load(Ordering::Acquire)).since(now)
     }
 
-    /// Puts a newer catalogue in force; the lease must be extended after it.
+    /// Replaces the catalogue. The lease must be extended only afterwards.
     pub(crate) fn publish(&self, catalogue: Catalogue) {
         let revision = catalogue.revision;
         tracing::info!(
             event = event::CATALOGUE_APPLIED.id,
             revision,
-            "catalogue in force"
+            "applied a new catalogue"
         );
         self.catalogue.store(Arc::new(catalogue));
     }
 
-    /// Extends the lease; it never gets shorter.
+    /// Extends the lease. Never shortens it.
     pub(crate) fn extend(&self, until: Time) {
-        self.until.fetch_max(until.0, Ordering::AcqRel);
+        self.expires.fetch_max(until.0, Ordering::AcqRel);
     }
 
-    fn note(&self, held: bool) {
-        if self.held.swap(held, Ordering::Relaxed) == held {
+    fn log_change(&self, held: bool) {
+        if self.last_held.swap(held, Ordering::Relaxed) == held {
             return;
         }
         if held {
-            tracing::info!(event = event::LEASE_HELD.id, "catalogue lease held");
+            tracing::info!(event = event::LEASE_HELD.id, "catalogue lease acquired");
         } else {
             tracing::warn!(
                 event = event::LEASE_LOST.id,
-                "catalogue lease lost: no voter confirms it; new work is refused"
+                "catalogue lease expired without confirmation by a voter; refusing new requests"
             );
         }
     }
--- a/src/poll.rs
+++ b/src/poll.rs
@@ -1,4 +1,4 @@
-//! Runs a [`CatalogueFollower`]: polls the voters for the catalogue.
+//! Drives a [`CatalogueFollower`]: polls the voters for the catalogue.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -11,21 +11,21 @@
 use crate::message::{Answer, Ask, Follow, Request};
 use crate::node::Node;
 
-/// Longest pause before another voter is asked after a failure.
-const RETRY: Duration = Duration::from_millis(50);
+/// Longest delay before another voter is polled after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Pollers the catalogue on demand and once a period.
+/// Polls the catalogue periodically and on demand.
 #[derive(Clone)]
 pub(crate) struct Poller {
     follower: Arc<Mutex<CatalogueFollower>>,
     node: Node,
     clock: Arc<dyn Clock>,
-    /// Time for one voter to answer.
+    /// Timeout of one poll.
     limit: Duration,
 }
 
 impl Poller {
-    /// `limit` is the time that one voter has to answer.
+    /// `limit` is the timeout of one poll.
     pub(crate) fn new(
         follower: CatalogueFollower,
         node: Node,
@@ -40,47 +40,53 @@
         }
     }
 
-    /// Recent changes, newest last.
+    /// Returns the last changes, at most `most`, newest last.
     pub(crate) fn history(&self, most: usize) -> Vec<Past> {
         self.lock().history(most)
     }
 
-    /// Pollers the catalogue within `limit`; false when no voter could.
+    /// Polls until a voter has replied or `limit` has passed. Returns whether one
+    /// has replied.
     pub(crate) async fn refresh(&self, limit: Duration) -> bool {
         let end = Instant::now() + limit;
         loop {
-            match timeout_at(end, self.once()).await {
+            match timeout_at(end, self.poll_once()).await {
                 Ok(true) => return true,
-                Ok(false) if Instant::now() + RETRY < end => sleep(RETRY).await,
+                Ok(false) if Instant::now() + RETRY_DELAY < end => sleep(RETRY_DELAY).await,
                 _ => return false,
             }
         }
     }
 
-    /// Polls for as long as the runtime lives.
+    /// Polls periodically until the runtime shuts down.
     pub(crate) async fn run(self, period: Duration) {
         loop {
-            let confirmed = self.once().await;
-            sleep(if confirmed { period } else { RETRY.min(period) }).await;
+            let confirmed = self.poll_once().await;
+            sleep(if confirmed {
+                period
+            } else {
+                RETRY_DELAY.min(period)
+            })
+            .await;
         }
     }
 
-    async fn once(&self) -> bool {
-        let ask = self.lock().ask(self.clock.now());
+    async fn poll_once(&self) -> bool {
+        let poll = self.lock().poll(self.clock.now());
         let request = Request {
-            ask: Some(Ask::Follow(Follow { have: ask.have })),
+            ask: Some(Ask::Follow(Follow { have: poll.applied })),
         };
-        let reply = self.node.call(ask.voter, request, self.limit).await;
+        let reply = self.node.call(poll.voter, request, self.limit).await;
         let mut follower = self.lock();
         match reply.map(|r| r.answer) {
             Ok(Some(Answer::Feed(feed))) => {
-                follower.answered(ask, &feed);
+                follower.on_reply(poll, &feed);
                 self.node.learn_voters(&feed.voters);
-                follower.learn(&self.node.voters());
+                follower.set_voters(&self.node.voters());
                 true
             }
             _ => {
-                follower.failed(ask);
+                follower.on_failure(poll);
                 false
             }
         }
--- a/src/tests/follow.rs
+++ b/src/tests/follow.rs
@@ -12,7 +12,7 @@
     Organisation, Outcome, Pool, Route, Shared, Target, digest,
 };
 use crate::clock::Time;
-use crate::follow::{Ask, CatalogueFollower};
+use crate::follow::{CatalogueFollower, Poll};
 use crate::id::InstanceId;
 use crate::lease::LeasedCatalogue;
 use crate::message::FeedReply;
@@ -84,7 +84,7 @@
 /// An answer on its way to the follower, due at a global time.
 struct Flight {
     due: u64,
-    ask: Ask,
+    poll: Poll,
     feed: FeedReply,
 }
 
@@ -144,7 +144,7 @@
         };
         match self.rng.random_range(0..10) {
             0 => self.accept(),
-            1..=4 => self.ask(),
+            1..=4 => self.poll(),
             5 => self.catch_up(),
             _ => self.deliver(),
         }
@@ -174,13 +174,13 @@
 
     /// The follower asks; the voter confirms what is committed now and
     /// answers later, or the answer is lost.
-    fn ask(&mut self) {
-        let ask = self.follower.ask(self.local());
+    fn poll(&mut self) {
+        let poll = self.follower.poll(self.local());
         let travel = self.rng.random_range(100..3_000_000);
         if self.rng.random_ratio(1, 5) {
-            return self.follower.failed(ask);
+            return self.follower.on_failure(poll);
         }
-        let voter = usize::try_from(ask.voter.0).unwrap() - 1;
+        let voter = usize::try_from(poll.voter.0).unwrap() - 1;
         let committed = self.log.len();
         let replica = &mut self.replicas[voter];
         replica.apply(&self.log, committed);
@@ -188,8 +188,8 @@
         for copy in 0..copies {
             self.flights.push(Flight {
                 due: self.now + travel * (copy + 1),
-                ask,
-                feed: replica.feed(ask.have),
+                poll,
+                feed: replica.feed(poll.applied),
             });
         }
     }
@@ -214,7 +214,7 @@
         }
         let at = due[self.rng.random_range(0..due.len())];
         let flight = self.flights.swap_remove(at);
-        self.follower.answered(flight.ask, &flight.feed);
+        self.follower.on_reply(flight.poll, &flight.feed);
     }
 
     /// What must hold whenever the request path looks.
@@ -264,10 +264,10 @@
             world.judge.shared.catalogue().records,
             {
                 world.flights.clear();
-                let ask = world.follower.ask(world.local());
+                let poll = world.follower.poll(world.local());
                 world.replicas[0].apply(&world.log, world.log.len());
-                let feed = world.replicas[0].feed(ask.have);
-                world.follower.answered(ask, &feed);
+                let feed = world.replicas[0].feed(poll.applied);
+                world.follower.on_reply(poll, &feed);
                 world.force.latest().records.clone()
             },
             "seed {seed}: the follower ends with another catalogue"
