--- a/src/tests/follow.rs
+++ b/src/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Random runs of [`crate::follow`] and of the catalogue's machine behind it.
+//! Random runs of [`crate::follow`] with the catalogue's state machine.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 
 const LEASE: Duration = Duration::from_secs(4);
 
-/// Runs in CI, unless `LQ_RUNS` asks for more.
+/// Number of runs, unless `LQ_RUNS` sets another one.
 const RUNS: u64 = 60;
 
 /// Steps of one run.
@@ -51,7 +51,7 @@
     serde_json::from_slice(reply).unwrap()
 }
 
-/// One voter that has applied the log up to some index.
+/// One voter that has applied the log up to index `applied`.
 struct Replica {
     machine: CatalogueMachine,
     shared: Arc<Shared>,
@@ -81,8 +81,8 @@
     }
 }
 
-/// An answer on its way to the follower, due at a global time.
-struct Flight {
+/// A reply in flight to the follower, due at a global time.
+struct InFlight {
     due: u64,
     poll: Poll,
     feed: FeedReply,
@@ -93,39 +93,39 @@
     rng: ChaCha8Rng,
     /// Global time in microseconds.
     now: u64,
-    /// The follower's clock runs at this many parts in a thousand.
+    /// Speed of the follower's clock in thousandths.
     rate: u64,
     offset: u64,
     log: Vec<Vec<u8>>,
     /// Global time at which the change of each revision was accepted.
     accepted: BTreeMap<u64, u64>,
-    /// What the machine decides, once and for all.
-    judge: Replica,
+    /// Reference replica that decides the outcome of each change.
+    reference: Replica,
     replicas: Vec<Replica>,
     follower: CatalogueFollower,
-    force: Arc<LeasedCatalogue>,
-    flights: Vec<Flight>,
+    leased: Arc<LeasedCatalogue>,
+    in_flight: Vec<InFlight>,
     seen: u64,
 }
 
 impl World {
     fn new(seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let force = Arc::new(LeasedCatalogue::new());
+        let leased = Arc::new(LeasedCatalogue::new());
         let voters = vec![InstanceId(1), InstanceId(2), InstanceId(3)];
         Self {
             seed,
             rate: rng.random_range(990..=1010),
             offset: rng.random_range(0..1 << 40),
-            follower: CatalogueFollower::new(voters, LEASE, Arc::clone(&force)),
+            follower: CatalogueFollower::new(voters, LEASE, Arc::clone(&leased)),
             rng,
             now: 0,
             log: Vec::new(),
             accepted: BTreeMap::new(),
-            judge: Replica::new(),
+            reference: Replica::new(),
             replicas: (0..3).map(|_| Replica::new()).collect(),
-            force,
-            flights: Vec::new(),
+            leased,
+            in_flight: Vec::new(),
             seen: 0,
         }
     }
@@ -135,9 +135,9 @@
     }
 
     fn step(&mut self) {
-        // Most steps are short; some are a freeze of the follower.
-        let freeze = self.rng.random_ratio(1, 200);
-        self.now += if freeze {
+        // Most steps are short; some are a pause of the follower.
+        let pause = self.rng.random_ratio(1, 200);
+        self.now += if pause {
             self.rng.random_range(1_000_000..20_000_000)
         } else {
             self.rng.random_range(1_000..200_000)
@@ -145,13 +145,13 @@
         match self.rng.random_range(0..10) {
             0 => self.accept(),
             1..=4 => self.poll(),
-            5 => self.catch_up(),
+            5 => self.restart_voter(),
             _ => self.deliver(),
         }
         self.check();
     }
 
-    /// An operator's change is committed: the judge tells its outcome.
+    /// Commits an operator's change. The reference replica decides its outcome.
     fn accept(&mut self) {
         let number = self.rng.random_range(0..40);
         let id = format!("c{}", self.rng.random_range(0..self.log.len() + 2));
@@ -164,16 +164,16 @@
             pool(&format!("p{number}"))
         };
         self.log.push(change(&id, Expect::Any, vec![operation]));
-        let before = self.judge.shared.catalogue().revision;
-        self.judge.apply(&self.log, self.log.len());
-        let after = self.judge.shared.catalogue().revision;
+        let before = self.reference.shared.catalogue().revision;
+        self.reference.apply(&self.log, self.log.len());
+        let after = self.reference.shared.catalogue().revision;
         if after != before {
             self.accepted.insert(after, self.now);
         }
     }
 
-    /// The follower asks; the voter confirms what is committed now and
-    /// answers later, or the answer is lost.
+    /// Sends a poll. The voter confirms everything committed now and replies
+    /// later, or the reply is lost.
     fn poll(&mut self) {
         let poll = self.follower.poll(self.local());
         let travel = self.rng.random_range(100..3_000_000);
@@ -186,7 +186,7 @@
         replica.apply(&self.log, committed);
         let copies = if self.rng.random_ratio(1, 10) { 2 } else { 1 };
         for copy in 0..copies {
-            self.flights.push(Flight {
+            self.in_flight.push(InFlight {
                 due: self.now + travel * (copy + 1),
                 poll,
                 feed: replica.feed(poll.applied),
@@ -194,8 +194,8 @@
         }
     }
 
-    /// A voter restarts from its snapshot: it has no recent commands.
-    fn catch_up(&mut self) {
+    /// Restarts a voter from its snapshot, without recent commands.
+    fn restart_voter(&mut self) {
         let voter = self.rng.random_range(0..3);
         let mut fresh = Replica::new();
         fresh.applied = self.replicas[voter].applied;
@@ -206,50 +206,50 @@
     }
 
     fn deliver(&mut self) {
-        let due: Vec<usize> = (0..self.flights.len())
-            .filter(|at| self.flights[*at].due <= self.now)
+        let due: Vec<usize> = (0..self.in_flight.len())
+            .filter(|at| self.in_flight[*at].due <= self.now)
             .collect();
         if due.is_empty() {
             return;
         }
         let at = due[self.rng.random_range(0..due.len())];
-        let flight = self.flights.swap_remove(at);
+        let flight = self.in_flight.swap_remove(at);
         self.follower.on_reply(flight.poll, &flight.feed);
     }
 
-    /// What must hold whenever the request path looks.
+    /// Checks the invariants at a read of the request path.
     fn check(&mut self) {
-        let last = self.force.latest().revision;
+        let last = self.leased.latest().revision;
         assert!(
             last >= self.seen,
             "revision went from {} to {last}",
             self.seen
         );
         self.seen = last;
-        let Ok(catalogue) = self.force.get(self.local()) else {
+        let Ok(catalogue) = self.leased.get(self.local()) else {
             return;
         };
         let seed = self.seed;
-        // A clock that runs 1% slow stretches the lease by as much.
+        // A clock that runs 1% slow extends the lease by as much.
         let lease = 4_000_000 * 1000 / self.rate + 1;
-        let must = self
+        let required = self
             .accepted
             .iter()
             .rev()
             .find(|(_, at)| **at + lease < self.now)
             .map_or(0, |(revision, _)| *revision);
         assert!(
-            catalogue.revision >= must,
-            "seed {seed}: revision {} acted on, {must} was accepted a lease ago",
+            catalogue.revision >= required,
+            "seed {seed}: revision {} used, {required} was accepted a lease ago",
             catalogue.revision
         );
     }
 }
 
-/// An operator's change is accepted while an instance is frozen, cut off, or
-/// hears late and doubled answers. Once the lease has passed, the instance
-/// must act on the change or on nothing, and never go back to an older one; a
-/// caller would else be served by rights that were taken away.
+/// An operator's change is accepted while an instance is paused or partitioned, or
+/// receives late and duplicate replies. Once the lease has expired, the instance
+/// must use the change or refuse requests, and never return to an older revision:
+/// a caller could use revoked rights.
 #[test]
 fn follow_random_faults() {
     for seed in 0..runs() {
@@ -257,26 +257,26 @@
         let mut held = 0;
         for _ in 0..STEPS {
             world.step();
-            held += usize::from(world.force.get(world.local()).is_ok());
+            held += usize::from(world.leased.get(world.local()).is_ok());
         }
         assert!(held > STEPS / 10, "seed {seed}: the lease was hardly held");
         assert_eq!(
-            world.judge.shared.catalogue().records,
+            world.reference.shared.catalogue().records,
             {
-                world.flights.clear();
+                world.in_flight.clear();
                 let poll = world.follower.poll(world.local());
                 world.replicas[0].apply(&world.log, world.log.len());
                 let feed = world.replicas[0].feed(poll.applied);
                 world.follower.on_reply(poll, &feed);
-                world.force.latest().records.clone()
+                world.leased.latest().records.clone()
             },
             "seed {seed}: the follower ends with another catalogue"
         );
     }
 }
 
-/// Two operators change the same entry with equal expected revisions. Exactly
-/// one wins; the other learns the revision that is in force.
+/// Two operators change the same entry with the same expected revision. One must
+/// succeed, and the other must receive the current revision.
 #[test]
 fn apply_racing_operators() {
     let (mut machine, _) = CatalogueMachine::new();
@@ -295,9 +295,8 @@
     assert_eq!(second, conflict);
 }
 
-/// An operator's answer was lost, and the change is sent again, after other
-/// changes and a restart from a snapshot. It gets the first outcome and isn't
-/// carried out a second time.
+/// A change whose answer was lost is resent, after other changes and a restart
+/// from a snapshot. It must get the first outcome and not be applied twice.
 #[test]
 fn apply_resend() {
     let (mut machine, shared) = CatalogueMachine::new();
@@ -315,8 +314,8 @@
     assert_eq!(shared.catalogue().revision, view.catalogue().revision);
 }
 
-/// The same change id with other content must not pass for a resend: the
-/// operator would believe that a change is in force which isn't.
+/// A reused change id with other content must not be taken for a resend: the
+/// operator would believe that the new change was applied.
 #[test]
 fn apply_reused_id() {
     let (mut machine, shared) = CatalogueMachine::new();
@@ -350,8 +349,8 @@
     }))
 }
 
-/// Two organisations with one key: whose request it is would be a matter of
-/// chance, and one would reach the other's capacity.
+/// With a key shared by two organisations, a request could be attributed to
+/// either, and one could use the other's capacity.
 #[test]
 fn apply_shared_key() {
     let (mut machine, _) = CatalogueMachine::new();
--- a/src/tests/replica.rs
+++ b/src/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Tests of [`crate::replica`], one replica at a time.
+//! Tests of [`crate::replica`] with a single replica.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Replica 1 of three, with entries of the terms given.
+/// Replica 1 of three, with entries of the given terms.
 struct Bench {
     replica: Replica,
     now: Time,
@@ -34,11 +34,11 @@
 
 impl Bench {
     fn new(terms: &[u64]) -> Self {
-        Self::booted(1, terms)
+        Self::with_boot(1, terms)
     }
 
-    /// Replica 1 in its run number `boot`.
-    fn booted(boot: u64, terms: &[u64]) -> Self {
+    /// Replica 1 with the boot counter `boot`.
+    fn with_boot(boot: u64, terms: &[u64]) -> Self {
         let members = (1..=3).map(|id| Member::voter(peer(id))).collect();
         let start = DurableState {
             hard: HardState {
@@ -100,7 +100,7 @@
     }
 
     /// Wins an election with the vote of replica 2. Returns the term.
-    fn lead(&mut self) -> u64 {
+    fn elect(&mut self) -> u64 {
         self.now = self.now + 3 * ELECTION;
         self.step(Event::Tick);
         let term = self.replica.term() + 1;
@@ -150,7 +150,7 @@
     })
 }
 
-/// Terms of the acknowledgements among the effects that attest a match.
+/// Terms of the matching acknowledgements among the effects.
 fn acks(effects: &[Effect]) -> Vec<u64> {
     let acks = effects.iter().filter_map(|e| match e {
         Effect::Send(Message {
@@ -172,9 +172,9 @@
 
 #[test]
 fn append_overwritten_before_sync() {
-    // A follower takes an entry of term 5. Before the sync, the leader of term
-    // 6 overwrites it. Were the first one still acknowledged, the leader of
-    // term 5 could count a copy that never was durable, and commit it.
+    // A follower appends an entry of term 5. Before the sync, the leader of term
+    // 6 overwrites it. If the first entry were still acknowledged, the leader of
+    // term 5 could commit it on a copy that was never durable.
     let mut bench = Bench::new(&[1]);
     bench.append(2, 5, (1, 1), &[entry(2, 5)]);
     let effects = bench.append(3, 6, (1, 1), &[entry(2, 6)]);
@@ -196,10 +196,10 @@
 #[test]
 fn commit_older_term() {
     // An entry of term 2 reaches a majority only under the leader of term 3.
-    // A leader that lacks it could still win and overwrite it, so it must not
-    // be reported as accepted before an entry of term 3 is on a majority.
+    // A candidate that lacks it could still win and overwrite it, so it must not
+    // be committed before an entry of term 3 is on a majority.
     let mut bench = Bench::new(&[1, 2]);
-    let term = bench.lead();
+    let term = bench.elect();
     bench.ack(2, term, 2);
     assert_eq!(bench.replica.commit(), 0);
     bench.ack(2, term, 3);
@@ -210,8 +210,8 @@
 
 #[test]
 fn vote_once_a_term() {
-    // Two candidates of one term ask. The second one must be refused, also
-    // when it asks before the first vote is synced.
+    // Two candidates of one term request a vote. The second one must be refused,
+    // also if its request arrives before the first vote is synced.
     let mut bench = Bench::new(&[1]);
     let effects = bench.vote(2, 5);
     assert!(!granted(&effects), "granted before the sync");
@@ -223,8 +223,8 @@
 
 #[test]
 fn vote_saved() {
-    // The vote for a term that was seen before is the only change, and must
-    // be written all the same: forgotten in a crash, it could be given twice.
+    // The vote is the only change in a term that was seen before, and must still
+    // be written: lost in a crash, it could be granted twice.
     let mut bench = Bench::new(&[1]);
     let ack = AppendAck::default();
     bench.receive(2, 5, Body::AppendAck(ack));
@@ -238,8 +238,8 @@
 
 #[test]
 fn commit_unmatched_tail() {
-    // A follower holds entries of an old leader past those that the new one
-    // has confirmed. The commit index must not cover them.
+    // A follower holds entries of an old leader after those that the new one has
+    // matched. The commit index must not cover them.
     let mut bench = Bench::new(&[1, 1, 1]);
     let append = Append {
         prev_index: 1,
@@ -263,10 +263,10 @@
 
 #[test]
 fn read_before_own_commit() {
-    // A new leader may not know yet what the last one committed. A read that
-    // it answers at once could miss an accepted change.
+    // A new leader may not know the last commit index yet. A read that it
+    // answered at once could miss an accepted change.
     let mut bench = Bench::new(&[1, 1]);
-    let term = bench.lead();
+    let term = bench.elect();
     let readable = |e: &Effect| matches!(e, Effect::Readable { .. });
     assert!(!bench.step(Event::Read(1)).iter().any(readable));
     bench.step(Event::Persisted(2));
@@ -294,9 +294,9 @@
 #[test]
 fn change_before_own_commit() {
     // A new leader may hold a membership that was never committed. A change on
-    // top of it could lead to two memberships whose quorums don't meet.
+    // top of it could lead to two memberships whose quorums don't intersect.
     let mut bench = Bench::new(&[1, 1]);
-    let term = bench.lead();
+    let term = bench.elect();
     assert_eq!(changed(&mut bench, 4), Some(Cause::Busy));
     bench.step(Event::Persisted(2));
     bench.ack(2, term, 3);
@@ -305,10 +305,10 @@
 
 #[test]
 fn change_during_change() {
-    // Two operators add a store each. The second change must wait until the
-    // first is committed: their quorums need not meet.
+    // Two operators add a store each. The second change must wait until the first
+    // is committed, since their quorums need not intersect.
     let mut bench = Bench::new(&[1, 1]);
-    let term = bench.lead();
+    let term = bench.elect();
     bench.step(Event::Persisted(2));
     bench.ack(2, term, 3);
     assert_eq!(changed(&mut bench, 4), None);
@@ -320,10 +320,10 @@
 
 #[test]
 fn append_older_term() {
-    // A leader was cut off, another one was elected, and a late message of
-    // the first arrives. It must not overwrite what the second has sent. The
-    // refusal tells the true end of the log: its receiver may lead the next
-    // term when it arrives, and would bar a store that seems to have lost all.
+    // A leader was partitioned, another one was elected, and a late message of
+    // the first arrives. It must not overwrite entries of the second. The refusal
+    // must carry the actual end of the log: its receiver may lead the next term
+    // when it arrives, and would bar a store that seems to have lost entries.
     let mut bench = Bench::new(&[1]);
     let effects = bench.append(3, 6, (1, 1), &[entry(2, 6)]);
     let refusal = bench.append(2, 5, (1, 1), &[entry(2, 5)]);
@@ -340,30 +340,30 @@
 
 #[test]
 fn hello_reaches_leader() {
-    // A machine loses its disk. Its new store knows the seeds only, and the
-    // leader is none of them. Unless a seed passes the greeting on, the store
-    // never votes again, and the next two losses stop the group for good.
+    // A host loses its disk. Its new store knows only the contacts, and the leader
+    // is none of them. Unless a contact forwards the hello, the store never votes
+    // again, and the next two failures cost the quorum.
     let mut bench = Bench::new(&[1]);
     bench.append(2, 1, (1, 1), &[]);
     let effects = bench.receive(9, 0, Body::Hello(Hello::default()));
-    let told = effects.iter().find_map(|e| match e {
+    let forwarded = effects.iter().find_map(|e| match e {
         Effect::Send(m) if m.to == 2 => m.body.clone(),
         _ => None,
     });
-    let introduce = ForwardHello {
+    let hello = ForwardHello {
         peer: Some(peer(9)),
     };
-    assert_eq!(told, Some(Body::ForwardHello(introduce)));
+    assert_eq!(forwarded, Some(Body::ForwardHello(hello)));
 }
 
 #[test]
-fn introduce_makes_stranger() {
+fn forward_hello_lists_non_member() {
     let mut bench = Bench::new(&[1]);
-    bench.lead();
-    let introduce = ForwardHello {
+    bench.elect();
+    let hello = ForwardHello {
         peer: Some(peer(9)),
     };
-    bench.receive(2, 0, Body::ForwardHello(introduce));
+    bench.receive(2, 0, Body::ForwardHello(hello));
     assert!(bench.replica.non_members().any(|p| p == peer(9)));
 }
 
@@ -377,17 +377,17 @@
 
 #[test]
 fn campaign_soon_after_start() {
-    // All voters are killed at once and start again. Nobody leads, and each
-    // waited a whole election timeout and more before it said so: callers were
-    // kept waiting for as long again as the restart itself took.
+    // All voters are killed at once and restart without a leader. When each waited
+    // at least a whole election timeout for its first campaign, callers waited
+    // twice as long as the restart itself took.
     let mut bench = Bench::new(&[1]);
     bench.now = bench.now + ELECTION * 2 / 3;
     let effects = bench.step(Event::Tick);
     assert!(asks(&effects, true));
-    // Nobody else was up yet. It asks again as soon.
+    // No other voter was up. The next pre-vote follows as soon.
     bench.now = bench.now + ELECTION * 2 / 3;
     assert!(asks(&bench.step(Event::Tick), true));
-    // The vote itself has the whole timeout: it waits for disks.
+    // The vote itself gets the whole timeout, since it waits for disks.
     let term = bench.replica.term() + 1;
     let ack = VoteAck {
         pre: true,
@@ -404,8 +404,8 @@
 
 #[test]
 fn campaign_after_silence() {
-    // A leader that was heard gets the whole timeout: a slow sync keeps it
-    // silent for a while, and each needless election stops all changes.
+    // A leader with earlier contact gets the whole timeout: a slow sync may delay
+    // its heartbeats, and each needless election interrupts all changes.
     let mut bench = Bench::new(&[1]);
     bench.append(2, 1, (1, 1), &[]);
     bench.now = bench.now + ELECTION - Duration::from_millis(1);
@@ -414,8 +414,8 @@
     assert!(asks(&bench.step(Event::Tick), true));
 }
 
-/// The answer of another member to a store that asks after a restart.
-fn standing(term: u64, end: (u64, u64)) -> Body {
+/// Answer of another member to the hello of a restarted store.
+fn hello_ack(term: u64, end: (u64, u64)) -> Body {
     let members = (1..=3).map(|id| Member::voter(peer(id))).collect();
     Body::HelloAck(HelloAck {
         run: 1,
@@ -428,27 +428,27 @@
     })
 }
 
-/// Guards against votes and acknowledgements of a restarted store that doesn't
-/// know yet what it has forgotten.
+/// Guards against votes and acknowledgements of a restarted store that may still
+/// lack state.
 #[test]
 fn rejoin_takes_no_part() {
-    let mut bench = Bench::booted(2, &[1]);
+    let mut bench = Bench::with_boot(2, &[1]);
     let mut effects = bench.vote(2, 5);
     effects.extend(bench.append(2, 5, (1, 1), &[entry(2, 5)]));
-    effects.extend(bench.receive(2, 5, standing(5, (1, 1))));
+    effects.extend(bench.receive(2, 5, hello_ack(5, (1, 1))));
     effects.extend(bench.vote(2, 5));
     assert!(!granted(&effects) && acks(&effects).is_empty());
     bench.now = bench.now + ELECTION;
     assert!(!asks(&bench.step(Event::Tick), true));
 }
 
-/// Guards against a second vote in a term: a copy of the folder has forgotten
-/// the first one.
+/// Guards against a second vote in a term by a store on a copy of its directory
+/// that lacks the first one.
 #[test]
 fn rejoin_forgotten_vote() {
-    let mut bench = Bench::booted(2, &[1]);
-    bench.receive(2, 0, standing(5, (1, 1)));
-    let effects = bench.receive(3, 0, standing(4, (1, 1)));
+    let mut bench = Bench::with_boot(2, &[1]);
+    bench.receive(2, 0, hello_ack(5, (1, 1)));
+    let effects = bench.receive(3, 0, hello_ack(4, (1, 1)));
     bench.step(Event::Persisted(written(&effects).unwrap()));
     assert_eq!(bench.replica.term(), 5);
     let refused = bench.vote(3, 5);
@@ -460,12 +460,12 @@
 }
 
 /// Guards against a vote for a log that lacks entries which this store may have
-/// acknowledged and forgotten.
+/// acknowledged and lost.
 #[test]
 fn rejoin_forgotten_entry() {
-    let mut bench = Bench::booted(2, &[1]);
-    bench.receive(2, 0, standing(5, (5, 3)));
-    let effects = bench.receive(3, 0, standing(5, (1, 1)));
+    let mut bench = Bench::with_boot(2, &[1]);
+    bench.receive(2, 0, hello_ack(5, (5, 3)));
+    let effects = bench.receive(3, 0, hello_ack(5, (1, 1)));
     bench.step(Event::Persisted(written(&effects).unwrap()));
     bench.now = bench.now + 2 * ELECTION;
     assert!(
@@ -487,11 +487,11 @@
     assert!(granted(&effects));
 }
 
-/// Guards against a group that stops for good: too few others answer, and as
-/// many are away as the group tolerates.
+/// Guards against a group that never recovers: too few others answer, since as
+/// many are unreachable as the group tolerates.
 #[test]
 fn rejoin_unanswered() {
-    let mut bench = Bench::booted(2, &[1]);
+    let mut bench = Bench::with_boot(2, &[1]);
     let mut asked = false;
     for _ in 0..60 {
         bench.now = bench.now + ELECTION / 10;
@@ -503,12 +503,12 @@
     assert!(asked);
 }
 
-/// Guards against a commit that counts an acknowledgement which the later run
-/// of its store may have forgotten.
+/// Guards against a commit that counts an acknowledgement which a later run of
+/// its store may lack.
 #[test]
 fn ack_of_earlier_run() {
     let mut bench = Bench::new(&[1]);
-    let term = bench.lead();
+    let term = bench.elect();
     bench.step(Event::Persisted(2));
     let ack = |index, seen| {
         Body::AppendAck(AppendAck {
@@ -527,8 +527,8 @@
     assert_eq!(bench.replica.commit(), 2);
 }
 
-/// Guards against an election that counts a vote which the later run of its
-/// store may have forgotten.
+/// Guards against an election that counts a vote which a later run of its store
+/// may lack.
 #[test]
 fn vote_of_earlier_run() {
     let mut bench = Bench::new(&[1]);
@@ -544,8 +544,8 @@
     assert!(!bench.replica.is_leader());
 }
 
-/// Guards against a panic of the process: a committed entry that differs from
-/// the leader's is an error that names the remedy.
+/// Guards against a panic: a committed entry that differs from the leader's is an
+/// error with a remedy.
 #[test]
 fn append_other_than_committed() {
     let mut bench = Bench::new(&[1]);
@@ -563,12 +563,12 @@
     assert!(acks(&effects).is_empty());
 }
 
-/// Guards against a copy that is never barred nor brought up to date: its log is
-/// as long as what was acknowledged, with entries of an earlier term.
+/// Guards against a store on a copy that is neither barred nor brought up to date:
+/// its log reaches the acknowledged index, with entries of an earlier term.
 #[test]
 fn ack_of_copy_other_entries() {
     let mut bench = Bench::new(&[1, 1]);
-    let term = bench.lead();
+    let term = bench.elect();
     bench.step(Event::Persisted(2));
     bench.ack(2, term, 3);
     bench.ack(3, term, 3);
@@ -594,12 +594,12 @@
     assert_eq!(members.role(peer(3)), Some(Role::Barred));
 }
 
-/// Guards against callers who wait after a power failure of all: a voter whose
-/// disk was lost says so, and need not be waited for.
+/// Guards against a delay after a power failure of all voters: one whose disk was
+/// lost answers as an empty store, and need not be waited for.
 #[test]
 fn rejoin_beside_lost_disk() {
-    let mut bench = Bench::booted(2, &[1]);
-    bench.receive(2, 0, standing(1, (1, 1)));
+    let mut bench = Bench::with_boot(2, &[1]);
+    bench.receive(2, 0, hello_ack(1, (1, 1)));
     assert_eq!(bench.replica.confirmed(), None);
     let blank = HelloAck {
         run: 1,
--- a/src/tests/simulation/ledger.rs
+++ b/src/tests/simulation/checker.rs
@@ -1,31 +1,32 @@
-//! What must hold over all stores of a run, and a machine that checks it.
+//! Checker of the invariants over all stores, and a state machine that reports to
+//! it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use crate::StateMachine;
 
-/// What callers were told and what any store applied.
+/// The outcomes that callers received and the commands that stores applied.
 #[derive(Default)]
-pub(in crate::tests) struct Ledger {
+pub(in crate::tests) struct Checker {
     /// Command by group and index, the same on every store.
     history: BTreeMap<(u32, u64), u64>,
     /// Commands acknowledged, in order, with their group.
-    acked: Vec<(u32, u64)>,
-    /// Commands reported as not done.
+    acknowledged: Vec<(u32, u64)>,
+    /// Commands reported as not started.
     refused: BTreeSet<u64>,
-    /// Reads confirmed.
+    /// Number of confirmed reads.
     pub(in crate::tests) reads: usize,
 }
 
-impl Ledger {
-    pub(in crate::tests) fn acked(&self) -> usize {
-        self.acked.len()
+impl Checker {
+    pub(in crate::tests) fn acknowledged(&self) -> usize {
+        self.acknowledged.len()
     }
 
-    /// Commands acknowledged and reads confirmed.
+    /// Number of acknowledged commands and confirmed reads.
     pub(in crate::tests) fn done(&self) -> usize {
-        self.acked.len() + self.reads
+        self.acknowledged.len() + self.reads
     }
 
     /// Highest index of a command that any store has applied.
@@ -42,7 +43,7 @@
     }
 
     pub(in crate::tests) fn acknowledge(&mut self, group: u32, command: u64) {
-        self.acked.push((group, command));
+        self.acknowledged.push((group, command));
     }
 
     pub(in crate::tests) fn refuse(&mut self, command: u64) {
@@ -52,48 +53,48 @@
     }
 }
 
-/// The ledger, shared by all parts of a run.
+/// The checker, shared by all parts of a simulation.
 #[derive(Clone, Default)]
-pub(in crate::tests) struct Shared(Arc<Mutex<Ledger>>);
+pub(in crate::tests) struct SharedChecker(Arc<Mutex<Checker>>);
 
-impl Shared {
-    pub(in crate::tests) fn lock(&self) -> MutexGuard<'_, Ledger> {
+impl SharedChecker {
+    pub(in crate::tests) fn lock(&self) -> MutexGuard<'_, Checker> {
         self.0.lock().unwrap()
     }
 }
 
-/// A machine that lists its commands with their indexes.
+/// A state machine that records its commands by index.
 #[derive(Clone)]
-pub(in crate::tests) struct Tape {
+pub(in crate::tests) struct RecordingMachine {
     group: u32,
-    ledger: Shared,
+    checker: SharedChecker,
     lines: Arc<Mutex<BTreeMap<u64, u64>>>,
 }
 
-impl Tape {
-    pub(in crate::tests) fn new(group: u32, ledger: &Shared) -> Self {
+impl RecordingMachine {
+    pub(in crate::tests) fn new(group: u32, checker: &SharedChecker) -> Self {
         Self {
             group,
-            ledger: ledger.clone(),
+            checker: checker.clone(),
             lines: Arc::default(),
         }
     }
 
-    /// Asserts that the first `count` acknowledged commands are here.
+    /// Asserts that the first `count` acknowledged commands are applied here.
     pub(in crate::tests) fn check(&self, count: usize) {
         let lines = self.lines.lock().unwrap();
         let held: BTreeSet<u64> = lines.values().copied().collect();
-        for (group, command) in &self.ledger.lock().acked[..count] {
+        for (group, command) in &self.checker.lock().acknowledged[..count] {
             let here = *group != self.group || held.contains(command);
             assert!(here, "acknowledged command {command} is missing");
         }
     }
 }
 
-impl StateMachine for Tape {
+impl StateMachine for RecordingMachine {
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8> {
         let value = u64::from_le_bytes(command.try_into().unwrap());
-        self.ledger.lock().apply(self.group, index, value);
+        self.checker.lock().apply(self.group, index, value);
         self.lines.lock().unwrap().insert(index, value);
         Vec::new()
     }
@@ -109,7 +110,7 @@
         let pairs = snapshot.chunks(16);
         let lines: BTreeMap<u64, u64> = pairs.map(|p| (number(&p[..8]), number(&p[8..]))).collect();
         for (&index, &command) in &lines {
-            self.ledger.lock().apply(self.group, index, command);
+            self.checker.lock().apply(self.group, index, command);
         }
         *self.lines.lock().unwrap() = lines;
     }
--- a/src/tests/simulation/disk.rs
+++ b/src/tests/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that loses what wasn't synced, tears writes and fails on demand.
+//! Simulated disk that loses unsynced writes, tears writes and fails on demand.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,7 +9,7 @@
 
 use crate::disk::Disk;
 
-/// One file's content.
+/// Content of one file.
 #[derive(Clone, Default)]
 struct Inode {
     data: Vec<u8>,
@@ -23,10 +23,10 @@
     names: BTreeMap<String, usize>,
     durable: BTreeMap<String, usize>,
     /// Operations until the power fails.
-    fuse: Option<u32>,
-    /// Whether syncs fail without a power failure.
-    broken: bool,
-    /// Bytes that still fit.
+    ops_until_failure: Option<u32>,
+    /// Whether the next sync fails without a power failure.
+    fail_sync: bool,
+    /// Free space in bytes.
     space: Option<usize>,
     off: bool,
 }
@@ -40,25 +40,25 @@
         f(&mut self.0.lock().unwrap())
     }
 
-    /// Lets the power fail after some more operations.
-    pub(in crate::tests) fn light(&self, operations: u32) {
-        self.with(|s| s.fuse = Some(operations));
+    /// Makes the power fail after some more operations.
+    pub(in crate::tests) fn fail_power_after(&self, operations: u32) {
+        self.with(|s| s.ops_until_failure = Some(operations));
     }
 
     pub(in crate::tests) fn break_sync(&self) {
-        self.with(|s| s.broken = true);
+        self.with(|s| s.fail_sync = true);
     }
 
-    /// Takes back failures that are due.
-    pub(in crate::tests) fn mend(&self) {
-        self.with(|s| (s.fuse, s.broken) = (None, false));
+    /// Cancels pending failures.
+    pub(in crate::tests) fn clear_faults(&self) {
+        self.with(|s| (s.ops_until_failure, s.fail_sync) = (None, false));
     }
 
     pub(in crate::tests) fn limit(&self, space: usize) {
         self.with(|s| s.space = Some(space));
     }
 
-    /// The disk after the power failed now: unsynced bytes are gone, or torn.
+    /// The disk after a power failure now: unsynced bytes are lost or torn.
     pub(in crate::tests) fn after_crash(&self, rng: &mut ChaCha8Rng) -> Self {
         let mut state = self.with(|s| s.clone());
         let kept_names = rng.random_bool(0.5);
@@ -77,17 +77,22 @@
             }
             inode.synced = inode.data.len();
         }
-        (state.fuse, state.broken, state.space, state.off) = (None, false, None, false);
+        (
+            state.ops_until_failure,
+            state.fail_sync,
+            state.space,
+            state.off,
+        ) = (None, false, None, false);
         Self(Arc::new(Mutex::new(state)))
     }
 
-    /// A copy of the files as they are.
+    /// A copy of the disk as it is.
     pub(in crate::tests) fn copy(&self) -> Self {
         Self(Arc::new(Mutex::new(self.with(|s| s.clone()))))
     }
 
     /// Flips one bit of the file whose name starts with `prefix`.
-    pub(in crate::tests) fn flip(&self, prefix: &str, at: usize) {
+    pub(in crate::tests) fn flip_bit(&self, prefix: &str, at: usize) {
         self.with(|s| {
             let (_, &inode) = s.names.iter().find(|(n, _)| n.starts_with(prefix)).unwrap();
             s.inodes[inode].data[at] ^= 1;
@@ -95,7 +100,7 @@
     }
 
     /// Deletes the file whose name starts with `prefix`.
-    pub(in crate::tests) fn erase(&self, prefix: &str) {
+    pub(in crate::tests) fn remove_file(&self, prefix: &str) {
         self.with(|s| s.names.retain(|n, _| !n.starts_with(prefix)));
     }
 
@@ -108,13 +113,13 @@
     }
 
     /// Runs one operation unless the power has failed.
-    fn operate<T>(&self, f: impl FnOnce(&mut State) -> io::Result<T>) -> io::Result<T> {
+    fn run_operation<T>(&self, f: impl FnOnce(&mut State) -> io::Result<T>) -> io::Result<T> {
         self.with(|s| {
-            s.off |= s.fuse == Some(0);
+            s.off |= s.ops_until_failure == Some(0);
             if s.off {
                 return Err(io::Error::other("power is off"));
             }
-            s.fuse = s.fuse.map(|n| n - 1);
+            s.ops_until_failure = s.ops_until_failure.map(|n| n - 1);
             f(s)
         })
     }
@@ -137,7 +142,7 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        self.operate(|s| {
+        self.run_operation(|s| {
             s.inodes.push(Inode::default());
             s.names.insert(name.to_owned(), s.inodes.len() - 1);
             Ok(())
@@ -145,7 +150,7 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.operate(|s| {
+        self.run_operation(|s| {
             let space = s.space.unwrap_or(bytes.len());
             let fits = bytes.len().min(space);
             s.space = s.space.map(|n| n - fits);
@@ -158,8 +163,8 @@
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.operate(|s| {
-            if std::mem::take(&mut s.broken) {
+        self.run_operation(|s| {
+            if std::mem::take(&mut s.fail_sync) {
                 return Err(io::Error::other("sync failed"));
             }
             let inode = s.inode(name)?;
@@ -169,7 +174,7 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.operate(|s| {
+        self.run_operation(|s| {
             let inode = s.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
             s.names.insert(to.to_owned(), inode);
             Ok(())
@@ -177,14 +182,14 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.operate(|s| {
+        self.run_operation(|s| {
             s.names.remove(name);
             Ok(())
         })
     }
 
     fn sync_names(&mut self) -> io::Result<()> {
-        self.operate(|s| {
+        self.run_operation(|s| {
             s.durable = s.names.clone();
             Ok(())
         })
--- a/src/tests/simulation/mod.rs
+++ b/src/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Voters on simulated time, network and disks, all from one seed.
+//! Voters on simulated time, network and disks, determined by one seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,18 +7,18 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+use self::checker::{RecordingMachine, SharedChecker};
 use self::disk::SimDisk;
-use self::ledger::{Shared, Tape};
 use crate::clock::Time;
 use crate::voter::core::{Config, Core, Input};
 use crate::voter::responder::Responder;
 use crate::{Change, ChangeError, Message, Peer, ProposeError, ReadError, Role, StoreError};
 
-mod copies;
+pub(super) mod checker;
 pub(super) mod disk;
-pub(super) mod ledger;
+mod restored_copies;
 mod runs;
-mod stories;
+mod scenarios;
 
 /// Groups on each store.
 const GROUPS: u32 = 2;
@@ -31,46 +31,46 @@
     id: u64,
     disk: SimDisk,
     core: Option<Core>,
-    tapes: Vec<Tape>,
+    machines: Vec<RecordingMachine>,
     inbox: Vec<Message>,
     /// Id of its current store, zero for an empty disk.
     store: u64,
-    /// A copy of the disk at an earlier stop.
-    old: Option<SimDisk>,
-    /// Whether the disk is an old copy.
-    stale: bool,
-    /// Whether the disk is a copy of its latest run, or damaged.
-    copied: bool,
-    /// Whether it runs on such a disk and hasn't been told what that lacks.
-    behind: bool,
-    /// Run and disk of a copy that was taken while it ran.
-    recent: Option<((u64, u64), SimDisk)>,
-    /// Speed of its clock in parts of a thousand.
+    /// A copy of the disk from an earlier power failure.
+    old_copy: Option<SimDisk>,
+    /// Whether the disk is a copy from before the latest run.
+    on_old_copy: bool,
+    /// Whether the disk is a copy of the latest run, or damaged.
+    on_copy: bool,
+    /// Whether it runs on such a disk and still lacks state that was lost with it.
+    catching_up: bool,
+    /// Run and disk of a copy taken while the instance ran.
+    live_copy: Option<((u64, u64), SimDisk)>,
+    /// Speed of its clock in thousandths.
     rate: u64,
-    /// Until when it doesn't run.
-    frozen: u64,
-    /// When a stopped one starts again.
-    start: u64,
+    /// End of its pause.
+    paused_until: u64,
+    /// When it restarts after it was stopped.
+    restart_at: u64,
 }
 
-/// A run of several instances.
+/// A simulation of several instances.
 struct Sim {
     rng: ChaCha8Rng,
     now: u64,
     nodes: Vec<Node>,
-    /// Messages on their way by arrival.
-    wire: BTreeMap<(u64, u64), Message>,
+    /// Messages in flight by arrival time and number.
+    in_flight: BTreeMap<(u64, u64), Message>,
     sent: u64,
-    /// Pairs of instances whose messages are lost.
-    cut: BTreeSet<(u64, u64)>,
-    /// Percentage of messages lost, and of those duplicated or late.
-    noise: u32,
-    ledger: Shared,
+    /// Sender and receiver of the links that lose all messages.
+    blocked_links: BTreeSet<(u64, u64)>,
+    /// Percentage of messages lost, and of those duplicated or delayed.
+    loss_percent: u32,
+    checker: SharedChecker,
     /// Leader by group and term.
     leaders: BTreeMap<(u32, u64), Peer>,
     command: u64,
-    /// Disks lost or put back so far.
-    losses: u32,
+    /// Number of disks lost or restored from a copy so far.
+    disk_losses: u32,
 }
 
 impl Sim {
@@ -79,14 +79,14 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             nodes: Vec::new(),
-            wire: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
-            cut: BTreeSet::new(),
-            noise: 0,
-            ledger: Shared::default(),
+            blocked_links: BTreeSet::new(),
+            loss_percent: 0,
+            checker: SharedChecker::default(),
             leaders: BTreeMap::new(),
             command: 0,
-            losses: 0,
+            disk_losses: 0,
         };
         for id in 1..=size {
             let rate = sim.rng.random_range(950..=1050);
@@ -94,17 +94,17 @@
                 id,
                 disk: SimDisk::default(),
                 core: None,
-                tapes: Vec::new(),
+                machines: Vec::new(),
                 inbox: Vec::new(),
                 store: 0,
-                old: None,
-                stale: false,
-                copied: false,
-                behind: false,
-                recent: None,
+                old_copy: None,
+                on_old_copy: false,
+                on_copy: false,
+                catching_up: false,
+                live_copy: None,
                 rate,
-                frozen: 0,
-                start: 0,
+                paused_until: 0,
+                restart_at: 0,
             });
         }
         sim
@@ -130,34 +130,36 @@
             run: self.rng.random(),
             new_store: self.rng.random::<u64>().max(1),
         };
-        let tapes: Vec<Tape> = (0..GROUPS).map(|g| Tape::new(g, &self.ledger)).collect();
-        let machines = tapes.iter().map(|t| Box::new(t.clone()) as _).collect();
+        let machines: Vec<RecordingMachine> = (0..GROUPS)
+            .map(|g| RecordingMachine::new(g, &self.checker))
+            .collect();
+        let boxed = machines.iter().map(|m| Box::new(m.clone()) as _).collect();
         let node = &mut self.nodes[at];
-        let core = Core::open(config, Box::new(node.disk.clone()), machines, now);
+        let core = Core::open(config, Box::new(node.disk.clone()), boxed, now);
         match core {
             Ok(core) => {
                 let store = core.status()[0].me.store;
-                // An old copy from before the first sync is an empty disk.
-                node.stale &= store == node.store;
+                // A copy from before the first sync is an empty disk.
+                node.on_old_copy &= store == node.store;
                 node.store = store;
-                (node.core, node.tapes) = (Some(core), tapes);
+                (node.core, node.machines) = (Some(core), machines);
             }
             Err(e) => self.end(at, &e),
         }
     }
 
-    /// Ends an instance whose store failed. What it hadn't synced is lost.
+    /// Stops an instance whose store failed. Unsynced writes are lost.
     fn end(&mut self, at: usize, error: &StoreError) {
         if matches!(error, StoreError::Superseded) {
-            assert!(self.nodes[at].stale, "a current store was refused");
+            assert!(self.nodes[at].on_old_copy, "a current store was refused");
             return self.replace(at);
         }
-        // The damaged frame was the only one, or named the latest snapshot.
+        // The damaged frame was the only one, or referred to the latest snapshot.
         let refused = matches!(
             error,
             StoreError::Missing { .. } | StoreError::Damaged { .. }
         );
-        if refused && self.nodes[at].copied {
+        if refused && self.nodes[at].on_copy {
             return self.replace(at);
         }
         let cause = error.to_string();
@@ -166,14 +168,14 @@
         self.lose_power(at);
     }
 
-    /// Gives an instance an empty disk, as an operator does.
+    /// Replaces an instance's disk by an empty one, as an operator does.
     fn replace(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         node.core = None;
         node.inbox.clear();
         node.disk = SimDisk::default();
-        (node.store, node.old) = (0, None);
-        (node.stale, node.copied, node.behind) = (false, false, false);
+        (node.store, node.old_copy) = (0, None);
+        (node.on_old_copy, node.on_copy, node.catching_up) = (false, false, false);
     }
 
     fn lose_power(&mut self, at: usize) {
@@ -182,9 +184,9 @@
         node.inbox.clear();
         node.disk = node.disk.after_crash(&mut self.rng);
         if self.rng.random_bool(0.3) {
-            node.old = Some(node.disk.copy());
+            node.old_copy = Some(node.disk.copy());
         }
-        node.start = self.now + self.rng.random_range(0..SECOND);
+        node.restart_at = self.now + self.rng.random_range(0..SECOND);
     }
 
     fn run(&mut self, at: usize, inputs: Vec<Input>) {
@@ -205,34 +207,37 @@
     }
 
     fn send(&mut self, message: Message) {
-        if self.cut.contains(&(message.from, message.to)) || self.chance(self.noise) {
+        if self.blocked_links.contains(&(message.from, message.to))
+            || self.chance(self.loss_percent)
+        {
             return;
         }
-        if self.chance(self.noise) {
+        if self.chance(self.loss_percent) {
             self.enqueue(message.clone());
         }
         self.enqueue(message);
     }
 
     fn enqueue(&mut self, message: Message) {
-        let most = if self.chance(self.noise) {
+        let most = if self.chance(self.loss_percent) {
             3_000_000
         } else {
             5_000
         };
         let delay = self.rng.random_range(200..most);
         self.sent += 1;
-        self.wire.insert((self.now + delay, self.sent), message);
+        self.in_flight
+            .insert((self.now + delay, self.sent), message);
     }
 
     fn chance(&mut self, percent: u32) -> bool {
         self.rng.random_range(0..100) < percent
     }
 
-    /// Lets time pass up to the next tick.
+    /// Advances time to the next tick.
     fn tick(&mut self) {
         let end = self.now + TICK;
-        while let Some(first) = self.wire.first_entry()
+        while let Some(first) = self.in_flight.first_entry()
             && first.key().0 < end
         {
             self.now = self.now.max(first.key().0);
@@ -243,7 +248,7 @@
             };
             node.inbox.push(message);
             // Several messages may share a batch and its sync.
-            let idle = self.nodes[at].frozen <= self.now;
+            let idle = self.nodes[at].paused_until <= self.now;
             if idle && self.chance(70) {
                 self.run(at, Vec::new());
             }
@@ -251,36 +256,36 @@
         self.now = end;
         for at in 0..self.nodes.len() {
             let node = &self.nodes[at];
-            if node.frozen > self.now {
+            if node.paused_until > self.now {
                 continue;
             }
             match node.core {
                 Some(_) => self.run(at, Vec::new()),
-                None if node.start <= self.now => self.boot(at),
+                None if node.restart_at <= self.now => self.boot(at),
                 None => {}
             }
         }
     }
 
-    /// Lets time pass until `done` holds. Fails after a minute.
-    fn until(&mut self, what: &str, done: impl Fn(&Sim) -> bool) {
+    /// Advances time until `done` holds. Fails after a minute.
+    fn run_until(&mut self, what: &str, done: impl Fn(&Sim) -> bool) {
         let limit = self.now + 60 * SECOND;
         while !done(self) {
             self.tick();
-            self.operate();
+            self.run_operator();
             if self.now >= limit {
                 panic!("within a minute: {what}\n{}", self.describe());
             }
         }
     }
 
-    /// State of every instance, for a failed run.
+    /// Describes all instances, for a failed run.
     fn describe(&self) -> String {
         let nodes = self.nodes.iter().map(|n| {
             let status = n.core.as_ref().map(Core::status);
             format!(
                 "{} store {} stale {}: {status:#?}\n",
-                n.id, n.store, n.stale
+                n.id, n.store, n.on_old_copy
             )
         });
         nodes.collect()
@@ -290,11 +295,11 @@
     fn propose(&mut self, at: usize, group: u32) {
         self.command += 1;
         let command = self.command;
-        let ledger = self.ledger.clone();
+        let checker = self.checker.clone();
         let done = Box::new(move |outcome| match outcome {
-            Ok(_) => ledger.lock().acknowledge(group, command),
+            Ok(_) => checker.lock().acknowledge(group, command),
             Err(ProposeError::Unknown) => {}
-            Err(_) => ledger.lock().refuse(command),
+            Err(_) => checker.lock().refuse(command),
         });
         let command = Bytes::copy_from_slice(&command.to_le_bytes());
         self.run(
@@ -307,24 +312,25 @@
         );
     }
 
-    /// Reads from one instance; the result must hold all acknowledged so far.
+    /// Reads from one instance and checks that the result contains everything
+    /// acknowledged so far.
     fn read(&mut self, at: usize, group: u32) {
-        let Some(tape) = self.nodes[at].tapes.get(group as usize).cloned() else {
+        let Some(machine) = self.nodes[at].machines.get(group as usize).cloned() else {
             return;
         };
-        let ledger = self.ledger.clone();
-        let count = ledger.lock().acked();
+        let checker = self.checker.clone();
+        let count = checker.lock().acknowledged();
         let done = Box::new(move |outcome: Result<u64, _>| {
             if outcome.is_ok() {
-                ledger.lock().reads += 1;
-                tape.check(count);
+                checker.lock().reads += 1;
+                machine.check(count);
             }
         });
         let responder = Responder::new(done, ReadError::Stopped);
         self.run(at, vec![Input::Read { group, responder }]);
     }
 
-    /// The instance that leads a group, in the highest term if two believe so.
+    /// The leader of a group, that of the highest term if there are two.
     fn leader(&self, group: u32) -> Option<usize> {
         let term = |at: &usize| {
             let replica = self.nodes[*at].core.as_ref()?.replica(group as usize);
@@ -335,9 +341,9 @@
             .max_by_key(term)
     }
 
-    /// What an operator does: adds the new stores of replaced folders, and
-    /// replaces copied folders that were barred.
-    fn operate(&mut self) {
+    /// Acts as the operator: adds the new stores of replaced disks, and replaces
+    /// the disks of barred stores.
+    fn run_operator(&mut self) {
         for group in 0..GROUPS {
             let Some(at) = self.leader(group) else {
                 continue;
@@ -363,7 +369,7 @@
         for at in 0..self.nodes.len() {
             let node = &self.nodes[at];
             let (id, store) = (node.id, node.store);
-            if node.copied && barred.contains(&Peer { id, store }) {
+            if node.on_copy && barred.contains(&Peer { id, store }) {
                 self.replace(at);
             }
         }
@@ -385,26 +391,26 @@
         );
     }
 
-    /// Whether all instances run and are settled.
-    fn is_whole(&self) -> bool {
-        let up = |n: &Node| n.core.is_some() && n.frozen <= self.now;
+    /// Whether all instances run and the groups are settled.
+    fn is_healthy(&self) -> bool {
+        let up = |n: &Node| n.core.is_some() && n.paused_until <= self.now;
         self.nodes.iter().all(up) && self.is_settled()
     }
 
-    /// Whether each group is led and counts the current store of every
-    /// instance as voter, all of it committed.
+    /// Whether each group has a leader, everything is committed, and its members are
+    /// the current stores of all instances, as voters.
     fn is_settled(&self) -> bool {
-        let stale = self.nodes.iter().any(|n| n.stale);
-        !stale && (0..GROUPS).all(|g| self.is_group_settled(g) && self.has_copies_current(g))
+        let outdated = self.nodes.iter().any(|n| n.on_old_copy);
+        !outdated && (0..GROUPS).all(|g| self.is_group_settled(g) && self.has_copies_current(g))
     }
 
-    /// Whether the instances on copied disks hold what is committed. Until then
+    /// Whether the instances on copied disks hold all committed entries. Until then
     /// the leader may bar them.
     fn has_copies_current(&self, group: u32) -> bool {
         let last = |n: &Node| n.core.as_ref().map(|c| c.status()[group as usize].last);
-        let led = self.leader(group).and_then(|at| last(&self.nodes[at]));
-        let goal = led.unwrap_or(0).max(self.ledger.lock().applied(group));
-        let mut copies = self.nodes.iter().filter(|n| n.copied);
+        let leader = self.leader(group).and_then(|at| last(&self.nodes[at]));
+        let goal = leader.unwrap_or(0).max(self.checker.lock().applied(group));
+        let mut copies = self.nodes.iter().filter(|n| n.on_copy);
         copies.all(|n| last(n).is_some_and(|l| l >= goal))
     }
 
@@ -421,16 +427,16 @@
             && status.members.len() == current
     }
 
-    /// Asserts what must hold over all instances.
+    /// Asserts the invariants over all instances after a run of one.
     fn check(&mut self, at: usize) {
         let core = self.nodes[at].core.as_ref().unwrap();
         let status = core.status();
-        if self.nodes[at].behind {
+        if self.nodes[at].catching_up {
             let trusted = status.iter().any(|s| s.confirmed == Some(false));
-            assert!(!trusted, "a copy trusts its folder");
+            assert!(!trusted, "an instance on a copy trusts its directory");
             let asks = status.iter().any(|s| s.confirmed.is_none());
-            let behind = asks || (0..GROUPS).any(|g| !self.has_copies_current(g));
-            self.nodes[at].behind = behind;
+            let catching_up = asks || (0..GROUPS).any(|g| !self.has_copies_current(g));
+            self.nodes[at].catching_up = catching_up;
         }
         for status in status.iter().filter(|s| s.leads) {
             let key = (status.group, status.term);
@@ -439,7 +445,7 @@
         }
     }
 
-    /// Asserts that logs that agree at an index agree before it.
+    /// Asserts that logs that match at an index match at all earlier ones.
     fn check_logs(&self) {
         let cores: Vec<&Core> = self.nodes.iter().filter_map(|n| n.core.as_ref()).collect();
         for group in 0..GROUPS as usize {
@@ -455,14 +461,14 @@
         }
     }
 
-    /// Heals everything and asserts that all instances catch up, losing nothing.
+    /// Ends all faults and asserts that all instances catch up without loss.
     fn finish(&mut self) {
-        self.cut.clear();
-        self.noise = 0;
-        self.until("whole again", Sim::is_whole);
+        self.blocked_links.clear();
+        self.loss_percent = 0;
+        self.run_until("all instances are healthy again", Sim::is_healthy);
         for group in 0..GROUPS {
-            self.insist("accepts commands", |s| {
-                let before = s.ledger.lock().done();
+            self.retry_until_success("accepts commands", |s| {
+                let before = s.checker.lock().done();
                 if let Some(at) = s.leader(group) {
                     s.propose(at, group);
                 }
@@ -471,8 +477,8 @@
         }
         for at in 0..self.nodes.len() {
             for group in 0..GROUPS {
-                self.insist("confirms reads", |s| {
-                    let before = s.ledger.lock().done();
+                self.retry_until_success("confirms reads", |s| {
+                    let before = s.checker.lock().done();
                     s.read(at, group);
                     before
                 });
@@ -482,14 +488,14 @@
     }
 
     /// Repeats a request each second until one succeeds. `request` returns the
-    /// successes before it.
-    fn insist(&mut self, what: &str, request: impl Fn(&mut Sim) -> usize) {
+    /// number of successes before it.
+    fn retry_until_success(&mut self, what: &str, request: impl Fn(&mut Sim) -> usize) {
         for _ in 0..60 {
             let before = request(self);
             for _ in 0..SECOND / TICK {
                 self.tick();
-                self.operate();
-                if self.ledger.lock().done() > before {
+                self.run_operator();
+                if self.checker.lock().done() > before {
                     return;
                 }
             }
--- a/src/tests/simulation/runs.rs
+++ b/src/tests/simulation/runs.rs
@@ -1,4 +1,4 @@
-//! Random runs: every fault at any time, twice or together.
+//! Random runs: any fault at any time, repeatedly and in combination.
 
 use rand::RngExt;
 
@@ -7,13 +7,13 @@
 use crate::voter::core::Core;
 use crate::{Change, Peer};
 
-/// Random runs of each size in every test run.
+/// Default number of random runs of each size.
 const RUNS: u64 = 40;
-/// Variable that sets another number of runs.
+/// Environment variable with another number of runs.
 const RUNS_VARIABLE: &str = "LQ_RUNS";
-/// Variable that sets the first seed.
+/// Environment variable with the first seed.
 const SEED_VARIABLE: &str = "LQ_SEED";
-/// Simulated time with faults.
+/// Simulated duration of the faults.
 const LENGTH: u64 = 20 * SECOND;
 
 impl Sim {
@@ -21,53 +21,53 @@
         self.rng.random_range(0..self.nodes.len())
     }
 
-    /// Does something bad, or ends it.
-    fn disturb(&mut self) {
+    /// Starts or ends a random fault.
+    fn inject_fault(&mut self) {
         let at = self.pick();
         match self.rng.random_range(0..14) {
-            0 => self.split(),
-            1 => self.cut_one_way(),
-            2 | 3 => self.cut.clear(),
-            4 => self.nodes[at].frozen = self.now + self.rng.random_range(0..2 * SECOND),
+            0 => self.partition(),
+            1 => self.block_one_link(),
+            2 | 3 => self.blocked_links.clear(),
+            4 => self.nodes[at].paused_until = self.now + self.rng.random_range(0..2 * SECOND),
             5 | 6 => self.nodes[at]
                 .disk
-                .light(self.rng.clone().random_range(0..30)),
+                .fail_power_after(self.rng.clone().random_range(0..30)),
             7 => self.nodes[at].disk.break_sync(),
-            8 => self.noise = self.rng.random_range(0..20),
-            9 => self.noise = 0,
+            8 => self.loss_percent = self.rng.random_range(0..20),
+            9 => self.loss_percent = 0,
             10 => self.remove(at),
             11 => (0..self.nodes.len()).for_each(|at| self.lose_power(at)),
             _ => self.lose_disk(at),
         }
     }
 
-    fn split(&mut self) {
-        self.cut.clear();
+    fn partition(&mut self) {
+        self.blocked_links.clear();
         let size = self.nodes.len() as u64;
         let sides: Vec<bool> = (0..=size).map(|_| self.rng.random_bool(0.5)).collect();
         for from in 1..=size {
             for to in 1..=size {
                 if sides[usize::try_from(from).unwrap()] != sides[usize::try_from(to).unwrap()] {
-                    self.cut.insert((from, to));
+                    self.blocked_links.insert((from, to));
                 }
             }
         }
     }
 
-    fn cut_one_way(&mut self) {
+    fn block_one_link(&mut self) {
         let (from, to) = (self.pick() as u64 + 1, self.pick() as u64 + 1);
-        self.cut.insert((from, to));
+        self.blocked_links.insert((from, to));
     }
 
-    /// Replaces a disk by an empty one, or by an old copy. Only one at a time:
-    /// the next one when every instance votes with its current store again,
-    /// whether it runs or not. The first may go while the groups form.
+    /// Replaces a disk by an empty one, or by an old copy. Only one at a time: the
+    /// next one once the current stores of all instances, running or not, are
+    /// voters again. The first may be lost during bootstrap.
     fn lose_disk(&mut self, at: usize) {
-        if self.losses > 0 && !self.is_settled() {
+        if self.disk_losses > 0 && !self.is_settled() {
             return;
         }
-        self.losses += 1;
-        let old = self.nodes[at].old.take();
+        self.disk_losses += 1;
+        let old = self.nodes[at].old_copy.take();
         let known = self.is_run_known(at);
         match old.filter(|_| known) {
             None => self.replace(at),
@@ -75,7 +75,7 @@
                 let node = &mut self.nodes[at];
                 node.core = None;
                 node.inbox.clear();
-                (node.disk, node.stale) = (disk, true);
+                (node.disk, node.on_old_copy) = (disk, true);
             }
         }
     }
@@ -83,28 +83,28 @@
     /// Copies the disk of an instance while it runs.
     fn copy_disk(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        node.recent = node.core.as_ref().map(|c| (c.run_id(), node.disk.copy()));
+        node.live_copy = node.core.as_ref().map(|c| (c.run_id(), node.disk.copy()));
     }
 
-    /// Starts an instance on a copy of its latest run, or with its last frame
-    /// damaged, as long as that is no fault more than a group tolerates. Power
-    /// failures that are due would be one more.
-    fn put_back(&mut self, at: usize) {
+    /// Restarts an instance on a copy of its latest run, or with its last frame
+    /// damaged, unless that is one fault more than a group tolerates. Cancels
+    /// pending power failures, which would also be one more.
+    fn restore_copy(&mut self, at: usize) {
         let tolerated = (self.nodes.len() - 1) / 2;
-        if !self.is_settled() || self.away(at) + 1 > tolerated {
+        if !self.is_settled() || self.unavailable_peers(at) + 1 > tolerated {
             return;
         }
         let damage = self.chance(30);
         let node = &mut self.nodes[at];
         let Some(core) = node.core.take() else { return };
-        let recent = node
-            .recent
+        let live_copy = node
+            .live_copy
             .take()
             .filter(|(run_id, _)| *run_id == core.run_id());
-        let disk = match (damage, recent) {
+        let disk = match (damage, live_copy) {
             (true, _) => {
                 let disk = node.disk.copy();
-                disk.flip("log-", disk.size("log-") - 1);
+                disk.flip_bit("log-", disk.size("log-") - 1);
                 disk
             }
             (false, Some((_, disk))) => disk,
@@ -113,54 +113,55 @@
                 return;
             }
         };
-        self.losses += 1;
+        self.disk_losses += 1;
         node.inbox.clear();
-        (node.disk, node.start) = (disk, 0);
-        (node.copied, node.behind) = (true, true);
-        self.nodes.iter().for_each(|n| n.disk.mend());
+        (node.disk, node.restart_at) = (disk, 0);
+        (node.on_copy, node.catching_up) = (true, true);
+        self.nodes.iter().for_each(|n| n.disk.clear_faults());
     }
 
-    /// Instances that can't tell the one at `at` anything now.
-    fn away(&self, at: usize) -> usize {
+    /// Number of instances that can't answer the query of the one at `at`.
+    fn unavailable_peers(&self, at: usize) -> usize {
         let id = self.nodes[at].id;
         let store = self.nodes[at].store;
-        let tells = |s: &GroupStatus| {
+        let answers = |s: &GroupStatus| {
             let knows = s.members.iter().any(|m| (m.id, m.store) == (id, store));
             knows && s.confirmed.is_some()
         };
-        let asks = |n: &Node| {
+        let unable = |n: &Node| {
             let status = n.core.as_ref().map(Core::status);
-            status.is_none_or(|s| !s.iter().all(tells))
+            status.is_none_or(|s| !s.iter().all(answers))
         };
         let silent = |n: &&Node| {
-            let cut = self.cut.contains(&(id, n.id)) || self.cut.contains(&(n.id, id));
-            n.id != id && (cut || asks(n) || n.frozen > self.now)
+            let blocked = self.blocked_links.contains(&(id, n.id))
+                || self.blocked_links.contains(&(n.id, id));
+            n.id != id && (blocked || unable(n) || n.paused_until > self.now)
         };
         self.nodes.iter().filter(silent).count()
     }
 
-    /// Whether an instance still lacks what its copied disk did.
+    /// Whether an instance on a copied disk is still catching up.
     fn is_recovering(&self) -> bool {
-        self.nodes.iter().any(|n| n.behind)
+        self.nodes.iter().any(|n| n.catching_up)
     }
 
-    /// Has the leader remove a member, which the operator adds again. Not
-    /// before the first loss of a disk, which may come at any time: two voters
-    /// don't survive it.
+    /// Has the leader remove a member, which the operator adds again. Not before
+    /// the first loss of a disk, which may occur at any time: two voters don't
+    /// survive it.
     fn remove(&mut self, at: usize) {
         let group = self.rng.random_range(0..GROUPS);
         let node = &self.nodes[at];
         let (id, store) = (node.id, node.store);
         if let Some(leader) = self
             .leader(group)
-            .filter(|_| self.losses > 0 && self.is_settled())
+            .filter(|_| self.disk_losses > 0 && self.is_settled())
         {
             self.change(leader, group, Change::Remove(Peer { id, store }));
         }
     }
 
-    /// Whether all others know the present run of an instance. An old copy is
-    /// only recognised by those that do.
+    /// Whether all others have recorded the current run of an instance. Only these
+    /// can detect an old copy.
     pub(super) fn is_run_known(&self, at: usize) -> bool {
         let Some(core) = &self.nodes[at].core else {
             return false;
@@ -173,14 +174,14 @@
         })
     }
 
-    fn work(&mut self) {
+    fn issue_request(&mut self) {
         let group = self.rng.random_range(0..GROUPS);
         let any = self.pick();
-        // A former leader that doesn't know gets commands too.
+        // Some requests also go to followers and outdated leaders.
         let direct = self.chance(60);
         let known = self.leader(group).filter(|_| direct);
         let at = known.unwrap_or(any);
-        if self.nodes[at].frozen > self.now {
+        if self.nodes[at].paused_until > self.now {
             return;
         }
         match self.rng.random_bool(0.7) {
@@ -190,12 +191,12 @@
     }
 }
 
-/// Which faults a run has.
+/// The faults of a run.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Faults {
-    /// All but copies of a latest run.
+    /// All except copies of the latest run.
     Usual,
-    /// Copies of the latest run and damaged last frames too.
+    /// Also copies of the latest run and damaged last frames.
     Copies,
 }
 
@@ -204,28 +205,29 @@
     while sim.now < LENGTH {
         sim.tick();
         if sim.chance(50) {
-            sim.work();
+            sim.issue_request();
         }
-        // While a copy is put back, faults that began before go on.
+        // While a restored copy catches up, earlier faults continue, but no new ones
+        // begin.
         if sim.chance(4) && !sim.is_recovering() {
-            sim.disturb();
+            sim.inject_fault();
         }
         if faults == Faults::Copies {
             let at = sim.pick();
             match sim.rng.random_range(0..50) {
                 0 | 1 => sim.copy_disk(at),
-                2 | 3 => sim.put_back(at),
+                2 | 3 => sim.restore_copy(at),
                 _ => {}
             }
         }
         if sim.chance(5) {
-            sim.operate();
+            sim.run_operator();
             sim.check_logs();
         }
     }
     sim.finish();
-    let ledger = sim.ledger.lock();
-    (ledger.acked(), ledger.reads)
+    let checker = sim.checker.lock();
+    (checker.acknowledged(), checker.reads)
 }
 
 fn number(variable: &str, default: u64) -> u64 {
@@ -237,10 +239,10 @@
     let first = number(SEED_VARIABLE, 1);
     let mut total = (0, 0);
     for seed in first..first + number(RUNS_VARIABLE, RUNS) {
-        // Shown when the run fails, and with --nocapture.
+        // Printed if the run fails, or with --nocapture.
         println!("size {size} seed {seed}");
-        let (acked, reads) = random_run(seed, size, faults);
-        total = (total.0 + acked, total.1 + reads);
+        let (acknowledged, reads) = random_run(seed, size, faults);
+        total = (total.0 + acknowledged, total.1 + reads);
     }
     println!("size {size}: {} commands, {} reads", total.0, total.1);
     assert!(total.0 > 0 && total.1 > 0, "the runs did nothing");
@@ -256,13 +258,14 @@
     random_runs(5, Faults::Usual);
 }
 
-/// Voters put back on copies of their latest run lose no acknowledged change.
+/// Guards against the loss of an acknowledged change when a voter restarts on a copy
+/// of its latest run.
 #[test]
 fn random_runs_copies_three() {
     random_runs(3, Faults::Copies);
 }
 
-/// The same with five voters, of which one may be away meanwhile.
+/// The same with five voters, one of which may be unreachable meanwhile.
 #[test]
 fn random_runs_copies_five() {
     random_runs(5, Faults::Copies);
--- a/src/tests/simulation/stories.rs
+++ b/src/tests/simulation/scenarios.rs
@@ -1,48 +1,48 @@
-//! Single failures, told in order.
+//! Scenarios of single failures.
 
 use super::{SECOND, Sim, TICK};
 use crate::replica::{Body, Hello, Replica, Vote};
 use crate::voter::core::Input;
 use crate::{Change, Message, Peer, Role};
 
-/// Three instances that have accepted some commands.
-fn three(seed: u64) -> Sim {
+/// Starts three instances that have committed some commands.
+fn cluster_of_three(seed: u64) -> Sim {
     let mut sim = Sim::new(seed, 3);
-    sim.until("whole", Sim::is_whole);
-    work(&mut sim, 100);
+    sim.run_until("healthy", Sim::is_healthy);
+    commit_commands(&mut sim, 100);
     sim
 }
 
-/// Has some commands accepted in group 0 by a leader that isn't frozen.
-pub(super) fn work(sim: &mut Sim, count: usize) {
-    let goal = sim.ledger.lock().acked() + count;
+/// Commits some commands in group 0 through a leader that isn't paused.
+pub(super) fn commit_commands(sim: &mut Sim, count: usize) {
+    let goal = sim.checker.lock().acknowledged() + count;
     let limit = sim.now + 60 * SECOND;
-    while sim.ledger.lock().acked() < goal {
+    while sim.checker.lock().acknowledged() < goal {
         assert!(sim.now < limit, "accepts commands within a minute");
         let leader = sim.leader(0);
-        if let Some(at) = leader.filter(|&at| sim.nodes[at].frozen <= sim.now) {
+        if let Some(at) = leader.filter(|&at| sim.nodes[at].paused_until <= sim.now) {
             sim.propose(at, 0);
         }
         sim.tick();
     }
 }
 
-/// The instance that doesn't lead group 0, and another one.
+/// The two instances that don't lead group 0.
 fn followers(sim: &Sim) -> (usize, usize) {
     let leader = sim.leader(0).unwrap();
     ((leader + 1) % 3, (leader + 2) % 3)
 }
 
-/// Group 0 of an instance that runs.
+/// The replica of group 0 on a running instance.
 fn replica(sim: &Sim, at: usize) -> &Replica {
     sim.nodes[at].core.as_ref().unwrap().replica(0)
 }
 
-/// Cuts all links between one instance and the others.
+/// Blocks all links between one instance and the others.
 pub(super) fn isolate(sim: &mut Sim, id: u64) {
     for other in 1..=sim.nodes.len() as u64 {
-        sim.cut.insert((id, other));
-        sim.cut.insert((other, id));
+        sim.blocked_links.insert((id, other));
+        sim.blocked_links.insert((other, id));
     }
 }
 
@@ -54,14 +54,14 @@
 
 #[test]
 fn replace_then_lose_second() {
-    // An instance loses its disk and is replaced by an empty one. Right after
-    // the repair a second instance loses its disk. An operator must still see
-    // every accepted change: the newcomer must hold them all before it votes.
+    // An instance loses its disk and restarts with an empty one. Right after it
+    // has become a voter, a second instance loses its disk. Each accepted change
+    // must survive: the new store must hold them all before it votes.
     for seed in 1..=5 {
-        let mut sim = three(seed);
+        let mut sim = cluster_of_three(seed);
         let (first, second) = followers(&sim);
         sim.replace(first);
-        sim.until("settled", Sim::is_settled);
+        sim.run_until("settled", Sim::is_settled);
         sim.replace(second);
         sim.finish();
     }
@@ -69,12 +69,12 @@
 
 #[test]
 fn found_with_wiped_founder() {
-    // While the groups form, the first leader's disk is lost and comes back
-    // empty. Were a majority enough to found, two of three could found again
-    // and drop what the others had accepted.
+    // During bootstrap, the first leader loses its disk. If a majority were enough
+    // to bootstrap, two of three could bootstrap again and drop changes that the
+    // others had accepted.
     for seed in 1..=20 {
         let mut sim = Sim::new(seed, 3);
-        sim.until("a leader", |s| s.leader(0).is_some());
+        sim.run_until("a leader", |s| s.leader(0).is_some());
         let at = sim.leader(0).unwrap();
         sim.propose(at, 0);
         sim.tick();
@@ -85,52 +85,51 @@
 
 #[test]
 fn roll_back_latest_run() {
-    // A folder is put back from a copy of its latest run, taken while it ran.
-    // No peer can tell the run apart, but the leader knows that the store had
-    // acknowledged more than it holds now, and takes its vote away.
-    let mut sim = three(3);
+    // A directory is restored from a copy of its latest run, taken while it ran.
+    // No peer can detect the copy by its run, but the leader knows that the store
+    // had acknowledged more entries than it holds now, and bars it.
+    let mut sim = cluster_of_three(3);
     let (at, _) = followers(&sim);
     let copy = sim.nodes[at].disk.copy();
-    work(&mut sim, 5);
-    sim.until("whole", Sim::is_whole);
+    commit_commands(&mut sim, 5);
+    sim.run_until("healthy", Sim::is_healthy);
     sim.nodes[at].core = None;
     sim.nodes[at].disk = copy;
-    sim.until("barred", |s| role(s, at) == Some(Role::Barred));
+    sim.run_until("barred", |s| role(s, at) == Some(Role::Barred));
     sim.replace(at);
     sim.finish();
 }
 
 #[test]
 fn roll_back_earlier_run() {
-    // A folder is put back from a copy of an earlier run. Its peers refuse
-    // it, and the process ends with an error that names the remedy, however
-    // often it starts.
-    let mut sim = three(4);
+    // A directory is restored from a copy of an earlier run. Its peers reject it,
+    // and the process exits with an error and a remedy, however often it starts.
+    let mut sim = cluster_of_three(4);
     let (at, _) = followers(&sim);
     let copy = sim.nodes[at].disk.copy();
     for _ in 0..2 {
         sim.lose_power(at);
-        sim.until("known", |s| s.is_run_known(at));
+        sim.run_until("known", |s| s.is_run_known(at));
     }
     let store = sim.nodes[at].store;
     sim.nodes[at].core = None;
-    (sim.nodes[at].disk, sim.nodes[at].stale) = (copy, true);
-    sim.until("replaced", |s| s.nodes[at].store != store && s.is_settled());
+    (sim.nodes[at].disk, sim.nodes[at].on_old_copy) = (copy, true);
+    sim.run_until("replaced", |s| s.nodes[at].store != store && s.is_settled());
     sim.finish();
 }
 
 #[test]
 fn sleep_through_snapshot() {
-    // An instance sleeps while the others take snapshots and drop the entries
-    // it needs. It must catch up from a snapshot, without an election.
-    let mut sim = three(5);
+    // An instance is paused while the others take snapshots and drop the entries
+    // that it lacks. It must catch up from a snapshot, without an election.
+    let mut sim = cluster_of_three(5);
     let (at, _) = followers(&sim);
     let term = replica(&sim, at).term();
-    sim.nodes[at].frozen = u64::MAX;
-    work(&mut sim, 200);
-    sim.nodes[at].frozen = 0;
+    sim.nodes[at].paused_until = u64::MAX;
+    commit_commands(&mut sim, 200);
+    sim.nodes[at].paused_until = 0;
     let goal = replica(&sim, sim.leader(0).unwrap()).commit();
-    sim.until("caught up", |s| replica(s, at).applied() >= goal);
+    sim.run_until("caught up", |s| replica(s, at).applied() >= goal);
     assert_eq!(replica(&sim, at).term(), term);
     assert!(replica(&sim, at).log().snapshot().index > 200);
     sim.finish();
@@ -138,33 +137,33 @@
 
 #[test]
 fn cut_off_leader() {
-    // The leader loses both links. Its clients must not see a change accepted
-    // or a read confirmed there, and it must give up by itself.
-    let mut sim = three(6);
+    // The leader loses both links. It must not accept a change or confirm a read,
+    // and must step down by itself.
+    let mut sim = cluster_of_three(6);
     let leader = sim.leader(0).unwrap();
     let id = sim.nodes[leader].id;
     isolate(&mut sim, id);
-    let before = sim.ledger.lock().done();
+    let before = sim.checker.lock().done();
     sim.propose(leader, 0);
     sim.read(leader, 0);
-    sim.until("another leader", |s| {
+    sim.run_until("another leader", |s| {
         s.leader(0).is_some_and(|at| at != leader)
     });
     assert!(!replica(&sim, leader).is_leader());
-    assert_eq!(sim.ledger.lock().done(), before);
+    assert_eq!(sim.checker.lock().done(), before);
     sim.finish();
 }
 
 #[test]
 fn transfer_without_timeout() {
-    // An instance shuts down gracefully. Clients must not wait an election
-    // timeout for the next leader.
-    let mut sim = three(7);
-    let old = sim.leader(0).unwrap();
+    // The leader shuts down gracefully. Callers must not wait an election timeout
+    // for the next leader.
+    let mut sim = cluster_of_three(7);
+    let old_copy = sim.leader(0).unwrap();
     let begin = sim.now;
-    sim.run(old, vec![Input::Transfer]);
-    sim.until("another leader", |s| {
-        s.leader(0).is_some_and(|at| at != old)
+    sim.run(old_copy, vec![Input::Transfer]);
+    sim.run_until("another leader", |s| {
+        s.leader(0).is_some_and(|at| at != old_copy)
     });
     assert!(sim.now - begin <= 10 * TICK, "took {} us", sim.now - begin);
     sim.finish();
@@ -172,16 +171,15 @@
 
 #[test]
 fn hear_no_leader() {
-    // The link from the leader to one instance is cut, in one direction only.
-    // Clients must not notice: the others hear the leader, so the instance
-    // that doesn't can't depose it.
-    let mut sim = three(8);
+    // The link from the leader to one instance is blocked in one direction. The
+    // instance must not depose the leader, which the others can still reach.
+    let mut sim = cluster_of_three(8);
     let leader = sim.leader(0).unwrap();
     let term = replica(&sim, leader).term();
-    let (deaf, _) = followers(&sim);
-    let link = (sim.nodes[leader].id, sim.nodes[deaf].id);
-    sim.cut.insert(link);
-    rest(&mut sim, 5);
+    let (follower, _) = followers(&sim);
+    let link = (sim.nodes[leader].id, sim.nodes[follower].id);
+    sim.blocked_links.insert(link);
+    advance(&mut sim, 5);
     assert_eq!(sim.leader(0), Some(leader));
     assert_eq!(replica(&sim, leader).term(), term);
     sim.finish();
@@ -189,17 +187,17 @@
 
 #[test]
 fn come_back_from_isolation() {
-    // An instance is cut off for a while and comes back. It must not have
-    // raised its term meanwhile, which would depose the leader.
-    let mut sim = three(9);
+    // An instance is isolated for a while. It must not raise its term meanwhile,
+    // since that would depose the leader when it is connected again.
+    let mut sim = cluster_of_three(9);
     let leader = sim.leader(0).unwrap();
     let term = replica(&sim, leader).term();
-    let (lone, _) = followers(&sim);
-    let id = sim.nodes[lone].id;
+    let (follower, _) = followers(&sim);
+    let id = sim.nodes[follower].id;
     isolate(&mut sim, id);
-    rest(&mut sim, 5);
-    sim.cut.clear();
-    rest(&mut sim, 5);
+    advance(&mut sim, 5);
+    sim.blocked_links.clear();
+    advance(&mut sim, 5);
     assert!(replica(&sim, leader).is_leader());
     assert_eq!(replica(&sim, leader).term(), term);
     sim.finish();
@@ -207,18 +205,18 @@
 
 #[test]
 fn add_silent_store() {
-    // An operator adds a store that never answers, then an instance stops. If
-    // the newcomer counted before it has caught up, two of four would be no
-    // quorum, and clients could change nothing.
-    let mut sim = three(10);
+    // An operator adds a store that never answers, then an instance stops. If the
+    // new store counted before it has caught up, two of four would be no quorum,
+    // and no change could be committed.
+    let mut sim = cluster_of_three(10);
     let leader = sim.leader(0).unwrap();
     let change = Change::Add(Peer { id: 9, store: 99 });
     sim.change(leader, 0, change);
-    rest(&mut sim, 2);
+    advance(&mut sim, 2);
     let (stopped, _) = followers(&sim);
-    sim.nodes[stopped].frozen = u64::MAX;
-    rest(&mut sim, 2);
-    work(&mut sim, 5);
+    sim.nodes[stopped].paused_until = u64::MAX;
+    advance(&mut sim, 2);
+    commit_commands(&mut sim, 5);
     let members = &sim.nodes[sim.leader(0).unwrap()]
         .core
         .as_ref()
@@ -232,7 +230,7 @@
     );
 }
 
-pub(super) fn rest(sim: &mut Sim, seconds: u64) {
+pub(super) fn advance(sim: &mut Sim, seconds: u64) {
     let end = sim.now + seconds * SECOND;
     while sim.now < end {
         sim.tick();
@@ -241,10 +239,10 @@
 
 #[test]
 fn hear_later_run() {
-    // A peer restarts and talks at once, and the power of the hearer fails
-    // before it has noted the new run. Had it answered, it could have counted
-    // a vote of that run, and count one of an old copy after its own restart.
-    let mut sim = three(11);
+    // A peer restarts and sends messages at once, and the receiver's power fails
+    // before it has recorded the new run. Had it answered, it could have counted a
+    // vote of that run, and one of an old copy after its own restart.
+    let mut sim = cluster_of_three(11);
     let (at, other) = followers(&sim);
     let store = sim.nodes[other].store;
     let core = sim.nodes[at].core.as_mut().unwrap();
@@ -262,7 +260,7 @@
     };
     let hello = message(Body::Hello(Hello { runs: vec![run] }));
     let vote = message(Body::Vote(Vote::default()));
-    sim.nodes[at].disk.light(0);
+    sim.nodes[at].disk.fail_power_after(0);
     let mut answers = 0;
     let now = sim.local(at);
     let core = sim.nodes[at].core.as_mut().unwrap();
--- a/src/tests/store.rs
+++ b/src/tests/store.rs
@@ -61,12 +61,12 @@
 
 #[test]
 fn open_after_power_failure() {
-    // The power fails with one batch written and not synced. What was synced
-    // is there; the rest may be, whole or not at all.
+    // The power fails with one batch written but not synced. Synced batches must
+    // survive; the last one may, as a whole.
     for seed in 0..100 {
         let (disk, mut store) = filled();
         store.write(0, &persist(&[4])).unwrap();
-        disk.light(1);
+        disk.fail_power_after(1);
         assert!(store.sync().is_err());
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (_, contents) = open(&disk.after_crash(&mut rng)).unwrap();
@@ -86,10 +86,10 @@
 #[case::first_frame(30)]
 #[case::second_frame(150)]
 fn open_damaged_middle(#[case] at: usize) {
-    // A bit flips in a record that was acknowledged. Starting without it would
-    // lose accepted changes in silence.
+    // A bit flips in an acknowledged record. Starting without the record would
+    // silently lose accepted changes.
     let (disk, _store) = filled();
-    disk.flip("log-", at);
+    disk.flip_bit("log-", at);
     let error = open(&disk).err().unwrap();
     assert!(matches!(error, StoreError::Damaged { .. }), "{error}");
     assert!(error.to_string().contains("add this instance's new store"));
@@ -97,9 +97,9 @@
 
 #[test]
 fn open_damaged_end() {
-    // The same in the last record looks like a torn write, and is cut.
+    // A damaged last record looks like a torn write and is dropped.
     let (disk, _store) = filled();
-    disk.flip("log-", disk.size("log-") - 1);
+    disk.flip_bit("log-", disk.size("log-") - 1);
     assert_eq!(last(&open(&disk).unwrap().1), 2);
 }
 
@@ -124,16 +124,16 @@
     assert_eq!(contents.groups[&0].snapshot.data, &b"state"[..]);
     assert_eq!(contents.groups[&0].entries, [entry(3)]);
     match damaged {
-        true => disk.flip("snapshot-", 22),
-        false => disk.erase("snapshot-"),
+        true => disk.flip_bit("snapshot-", 22),
+        false => disk.remove_file("snapshot-"),
     }
     assert!(open(&disk).is_err());
 }
 
 #[test]
 fn open_without_log() {
-    // Someone deleted the log file and left a snapshot. An empty log would
-    // have forgotten votes.
+    // The log file was deleted and a snapshot remains. A start with an empty log
+    // would lose votes.
     let disk = SimDisk::default();
     let (mut store, _) = open(&disk).unwrap();
     let mut persist = persist(&[]);
@@ -143,7 +143,7 @@
     });
     store.write(0, &persist).unwrap();
     store.sync().unwrap();
-    disk.erase("log-");
+    disk.remove_file("log-");
     let error = open(&disk).err().unwrap();
     assert!(matches!(error, StoreError::Missing { .. }), "{error}");
 }
@@ -152,8 +152,8 @@
 #[case::full_disk(true)]
 #[case::failed_sync(false)]
 fn sync_fails_for_good(#[case] full: bool) {
-    // The disk fills up, or a sync fails. The kernel may report the next sync
-    // as good though the pages are gone, so the store must never say so.
+    // The disk fills up, or a sync fails. The kernel may report the next sync as
+    // successful though it dropped the pages, so the store must not trust it.
     let (disk, mut store) = filled();
     match full {
         true => disk.limit(10),
--- a/src/tests/voter.rs
+++ b/src/tests/voter.rs
@@ -12,15 +12,15 @@
     InstanceId, Message, ProposeError, StateMachine, StoreError, SystemClock, Voter, VoterSettings,
 };
 
-/// How long a test waits before it gives up.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time limit of one operation.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Collects commands in order, each once: a busy machine may lose a leader
-/// and so the outcome of a command, which is then proposed again.
+/// Records commands in order, each once: on a busy host the leader may change, and
+/// a command with an unknown outcome is proposed again.
 #[derive(Clone, Default)]
-struct Journal(Arc<Mutex<Vec<Vec<u8>>>>);
+struct RecordingMachine(Arc<Mutex<Vec<Vec<u8>>>>);
 
-impl StateMachine for Journal {
+impl StateMachine for RecordingMachine {
     fn apply(&mut self, _index: u64, command: &[u8]) -> Vec<u8> {
         let mut lines = self.0.lock().unwrap();
         if !lines.iter().any(|l| l == command) {
@@ -41,10 +41,10 @@
 
 type Handle = JoinHandle<Result<(), StoreError>>;
 
-/// Voters of one process that reach each other through their handles.
+/// Voters in one process that deliver messages through their handles.
 struct Cluster {
     routes: Arc<Mutex<Vec<Option<Voter>>>>,
-    journals: Vec<Journal>,
+    machines: Vec<RecordingMachine>,
     handles: Vec<Option<Handle>>,
 }
 
@@ -52,18 +52,18 @@
     fn start(folder: &Path, size: usize) -> Self {
         let mut cluster = Self {
             routes: Arc::new(Mutex::new(vec![None; size])),
-            journals: vec![Journal::default(); size],
+            machines: vec![RecordingMachine::default(); size],
             handles: Vec::new(),
         };
         for at in 0..size {
             cluster.handles.push(None);
-            cluster.boot(folder, at);
+            cluster.start_voter(folder, at);
         }
         cluster
     }
 
-    fn boot(&mut self, folder: &Path, at: usize) {
-        let size = self.journals.len() as u64;
+    fn start_voter(&mut self, folder: &Path, at: usize) {
+        let size = self.machines.len() as u64;
         let settings = VoterSettings {
             instance: InstanceId(at as u64 + 1),
             data_dir: folder.join(at.to_string()),
@@ -83,10 +83,10 @@
                 voter.deliver(message);
             }
         });
-        let journal = Journal::default();
-        self.journals[at] = journal.clone();
+        let machine = RecordingMachine::default();
+        self.machines[at] = machine.clone();
         let clock = Arc::new(SystemClock);
-        let spawned = Voter::spawn(settings, vec![Box::new(journal)], peers, clock);
+        let spawned = Voter::spawn(settings, vec![Box::new(machine)], peers, clock);
         let (voter, handle) = spawned.unwrap();
         self.routes.lock().unwrap()[at] = Some(voter);
         self.handles[at] = Some(handle);
@@ -96,7 +96,7 @@
         self.routes.lock().unwrap()[at].clone().unwrap()
     }
 
-    fn halt(&mut self, at: usize) {
+    fn stop(&mut self, at: usize) {
         self.voter(at).stop();
         self.handles[at].take().unwrap().join().unwrap().unwrap();
         self.routes.lock().unwrap()[at] = None;
@@ -105,7 +105,7 @@
     /// Proposes on whichever voter leads, until one accepts.
     fn propose(&self, command: &str) -> Vec<u8> {
         let start = std::time::Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < TIMEOUT {
             let voters: Vec<Voter> = self
                 .routes
                 .lock()
@@ -126,15 +126,15 @@
         panic!("no leader accepted {command}");
     }
 
-    /// Commands of one voter after a linearizable read.
+    /// Returns the commands of one voter after a linearizable read.
     fn read(&self, at: usize) -> Vec<Vec<u8>> {
         let start = std::time::Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < TIMEOUT {
             let (done, outcome) = channel::bounded(1);
             let reply = Box::new(move |r| done.send(r).unwrap());
             self.voter(at).read(0, reply);
-            if outcome.recv_timeout(PATIENCE).unwrap().is_ok() {
-                return self.journals[at].0.lock().unwrap().clone();
+            if outcome.recv_timeout(TIMEOUT).unwrap().is_ok() {
+                return self.machines[at].0.lock().unwrap().clone();
             }
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -146,7 +146,7 @@
     let (done, outcome) = channel::bounded(1);
     let reply = Box::new(move |r| done.send(r).unwrap());
     voter.propose(0, Bytes::copy_from_slice(command.as_bytes()), reply);
-    outcome.recv_timeout(PATIENCE).unwrap()
+    outcome.recv_timeout(TIMEOUT).unwrap()
 }
 
 #[test]
@@ -162,16 +162,16 @@
 
 #[test]
 fn restart_all() {
-    // A user sees a change accepted, then every process restarts one after
-    // the other, some past a snapshot. The change must still be there, once.
+    // After accepted changes, the processes restart one after the other, some
+    // from a snapshot. Each change must still be applied exactly once.
     let folder = tempfile::tempdir().unwrap();
     let mut cluster = Cluster::start(folder.path(), 3);
     for n in 0..50 {
         cluster.propose(&n.to_string());
     }
     for at in 0..3 {
-        cluster.halt(at);
-        cluster.boot(folder.path(), at);
+        cluster.stop(at);
+        cluster.start_voter(folder.path(), at);
     }
     assert_eq!(cluster.propose("last"), b"51");
     for at in 0..3 {
@@ -185,18 +185,18 @@
     let mut cluster = Cluster::start(folder.path(), 1);
     let second = crate::disk::DataDir::open(&folder.path().join("0"));
     assert!(second.is_err());
-    cluster.halt(0);
+    cluster.stop(0);
     assert!(crate::disk::DataDir::open(&folder.path().join("0")).is_ok());
 }
 
 #[test]
 fn propose_after_stop() {
-    // An instance shuts down while callers still send changes. Each must be
-    // told, and that nothing was done.
+    // An instance shuts down while callers still send changes. Each caller must
+    // receive an error that says that nothing was done.
     let folder = tempfile::tempdir().unwrap();
     let mut cluster = Cluster::start(folder.path(), 1);
     cluster.propose("a");
     let voter = cluster.voter(0);
-    cluster.halt(0);
+    cluster.stop(0);
     assert_eq!(propose(&voter, "b"), Err(ProposeError::Stopped));
 }
