--- a/src/replica/read.rs
+++ b/src/replica/read.rs
@@ -67,8 +67,8 @@
         let forwarded = self.forwarded.take_if(|(_, at, _)| late(*at));
         let mut expired = forwarded.map_or_else(Vec::new, |(_, _, tickets)| tickets);
         self.waiting.retain(|_, tickets| {
-            let gone = tickets.extract_if(.., |(_, at)| late(*at));
-            expired.extend(gone.map(|(t, _)| t));
+            let removed = tickets.extract_if(.., |(_, at)| late(*at));
+            expired.extend(removed.map(|(t, _)| t));
             !tickets.is_empty()
         });
         expired
@@ -126,13 +126,13 @@
         };
         let me = self.settings.me;
         let members = self.log.members().1;
-        let heard = |round: u64| {
+        let confirmed = |round: u64| {
             members.quorum(|p| {
                 let progress = lead.progress.get(&p);
                 p == me || progress.is_some_and(|g| !g.rolled_back && g.round >= round)
             })
         };
-        let done = self.reads.round.take_if(|(round, _, _)| heard(*round));
+        let done = self.reads.round.take_if(|(round, _, _)| confirmed(*round));
         let Some((_, index, readers)) = done else {
             return;
         };
--- a/src/replica/rejoin.rs
+++ b/src/replica/rejoin.rs
@@ -1,10 +1,10 @@
 //! Peer query that a restarted store completes before it votes or acknowledges.
 //!
 //! The directory of a restarted store may be a copy of its latest run, or may have
-//! lost its last frame. Such a store lacks votes and acknowledgements, and a
-//! majority that counts it may drop a committed entry. So it asks the other voters
-//! for their terms and the ends of their logs. Every majority that it was part of
-//! includes one of the answering voters once these are
+//! lost its last frame. Such a store lacks votes and acknowledgements that it gave,
+//! and a majority that counts it may drop a committed entry. So it asks the other
+//! voters for their terms and the ends of their logs. Every majority that it was
+//! part of includes one of the answering voters once these are
 //!
 //! - so many that no majority can be without one, and none is itself querying, or
 //! - all of them, except those whose instance has an empty directory now, which
@@ -70,7 +70,7 @@
     pub(crate) waited: Duration,
     /// End of this store's log.
     pub(crate) end: LogEnd,
-    /// Highest log end in the answers.
+    /// Highest log end that a voter reported.
     pub(crate) floor: LogEnd,
 }
 
--- a/src/store.rs
+++ b/src/store.rs
@@ -89,15 +89,15 @@
     },
     /// The directory is an old copy.
     #[snafu(display(
-        "the data folder was put back from an old copy and has forgotten what it \
-         promised since; move the folder away, start with an empty one and add this \
-         instance's new store as a member"
+        "the data folder was restored from an old copy and lacks votes and \
+         acknowledgements given since; move the folder away, start with an empty one \
+         and add this instance's new store as a member"
     ))]
     Superseded,
     /// The leader's entry differs from the one committed here.
     #[snafu(display(
         "entry {index} of group {group} is committed here, and the leader has another \
-         one: a store was put back from an old copy while too few others answered, and \
+         one: a store was restored from an old copy while too few others answered, and \
          accepted changes are lost. Keep this folder to compare the catalogues; start \
          with an empty one and add this instance's new store as a member"
     ))]
--- a/src/tests/replica.rs
+++ b/src/tests/replica.rs
@@ -27,12 +27,12 @@
 }
 
 /// Replica 1 of three, with entries of the given terms.
-struct Bench {
+struct Harness {
     replica: Replica,
     now: Time,
 }
 
-impl Bench {
+impl Harness {
     fn new(terms: &[u64]) -> Self {
         Self::with_boot(1, terms)
     }
@@ -175,21 +175,21 @@
     // A follower appends an entry of term 5. Before the sync, the leader of term
     // 6 overwrites it. If the first entry were still acknowledged, the leader of
     // term 5 could commit it on a copy that was never durable.
-    let mut bench = Bench::new(&[1]);
-    bench.append(2, 5, (1, 1), &[entry(2, 5)]);
-    let effects = bench.append(3, 6, (1, 1), &[entry(2, 6)]);
+    let mut harness = Harness::new(&[1]);
+    harness.append(2, 5, (1, 1), &[entry(2, 5)]);
+    let effects = harness.append(3, 6, (1, 1), &[entry(2, 6)]);
     assert!(acks(&effects).is_empty());
     let seq = written(&effects).unwrap();
-    let effects = bench.step(Event::Persisted(seq));
+    let effects = harness.step(Event::Persisted(seq));
     assert_eq!(acks(&effects), [6]);
 }
 
 #[test]
 fn append_acknowledged_after_sync() {
-    let mut bench = Bench::new(&[1]);
-    let effects = bench.append(2, 1, (1, 1), &[entry(2, 1)]);
+    let mut harness = Harness::new(&[1]);
+    let effects = harness.append(2, 1, (1, 1), &[entry(2, 1)]);
     assert!(acks(&effects).is_empty());
-    let effects = bench.step(Event::Persisted(written(&effects).unwrap()));
+    let effects = harness.step(Event::Persisted(written(&effects).unwrap()));
     assert_eq!(acks(&effects), [1]);
 }
 
@@ -198,37 +198,37 @@
     // An entry of term 2 reaches a majority only under the leader of term 3.
     // A candidate that lacks it could still win and overwrite it, so it must not
     // be committed before an entry of term 3 is on a majority.
-    let mut bench = Bench::new(&[1, 2]);
-    let term = bench.elect();
-    bench.ack(2, term, 2);
-    assert_eq!(bench.replica.commit(), 0);
-    bench.ack(2, term, 3);
-    assert_eq!(bench.replica.commit(), 0, "its own copy isn't synced");
-    bench.step(Event::Persisted(2));
-    assert_eq!(bench.replica.commit(), 3);
+    let mut harness = Harness::new(&[1, 2]);
+    let term = harness.elect();
+    harness.ack(2, term, 2);
+    assert_eq!(harness.replica.commit(), 0);
+    harness.ack(2, term, 3);
+    assert_eq!(harness.replica.commit(), 0, "its own copy isn't synced");
+    harness.step(Event::Persisted(2));
+    assert_eq!(harness.replica.commit(), 3);
 }
 
 #[test]
 fn vote_once_a_term() {
     // Two candidates of one term request a vote. The second one must be refused,
     // also if its request arrives before the first vote is synced.
-    let mut bench = Bench::new(&[1]);
-    let effects = bench.vote(2, 5);
+    let mut harness = Harness::new(&[1]);
+    let effects = harness.vote(2, 5);
     assert!(!granted(&effects), "granted before the sync");
-    let refused = bench.vote(3, 5);
-    let after = bench.step(Event::Persisted(written(&effects).unwrap()));
+    let refused = harness.vote(3, 5);
+    let after = harness.step(Event::Persisted(written(&effects).unwrap()));
     assert!(granted(&after) && !granted(&refused));
-    assert!(!granted(&bench.vote(3, 5)));
+    assert!(!granted(&harness.vote(3, 5)));
 }
 
 #[test]
 fn vote_saved() {
     // The vote is the only change in a term that was seen before, and must still
     // be written: lost in a crash, it could be granted twice.
-    let mut bench = Bench::new(&[1]);
+    let mut harness = Harness::new(&[1]);
     let ack = AppendAck::default();
-    bench.receive(2, 5, Body::AppendAck(ack));
-    let effects = bench.vote(3, 5);
+    harness.receive(2, 5, Body::AppendAck(ack));
+    let effects = harness.vote(3, 5);
     let saved = effects.iter().any(|e| match e {
         Effect::Persist(persist) => persist.hard.vote == Some(peer(3)),
         _ => false,
@@ -240,22 +240,22 @@
 fn commit_unmatched_tail() {
     // A follower holds entries of an old leader after those that the new one has
     // matched. The commit index must not cover them.
-    let mut bench = Bench::new(&[1, 1, 1]);
+    let mut harness = Harness::new(&[1, 1, 1]);
     let append = Append {
         prev_index: 1,
         prev_term: 1,
         commit: 3,
         ..Append::default()
     };
-    bench.receive(2, 2, Body::Append(append));
-    assert_eq!(bench.replica.commit(), 1);
+    harness.receive(2, 2, Body::Append(append));
+    assert_eq!(harness.replica.commit(), 1);
 }
 
 #[test]
 fn propose_not_leader() {
-    let mut bench = Bench::new(&[1]);
-    bench.append(2, 1, (1, 1), &[]);
-    let effects = bench.step(Event::Propose(vec![(8, Bytes::new())]));
+    let mut harness = Harness::new(&[1]);
+    harness.append(2, 1, (1, 1), &[]);
+    let effects = harness.step(Event::Propose(vec![(8, Bytes::new())]));
     let hint = Cause::NotLeader { hint: Some(2) };
     let failed = |e: &Effect| matches!(e, Effect::Failed { ticket: 8, cause } if *cause == hint);
     assert!(effects.iter().any(failed));
@@ -265,12 +265,12 @@
 fn read_before_own_commit() {
     // A new leader may not know the last commit index yet. A read that it
     // answered at once could miss an accepted change.
-    let mut bench = Bench::new(&[1, 1]);
-    let term = bench.elect();
+    let mut harness = Harness::new(&[1, 1]);
+    let term = harness.elect();
     let readable = |e: &Effect| matches!(e, Effect::Readable { .. });
-    assert!(!bench.step(Event::Read(1)).iter().any(readable));
-    bench.step(Event::Persisted(2));
-    let effects = bench.ack(2, term, 3);
+    assert!(!harness.step(Event::Read(1)).iter().any(readable));
+    harness.step(Event::Persisted(2));
+    let effects = harness.ack(2, term, 3);
     assert!(!effects.iter().any(readable), "no quorum confirmed it");
     let ack = AppendAck {
         matched: true,
@@ -279,12 +279,12 @@
         round: 1,
         ..AppendAck::default()
     };
-    let effects = bench.receive(3, term, Body::AppendAck(ack));
+    let effects = harness.receive(3, term, Body::AppendAck(ack));
     assert!(effects.iter().any(readable));
 }
 
-fn changed(bench: &mut Bench, id: u64) -> Option<Cause> {
-    let effects = bench.step(Event::Change(id, Change::Add(peer(id))));
+fn changed(harness: &mut Harness, id: u64) -> Option<Cause> {
+    let effects = harness.step(Event::Change(id, Change::Add(peer(id))));
     effects.iter().find_map(|e| match e {
         Effect::Failed { cause, .. } => Some(*cause),
         _ => None,
@@ -295,27 +295,27 @@
 fn change_before_own_commit() {
     // A new leader may hold a membership that was never committed. A change on
     // top of it could lead to two memberships whose quorums don't intersect.
-    let mut bench = Bench::new(&[1, 1]);
-    let term = bench.elect();
-    assert_eq!(changed(&mut bench, 4), Some(Cause::Busy));
-    bench.step(Event::Persisted(2));
-    bench.ack(2, term, 3);
-    assert_eq!(changed(&mut bench, 4), None);
+    let mut harness = Harness::new(&[1, 1]);
+    let term = harness.elect();
+    assert_eq!(changed(&mut harness, 4), Some(Cause::Busy));
+    harness.step(Event::Persisted(2));
+    harness.ack(2, term, 3);
+    assert_eq!(changed(&mut harness, 4), None);
 }
 
 #[test]
 fn change_during_change() {
     // Two operators add a store each. The second change must wait until the first
     // is committed, since their quorums need not intersect.
-    let mut bench = Bench::new(&[1, 1]);
-    let term = bench.elect();
-    bench.step(Event::Persisted(2));
-    bench.ack(2, term, 3);
-    assert_eq!(changed(&mut bench, 4), None);
-    assert_eq!(changed(&mut bench, 5), Some(Cause::Busy));
-    bench.step(Event::Persisted(3));
-    bench.ack(2, term, 4);
-    assert_eq!(changed(&mut bench, 5), None);
+    let mut harness = Harness::new(&[1, 1]);
+    let term = harness.elect();
+    harness.step(Event::Persisted(2));
+    harness.ack(2, term, 3);
+    assert_eq!(changed(&mut harness, 4), None);
+    assert_eq!(changed(&mut harness, 5), Some(Cause::Busy));
+    harness.step(Event::Persisted(3));
+    harness.ack(2, term, 4);
+    assert_eq!(changed(&mut harness, 5), None);
 }
 
 #[test]
@@ -324,12 +324,12 @@
     // the first arrives. It must not overwrite entries of the second. The refusal
     // must carry the actual end of the log: its receiver may lead the next term
     // when it arrives, and would bar a store that seems to have lost entries.
-    let mut bench = Bench::new(&[1]);
-    let effects = bench.append(3, 6, (1, 1), &[entry(2, 6)]);
-    let refusal = bench.append(2, 5, (1, 1), &[entry(2, 5)]);
-    assert_eq!(bench.replica.log().term(2), Some(6));
+    let mut harness = Harness::new(&[1]);
+    let effects = harness.append(3, 6, (1, 1), &[entry(2, 6)]);
+    let refusal = harness.append(2, 5, (1, 1), &[entry(2, 5)]);
+    assert_eq!(harness.replica.log().term(2), Some(6));
     assert_eq!(written(&refusal), None);
-    let effects = bench.step(Event::Persisted(written(&effects).unwrap()));
+    let effects = harness.step(Event::Persisted(written(&effects).unwrap()));
     let ends = effects.iter().filter_map(|e| match e {
         Effect::Send(message) => message.body.as_ref(),
         _ => None,
@@ -343,9 +343,9 @@
     // A host loses its disk. Its new store knows only the contacts, and the leader
     // is none of them. Unless a contact forwards the hello, the store never votes
     // again, and the next two failures cost the quorum.
-    let mut bench = Bench::new(&[1]);
-    bench.append(2, 1, (1, 1), &[]);
-    let effects = bench.receive(9, 0, Body::Hello(Hello::default()));
+    let mut harness = Harness::new(&[1]);
+    harness.append(2, 1, (1, 1), &[]);
+    let effects = harness.receive(9, 0, Body::Hello(Hello::default()));
     let forwarded = effects.iter().find_map(|e| match e {
         Effect::Send(m) if m.to == 2 => m.body.clone(),
         _ => None,
@@ -358,17 +358,17 @@
 
 #[test]
 fn forward_hello_lists_non_member() {
-    let mut bench = Bench::new(&[1]);
-    bench.elect();
+    let mut harness = Harness::new(&[1]);
+    harness.elect();
     let hello = ForwardHello {
         peer: Some(peer(9)),
     };
-    bench.receive(2, 0, Body::ForwardHello(hello));
-    assert!(bench.replica.non_members().any(|p| p == peer(9)));
+    harness.receive(2, 0, Body::ForwardHello(hello));
+    assert!(harness.replica.non_members().any(|p| p == peer(9)));
 }
 
-/// Whether the effects ask for a pre-vote, or for a vote.
-fn asks(effects: &[Effect], pre: bool) -> bool {
+/// Whether the effects request a pre-vote, or a vote.
+fn requests_vote(effects: &[Effect], pre: bool) -> bool {
     effects.iter().any(|e| match e {
         Effect::Send(message) => matches!(&message.body, Some(Body::Vote(v)) if v.pre == pre),
         _ => false,
@@ -380,38 +380,38 @@
     // All voters are killed at once and restart without a leader. When each waited
     // at least a whole election timeout for its first campaign, callers waited
     // twice as long as the restart itself took.
-    let mut bench = Bench::new(&[1]);
-    bench.now = bench.now + ELECTION * 2 / 3;
-    let effects = bench.step(Event::Tick);
-    assert!(asks(&effects, true));
+    let mut harness = Harness::new(&[1]);
+    harness.now = harness.now + ELECTION * 2 / 3;
+    let effects = harness.step(Event::Tick);
+    assert!(requests_vote(&effects, true));
     // No other voter was up. The next pre-vote follows as soon.
-    bench.now = bench.now + ELECTION * 2 / 3;
-    assert!(asks(&bench.step(Event::Tick), true));
+    harness.now = harness.now + ELECTION * 2 / 3;
+    assert!(requests_vote(&harness.step(Event::Tick), true));
     // The vote itself gets the whole timeout, since it waits for disks.
-    let term = bench.replica.term() + 1;
+    let term = harness.replica.term() + 1;
     let ack = VoteAck {
         pre: true,
         granted: true,
         ..VoteAck::default()
     };
-    let effects = bench.receive(2, term, Body::VoteAck(ack));
+    let effects = harness.receive(2, term, Body::VoteAck(ack));
     let seq = written(&effects).unwrap();
-    assert!(asks(&bench.step(Event::Persisted(seq)), false));
-    bench.now = bench.now + ELECTION - Duration::from_millis(1);
-    let effects = bench.step(Event::Tick);
-    assert!(!asks(&effects, true) && !asks(&effects, false));
+    assert!(requests_vote(&harness.step(Event::Persisted(seq)), false));
+    harness.now = harness.now + ELECTION - Duration::from_millis(1);
+    let effects = harness.step(Event::Tick);
+    assert!(!requests_vote(&effects, true) && !requests_vote(&effects, false));
 }
 
 #[test]
 fn campaign_after_silence() {
     // A leader with earlier contact gets the whole timeout: a slow sync may delay
     // its heartbeats, and each needless election interrupts all changes.
-    let mut bench = Bench::new(&[1]);
-    bench.append(2, 1, (1, 1), &[]);
-    bench.now = bench.now + ELECTION - Duration::from_millis(1);
-    assert!(!asks(&bench.step(Event::Tick), true));
-    bench.now = bench.now + ELECTION + Duration::from_millis(1);
-    assert!(asks(&bench.step(Event::Tick), true));
+    let mut harness = Harness::new(&[1]);
+    harness.append(2, 1, (1, 1), &[]);
+    harness.now = harness.now + ELECTION - Duration::from_millis(1);
+    assert!(!requests_vote(&harness.step(Event::Tick), true));
+    harness.now = harness.now + ELECTION + Duration::from_millis(1);
+    assert!(requests_vote(&harness.step(Event::Tick), true));
 }
 
 /// Answer of another member to the hello of a restarted store.
@@ -432,44 +432,44 @@
 /// lack state.
 #[test]
 fn rejoin_takes_no_part() {
-    let mut bench = Bench::with_boot(2, &[1]);
-    let mut effects = bench.vote(2, 5);
-    effects.extend(bench.append(2, 5, (1, 1), &[entry(2, 5)]));
-    effects.extend(bench.receive(2, 5, hello_ack(5, (1, 1))));
-    effects.extend(bench.vote(2, 5));
+    let mut harness = Harness::with_boot(2, &[1]);
+    let mut effects = harness.vote(2, 5);
+    effects.extend(harness.append(2, 5, (1, 1), &[entry(2, 5)]));
+    effects.extend(harness.receive(2, 5, hello_ack(5, (1, 1))));
+    effects.extend(harness.vote(2, 5));
     assert!(!granted(&effects) && acks(&effects).is_empty());
-    bench.now = bench.now + ELECTION;
-    assert!(!asks(&bench.step(Event::Tick), true));
+    harness.now = harness.now + ELECTION;
+    assert!(!requests_vote(&harness.step(Event::Tick), true));
 }
 
 /// Guards against a second vote in a term by a store on a copy of its directory
 /// that lacks the first one.
 #[test]
-fn rejoin_forgotten_vote() {
-    let mut bench = Bench::with_boot(2, &[1]);
-    bench.receive(2, 0, hello_ack(5, (1, 1)));
-    let effects = bench.receive(3, 0, hello_ack(4, (1, 1)));
-    bench.step(Event::Persisted(written(&effects).unwrap()));
-    assert_eq!(bench.replica.term(), 5);
-    let refused = bench.vote(3, 5);
-    let late = written(&refused).map(|seq| bench.step(Event::Persisted(seq)));
+fn rejoin_lost_vote() {
+    let mut harness = Harness::with_boot(2, &[1]);
+    harness.receive(2, 0, hello_ack(5, (1, 1)));
+    let effects = harness.receive(3, 0, hello_ack(4, (1, 1)));
+    harness.step(Event::Persisted(written(&effects).unwrap()));
+    assert_eq!(harness.replica.term(), 5);
+    let refused = harness.vote(3, 5);
+    let late = written(&refused).map(|seq| harness.step(Event::Persisted(seq)));
     assert!(!granted(&refused) && !late.is_some_and(|e| granted(&e)));
-    let effects = bench.vote(3, 6);
-    let effects = bench.step(Event::Persisted(written(&effects).unwrap()));
+    let effects = harness.vote(3, 6);
+    let effects = harness.step(Event::Persisted(written(&effects).unwrap()));
     assert!(granted(&effects));
 }
 
 /// Guards against a vote for a log that lacks entries which this store may have
 /// acknowledged and lost.
 #[test]
-fn rejoin_forgotten_entry() {
-    let mut bench = Bench::with_boot(2, &[1]);
-    bench.receive(2, 0, hello_ack(5, (5, 3)));
-    let effects = bench.receive(3, 0, hello_ack(5, (1, 1)));
-    bench.step(Event::Persisted(written(&effects).unwrap()));
-    bench.now = bench.now + 2 * ELECTION;
+fn rejoin_lost_entry() {
+    let mut harness = Harness::with_boot(2, &[1]);
+    harness.receive(2, 0, hello_ack(5, (5, 3)));
+    let effects = harness.receive(3, 0, hello_ack(5, (1, 1)));
+    harness.step(Event::Persisted(written(&effects).unwrap()));
+    harness.now = harness.now + 2 * ELECTION;
     assert!(
-        !asks(&bench.step(Event::Tick), true),
+        !requests_vote(&harness.step(Event::Tick), true),
         "its own log is behind"
     );
     let vote = |last_index| {
@@ -479,11 +479,11 @@
             ..Vote::default()
         })
     };
-    let effects = bench.receive(3, 6, vote(2));
-    let late = written(&effects).map(|seq| bench.step(Event::Persisted(seq)));
+    let effects = harness.receive(3, 6, vote(2));
+    let late = written(&effects).map(|seq| harness.step(Event::Persisted(seq)));
     assert!(!granted(&effects) && !late.is_some_and(|e| granted(&e)));
-    let effects = bench.receive(2, 7, vote(3));
-    let effects = bench.step(Event::Persisted(written(&effects).unwrap()));
+    let effects = harness.receive(2, 7, vote(3));
+    let effects = harness.step(Event::Persisted(written(&effects).unwrap()));
     assert!(granted(&effects));
 }
 
@@ -491,25 +491,26 @@
 /// many are unreachable as the group tolerates.
 #[test]
 fn rejoin_unanswered() {
-    let mut bench = Bench::with_boot(2, &[1]);
-    let mut asked = false;
+    let mut harness = Harness::with_boot(2, &[1]);
+    let mut campaigned = false;
     for _ in 0..60 {
-        bench.now = bench.now + ELECTION / 10;
-        let effects = bench.step(Event::Tick);
-        let synced = written(&effects).map(|seq| bench.step(Event::Persisted(seq)));
-        asked |= asks(&effects, true) || synced.is_some_and(|e| asks(&e, true));
+        harness.now = harness.now + ELECTION / 10;
+        let effects = harness.step(Event::Tick);
+        let synced = written(&effects).map(|seq| harness.step(Event::Persisted(seq)));
+        campaigned |=
+            requests_vote(&effects, true) || synced.is_some_and(|e| requests_vote(&e, true));
     }
-    assert_eq!(bench.replica.confirmed(), Some(false));
-    assert!(asked);
+    assert_eq!(harness.replica.confirmed(), Some(false));
+    assert!(campaigned);
 }
 
 /// Guards against a commit that counts an acknowledgement which a later run of
 /// its store may lack.
 #[test]
 fn ack_of_earlier_run() {
-    let mut bench = Bench::new(&[1]);
-    let term = bench.elect();
-    bench.step(Event::Persisted(2));
+    let mut harness = Harness::new(&[1]);
+    let term = harness.elect();
+    harness.step(Event::Persisted(2));
     let ack = |index, seen| {
         Body::AppendAck(AppendAck {
             matched: true,
@@ -520,35 +521,35 @@
         })
     };
     let later = SeenRun { store: 2, boot: 2 };
-    bench.receive(3, term, ack(1, vec![later]));
-    bench.receive(2, term, ack(2, Vec::new()));
-    assert_eq!(bench.replica.commit(), 0);
-    bench.receive(3, term, ack(2, vec![later]));
-    assert_eq!(bench.replica.commit(), 2);
+    harness.receive(3, term, ack(1, vec![later]));
+    harness.receive(2, term, ack(2, Vec::new()));
+    assert_eq!(harness.replica.commit(), 0);
+    harness.receive(3, term, ack(2, vec![later]));
+    assert_eq!(harness.replica.commit(), 2);
 }
 
 /// Guards against an election that counts a vote which a later run of its store
 /// may lack.
 #[test]
 fn vote_of_earlier_run() {
-    let mut bench = Bench::new(&[1]);
-    bench.now = bench.now + 3 * ELECTION;
-    bench.step(Event::Tick);
-    let term = bench.replica.term() + 1;
+    let mut harness = Harness::new(&[1]);
+    harness.now = harness.now + 3 * ELECTION;
+    harness.step(Event::Tick);
+    let term = harness.replica.term() + 1;
     let ack = |pre, granted, seen| Body::VoteAck(VoteAck { pre, granted, seen });
-    let effects = bench.receive(2, term, ack(true, true, Vec::new()));
+    let effects = harness.receive(2, term, ack(true, true, Vec::new()));
     let later = vec![SeenRun { store: 2, boot: 2 }];
-    bench.receive(3, term, ack(false, false, later));
-    bench.receive(2, term, ack(false, true, Vec::new()));
-    bench.step(Event::Persisted(written(&effects).unwrap()));
-    assert!(!bench.replica.is_leader());
+    harness.receive(3, term, ack(false, false, later));
+    harness.receive(2, term, ack(false, true, Vec::new()));
+    harness.step(Event::Persisted(written(&effects).unwrap()));
+    assert!(!harness.replica.is_leader());
 }
 
 /// Guards against a panic: a committed entry that differs from the leader's is an
 /// error with a remedy.
 #[test]
 fn append_other_than_committed() {
-    let mut bench = Bench::new(&[1]);
+    let mut harness = Harness::new(&[1]);
     let append = Append {
         prev_index: 1,
         prev_term: 1,
@@ -556,8 +557,8 @@
         commit: 2,
         ..Append::default()
     };
-    bench.receive(2, 2, Body::Append(append));
-    let effects = bench.append(3, 3, (1, 1), &[entry(2, 3)]);
+    harness.receive(2, 2, Body::Append(append));
+    let effects = harness.append(3, 3, (1, 1), &[entry(2, 3)]);
     let diverged = |e: &Effect| matches!(e, Effect::Diverged { index: 2 });
     assert!(effects.iter().any(diverged));
     assert!(acks(&effects).is_empty());
@@ -567,11 +568,11 @@
 /// its log reaches the acknowledged index, with entries of an earlier term.
 #[test]
 fn ack_of_copy_other_entries() {
-    let mut bench = Bench::new(&[1, 1]);
-    let term = bench.elect();
-    bench.step(Event::Persisted(2));
-    bench.ack(2, term, 3);
-    bench.ack(3, term, 3);
+    let mut harness = Harness::new(&[1, 1]);
+    let term = harness.elect();
+    harness.step(Event::Persisted(2));
+    harness.ack(2, term, 3);
+    harness.ack(3, term, 3);
     let refusal = AppendAck {
         index: 3,
         hint: 3,
@@ -589,8 +590,8 @@
         body: Some(Body::AppendAck(refusal)),
         ..Message::default()
     };
-    bench.step(Event::Message(message));
-    let members = bench.replica.log().members().1;
+    harness.step(Event::Message(message));
+    let members = harness.replica.log().members().1;
     assert_eq!(members.role(peer(3)), Some(Role::Barred));
 }
 
@@ -598,9 +599,9 @@
 /// lost answers as an empty store, and need not be waited for.
 #[test]
 fn rejoin_beside_lost_disk() {
-    let mut bench = Bench::with_boot(2, &[1]);
-    bench.receive(2, 0, hello_ack(1, (1, 1)));
-    assert_eq!(bench.replica.confirmed(), None);
+    let mut harness = Harness::with_boot(2, &[1]);
+    harness.receive(2, 0, hello_ack(1, (1, 1)));
+    assert_eq!(harness.replica.confirmed(), None);
     let blank = HelloAck {
         run: 1,
         rejoined: true,
@@ -616,6 +617,6 @@
         body: Some(Body::HelloAck(blank)),
         ..Message::default()
     };
-    bench.step(Event::Message(message));
-    assert_eq!(bench.replica.confirmed(), Some(true));
+    harness.step(Event::Message(message));
+    assert_eq!(harness.replica.confirmed(), Some(true));
 }
--- a/src/tests/simulation/mod.rs
+++ b/src/tests/simulation/mod.rs
@@ -350,8 +350,8 @@
             };
             self.replace_barred(at, group);
             let core = self.nodes[at].core.as_ref().unwrap();
-            let strangers: Vec<Peer> = core.replica(group as usize).non_members().collect();
-            for peer in strangers {
+            let non_members: Vec<Peer> = core.replica(group as usize).non_members().collect();
+            for peer in non_members {
                 if self.store(peer.id) == peer.store {
                     self.change(at, group, Change::Add(peer));
                 }
@@ -434,8 +434,8 @@
         if self.nodes[at].catching_up {
             let trusted = status.iter().any(|s| s.confirmed == Some(false));
             assert!(!trusted, "an instance on a copy trusts its directory");
-            let asks = status.iter().any(|s| s.confirmed.is_none());
-            let catching_up = asks || (0..GROUPS).any(|g| !self.has_copies_current(g));
+            let querying = status.iter().any(|s| s.confirmed.is_none());
+            let catching_up = querying || (0..GROUPS).any(|g| !self.has_copies_current(g));
             self.nodes[at].catching_up = catching_up;
         }
         for status in status.iter().filter(|s| s.leads) {
--- a/src/tests/simulation/runs.rs
+++ b/src/tests/simulation/runs.rs
@@ -132,12 +132,12 @@
             let status = n.core.as_ref().map(Core::status);
             status.is_none_or(|s| !s.iter().all(answers))
         };
-        let silent = |n: &&Node| {
+        let unavailable = |n: &&Node| {
             let blocked = self.blocked_links.contains(&(id, n.id))
                 || self.blocked_links.contains(&(n.id, id));
             n.id != id && (blocked || unable(n) || n.paused_until > self.now)
         };
-        self.nodes.iter().filter(silent).count()
+        self.nodes.iter().filter(unavailable).count()
     }
 
     /// Whether an instance on a copied disk is still catching up.
--- a/src/tests/simulation/scenarios.rs
+++ b/src/tests/simulation/scenarios.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn found_with_wiped_founder() {
+fn bootstrap_with_wiped_voter() {
     // During bootstrap, the first leader loses its disk. If a majority were enough
     // to bootstrap, two of three could bootstrap again and drop changes that the
     // others had accepted.
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn sleep_through_snapshot() {
+fn pause_through_snapshot() {
     // An instance is paused while the others take snapshots and drop the entries
     // that it lacks. It must catch up from a snapshot, without an election.
     let mut sim = cluster_of_three(5);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn hear_no_leader() {
+fn leader_unreachable_one_way() {
     // The link from the leader to one instance is blocked in one direction. The
     // instance must not depose the leader, which the others can still reach.
     let mut sim = cluster_of_three(8);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn come_back_from_isolation() {
+fn reconnect_after_isolation() {
     // An instance is isolated for a while. It must not raise its term meanwhile,
     // since that would depose the leader when it is connected again.
     let mut sim = cluster_of_three(9);
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn hear_later_run() {
+fn later_run_before_record() {
     // A peer restarts and sends messages at once, and the receiver's power fails
     // before it has recorded the new run. Had it answered, it could have counted a
     // vote of that run, and one of an old copy after its own restart.
--- a/src/tests/voter.rs
+++ b/src/tests/voter.rs
@@ -49,7 +49,7 @@
 }
 
 impl Cluster {
-    fn start(folder: &Path, size: usize) -> Self {
+    fn start(dir: &Path, size: usize) -> Self {
         let mut cluster = Self {
             routes: Arc::new(Mutex::new(vec![None; size])),
             machines: vec![RecordingMachine::default(); size],
@@ -57,16 +57,16 @@
         };
         for at in 0..size {
             cluster.handles.push(None);
-            cluster.start_voter(folder, at);
+            cluster.start_voter(dir, at);
         }
         cluster
     }
 
-    fn start_voter(&mut self, folder: &Path, at: usize) {
+    fn start_voter(&mut self, dir: &Path, at: usize) {
         let size = self.machines.len() as u64;
         let settings = VoterSettings {
             instance: InstanceId(at as u64 + 1),
-            data_dir: folder.join(at.to_string()),
+            data_dir: dir.join(at.to_string()),
             initial_voters: (1..=size).map(InstanceId).collect(),
             election_timeout: Duration::from_millis(400),
             heartbeat_interval: Duration::from_millis(50),
@@ -151,8 +151,8 @@
 
 #[test]
 fn propose_three_voters() {
-    let folder = tempfile::tempdir().unwrap();
-    let cluster = Cluster::start(folder.path(), 3);
+    let dir = tempfile::tempdir().unwrap();
+    let cluster = Cluster::start(dir.path(), 3);
     assert_eq!(cluster.propose("a"), b"1");
     assert_eq!(cluster.propose("b"), b"2");
     for at in 0..3 {
@@ -164,14 +164,14 @@
 fn restart_all() {
     // After accepted changes, the processes restart one after the other, some
     // from a snapshot. Each change must still be applied exactly once.
-    let folder = tempfile::tempdir().unwrap();
-    let mut cluster = Cluster::start(folder.path(), 3);
+    let dir = tempfile::tempdir().unwrap();
+    let mut cluster = Cluster::start(dir.path(), 3);
     for n in 0..50 {
         cluster.propose(&n.to_string());
     }
     for at in 0..3 {
         cluster.stop(at);
-        cluster.start_voter(folder.path(), at);
+        cluster.start_voter(dir.path(), at);
     }
     assert_eq!(cluster.propose("last"), b"51");
     for at in 0..3 {
@@ -180,21 +180,21 @@
 }
 
 #[test]
-fn spawn_locked_folder() {
-    let folder = tempfile::tempdir().unwrap();
-    let mut cluster = Cluster::start(folder.path(), 1);
-    let second = crate::disk::DataDir::open(&folder.path().join("0"));
+fn spawn_locked_dir() {
+    let dir = tempfile::tempdir().unwrap();
+    let mut cluster = Cluster::start(dir.path(), 1);
+    let second = crate::disk::DataDir::open(&dir.path().join("0"));
     assert!(second.is_err());
     cluster.stop(0);
-    assert!(crate::disk::DataDir::open(&folder.path().join("0")).is_ok());
+    assert!(crate::disk::DataDir::open(&dir.path().join("0")).is_ok());
 }
 
 #[test]
 fn propose_after_stop() {
     // An instance shuts down while callers still send changes. Each caller must
     // receive an error that says that nothing was done.
-    let folder = tempfile::tempdir().unwrap();
-    let mut cluster = Cluster::start(folder.path(), 1);
+    let dir = tempfile::tempdir().unwrap();
+    let mut cluster = Cluster::start(dir.path(), 1);
     cluster.propose("a");
     let voter = cluster.voter(0);
     cluster.stop(0);
--- a/src/voter/core.rs
+++ b/src/voter/core.rs
@@ -283,9 +283,9 @@
             .flat_map(|g| &g.replica.log().members().1.members)
             .map(|m| m.store)
             .collect();
-        let founding = members.contains(&0);
+        let bootstrapping = members.contains(&0);
         self.known_runs
-            .retain(|store| founding || members.contains(&store));
+            .retain(|store| bootstrapping || members.contains(&store));
         let images = self.groups.iter().map(|g| g.replica.durable_state());
         let images: BTreeMap<u32, DurableState> = (0..).zip(images).collect();
         self.store.rewrite(&images, self.known_runs.known())
--- a/src/voter/known_runs.rs
+++ b/src/voter/known_runs.rs
@@ -7,8 +7,9 @@
 //! A boot counter alone isn't enough, since a copy that starts often enough
 //! overtakes it.
 //!
-//! Peers can't tell a copy of the latest run itself. Such a store queries them
-//! after its start for the state that it lacks, see [`crate::replica`].
+//! Peers can't tell a copy of the latest run from the original. Such a store
+//! queries them after its start for the state that it lacks, see
+//! [`crate::replica`].
 
 use std::collections::BTreeMap;
 
@@ -30,7 +31,7 @@
 /// Latest runs of other members.
 #[derive(Debug, Default)]
 pub(super) struct KnownRuns {
-    /// Boot counter and run by store. Durable after the next sync.
+    /// Boot counter and run by store. New ones become durable with the next sync.
     known: BTreeMap<u64, (u64, u64)>,
 }
 
--- a/src/voter/responder.rs
+++ b/src/voter/responder.rs
@@ -7,7 +7,7 @@
 ///
 /// The thread may end with unfinished requests when it is stopped, its store
 /// fails or an assertion fails. Without the call on drop, their callers would
-/// wait for ever.
+/// wait indefinitely.
 pub(crate) struct Responder<T, E> {
     done: Option<Callback<T, E>>,
     /// Error that the caller receives if the request is dropped.
