--- a/src/allocate.rs
+++ b/src/allocate.rs
@@ -4,20 +4,20 @@
 
 use crate::catalogue::Catalogue;
 use crate::clock::Time;
-use crate::limit::{Allocator, Ask, Grant};
+use crate::limit::{Allocator, Grant, ShareRequest};
 
 /// The allocator of the term that this instance leads, if it does.
 #[derive(Default)]
-pub(crate) struct Allocation(Mutex<Option<Led>>);
+pub(crate) struct LeaderAllocator(Mutex<Option<TermAllocator>>);
 
-struct Led {
+struct TermAllocator {
     term: u64,
     allocator: Allocator,
     /// Catalogue revision whose limits are in use.
     revision: Option<u64>,
 }
 
-impl Allocation {
+impl LeaderAllocator {
     /// Answers a question for shares in `term`.
     ///
     /// The caller has proved by a quorum, after the question arrived, that
@@ -28,7 +28,7 @@
         now: Time,
         term: u64,
         catalogue: &Catalogue,
-        ask: &Ask,
+        ask: &ShareRequest,
     ) -> Option<Grant> {
         let mut slot = self.0.lock().expect("no holder panics");
         if slot.as_ref().is_some_and(|led| led.term > term) {
@@ -36,7 +36,7 @@
         }
         let led = match slot.take() {
             Some(led) if led.term == term => slot.insert(led),
-            _ => slot.insert(Led {
+            _ => slot.insert(TermAllocator {
                 term,
                 allocator: Allocator::new(now),
                 revision: None,
@@ -47,6 +47,6 @@
             led.allocator.set_limits(routes);
             led.revision = Some(catalogue.revision);
         }
-        led.allocator.ask(now, ask)
+        led.allocator.allocate(now, ask)
     }
 }
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -2,36 +2,36 @@
 
 use super::view::{Services, Upstream, of_service};
 use crate::configuration::Model;
-use crate::decide::health::Standing;
-use crate::decide::load::{Loads, Share, Speed};
+use crate::decide::health::HealthStatus;
+use crate::decide::load::{Contention, Loads, Speed};
 use crate::decide::path::{self, Candidate, Hop, Start, Work};
 use crate::roster::Range;
 
 /// Factor on the cost of an engine whose heartbeats are late.
-const LATE: f64 = 4.0;
+const LATE_PENALTY: f64 = 4.0;
 
 /// Factor on the cost of an engine that fails a part of its requests. It is used
 /// only where there is no path without such ones, and then as few as can be.
-const FAILING: f64 = 8.0;
+const FAILING_PENALTY: f64 = 8.0;
 
 /// Half the width of the random factor on an engine's cost.
-const NOISE: f64 = 0.1;
+const JITTER: f64 = 0.1;
 
 /// Which engines a path may pass through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trust {
+pub(crate) enum HealthPolicy {
     /// Those that aren't left out.
-    Sound,
+    HealthyOnly,
     /// Those too that are left out, but live.
-    Living,
+    AllowFailing,
 }
 
-impl Trust {
+impl HealthPolicy {
     /// Factor on the cost of an engine; none of one that may not be used.
-    pub(crate) fn factor(self, standing: Standing) -> Option<f64> {
+    pub(crate) fn factor(self, standing: HealthStatus) -> Option<f64> {
         match (self, standing) {
-            (_, Standing::Sound) => Some(1.0),
-            (Self::Living, Standing::Failing) => Some(FAILING),
+            (_, HealthStatus::Healthy) => Some(1.0),
+            (Self::AllowFailing, HealthStatus::Failing) => Some(FAILING_PENALTY),
             _ => None,
         }
     }
@@ -65,12 +65,12 @@
         let of = |u: &'a Upstream| {
             let factor = factor(u)?;
             let domain = domains.iter().position(|d| *d == u.domain)?;
-            let share = Share {
+            let share = Contention {
                 instances,
-                copies: copies[domain],
+                replicas: copies[domain],
             };
             let mut candidate = candidate(u, model, loads, share, domain)?;
-            candidate.penalty *= factor;
+            candidate.cost_factor *= factor;
             Some((u, candidate))
         };
         let (engines, candidates) = all.iter().filter_map(of).unzip();
@@ -85,14 +85,14 @@
     /// Restricts the engines at which a path may begin to those that `may_enter` accepts.
     pub(crate) fn restrict_entry(&mut self, may_enter: impl Fn(&Upstream) -> bool) {
         for (engine, candidate) in self.engines.iter().zip(&mut self.candidates) {
-            candidate.enters &= may_enter(engine);
+            candidate.may_enter &= may_enter(engine);
         }
     }
 
     /// Like [`Pool::restrict_entry`], for rate limits. Returns whether the limits exclude
     /// all engines at which a path could begin; false if there were none before.
     pub(crate) fn limit_entry(&mut self, may_send: impl Fn(&Upstream) -> bool) -> bool {
-        let begins = |c: &Candidate| c.enters && c.range.first == 0;
+        let begins = |c: &Candidate| c.may_enter && c.range.first == 0;
         let before = self.candidates.iter().any(begins);
         self.restrict_entry(may_send);
         before && !self.candidates.iter().any(begins)
@@ -113,7 +113,7 @@
     /// the others stay, so that only what is replaced is read again; and it
     /// stays in the domain, since a whole prompt would have to cross the shared
     /// link.
-    pub(crate) fn around(
+    pub(crate) fn replace(
         &self,
         lost: u64,
         booked: &[(u64, Hop)],
@@ -125,11 +125,11 @@
         let before = booked.get(at.checked_sub(1)?)?;
         let home = self.all.iter().find(|u| u.key == before.0)?;
         let range = booked[at].1.range;
-        let start = Start::Behind {
+        let start = Start::After {
             layer: range.first,
             domain: self.domain(&home.domain)?,
         };
-        let noise = |i: usize| spread((draw * 97.0 + i as f64 * 0.618).fract());
+        let noise = |i: usize| jitter((draw * 97.0 + i as f64 * 0.618).fract());
         let found = path::choose(range.end, start, &self.candidates, work, noise).ok()?;
         let mut hops = booked.to_vec();
         hops.splice(at..=at, self.booking(&found));
@@ -141,7 +141,7 @@
 /// their layers; none if the first is one of them. That one has the caller's
 /// connection and can't be replaced, and refuses a path in which it is named
 /// with layers that it gives up.
-pub(crate) fn given_up(upstreams: &[Upstream], booked: &[(u64, Hop)]) -> Vec<u64> {
+pub(crate) fn withdrawn(upstreams: &[Upstream], booked: &[(u64, Hop)]) -> Vec<u64> {
     let stays = |key: u64, part: Range| {
         let mut same = upstreams.iter().filter(|u| u.key == key);
         same.any(|u| u.layers.is_some_and(|held| held.covers(part)))
@@ -156,8 +156,8 @@
 
 /// A factor on a cost, from a `draw` between 0 and 1. Engines of equal cost
 /// take turns by it, though all instances see the same.
-pub(crate) fn spread(draw: f64) -> f64 {
-    1.0 + NOISE * (2.0 * draw - 1.0)
+pub(crate) fn jitter(draw: f64) -> f64 {
+    1.0 + JITTER * (2.0 * draw - 1.0)
 }
 
 fn domains(upstreams: &[Upstream]) -> Vec<&str> {
@@ -191,7 +191,7 @@
     upstream: &Upstream,
     model: &Model,
     loads: &Loads,
-    share: Share,
+    share: Contention,
     domain: usize,
 ) -> Option<Candidate> {
     let range = upstream.layers?;
@@ -204,9 +204,9 @@
         read_ms: speed.read_ms * upstream.pace,
         memory_mb: speed.memory_mb,
         room_mb: speed.room_mb,
-        open: loads.may_add(upstream.key, speed.room_mb, usual, share),
-        used: speed.used,
-        enters: loads.at(upstream.key).entered < f64::from(upstream.slots),
-        penalty: if upstream.late { LATE } else { 1.0 },
+        has_quota: loads.may_add(upstream.key, speed.room_mb, usual, share),
+        utilisation: speed.utilisation,
+        may_enter: loads.at(upstream.key).entered < f64::from(upstream.slots),
+        cost_factor: if upstream.late { LATE_PENALTY } else { 1.0 },
     })
 }
--- a/src/entry/select.rs
+++ b/src/entry/select.rs
@@ -4,13 +4,13 @@
 
 use rand::RngExt;
 
-use super::pool::{self, Pool, Trust};
+use super::pool::{self, HealthPolicy, Pool};
 use super::view::{Upstream, View, of_service};
 use super::{Entry, Shared};
 use crate::clock::Time;
 use crate::configuration::Model;
 use crate::decide::path::{self, Hop, NoPath, Start, Work};
-use crate::decide::pick::{self, Offer};
+use crate::decide::pick::{self, Candidate};
 use crate::decide::quarantine::suspect_may_enter;
 use crate::decide::refusal::Reason;
 use crate::fingerprint::Fingerprint;
@@ -47,7 +47,7 @@
 
 impl Drop for Chosen {
     fn drop(&mut self) {
-        self.entry.shared().loads.leave(&self.booked, &self.work);
+        self.entry.shared().loads.release(&self.booked, &self.work);
     }
 }
 
@@ -66,16 +66,16 @@
 
     /// Engines of the path that get nothing new of `service` any more and can
     /// be replaced.
-    pub(super) fn given_up(&self, service: &str) -> Vec<u64> {
+    pub(super) fn withdrawn(&self, service: &str) -> Vec<u64> {
         let view = self.entry.view();
-        pool::given_up(of_service(&view.services, service), &self.booked)
+        pool::withdrawn(of_service(&view.services, service), &self.booked)
     }
 
     /// A path around some engines, over others of the same `service`; over
     /// failing ones where nothing else leads around.
     pub(super) fn detour(&self, service: &str, lost: &[u64], model: &Model) -> Option<Detour> {
-        let over = |trust| self.detour_over(service, lost, model, trust);
-        over(Trust::Sound).or_else(|| over(Trust::Living))
+        let over = |policy| self.detour_over(service, lost, model, policy);
+        over(HealthPolicy::HealthyOnly).or_else(|| over(HealthPolicy::AllowFailing))
     }
 
     fn detour_over(
@@ -83,26 +83,26 @@
         service: &str,
         lost: &[u64],
         model: &Model,
-        trust: Trust,
+        policy: HealthPolicy,
     ) -> Option<Detour> {
         let view = self.entry.view();
         let now = self.entry.now();
         let shared = self.entry.shared();
         let mut hops = self.booked.clone();
         let work = Work {
-            spare: 0.0,
-            turns: false,
+            headroom: 0.0,
+            obeys_quota: false,
             ..self.work
         };
         for lost in lost {
             let passed: Vec<u64> = hops.iter().map(|(key, _)| *key).collect();
             let usable = |u: &Upstream| !u.late && !passed.contains(&u.key);
-            let pool = shared.pool(now, &view, service, model, trust, usable);
-            hops = pool.around(*lost, &hops, &work, rand::rng().random())?;
+            let pool = shared.pool(now, &view, service, model, policy, usable);
+            hops = pool.replace(*lost, &hops, &work, rand::rng().random())?;
         }
         drop(shared);
         assert!(
-            path::is_gapless(0, model.layers, hops.iter().map(|(_, h)| h.range)),
+            path::is_contiguous(0, model.layers, hops.iter().map(|(_, h)| h.range)),
             "a detour with a gap: {hops:?}"
         );
         let text = encode(&hops);
@@ -112,8 +112,8 @@
     /// Books another path for the rest of the attempt.
     pub(super) fn follow(&mut self, detour: Detour) {
         let mut shared = self.entry.shared();
-        shared.loads.leave(&self.booked, &self.work);
-        shared.loads.enter(&detour.hops, &self.work);
+        shared.loads.release(&self.booked, &self.work);
+        shared.loads.book(&detour.hops, &self.work);
         drop(shared);
         self.booked = detour.hops;
         self.path = Some(detour.text);
@@ -123,7 +123,7 @@
     pub(super) fn succeeded(&self) {
         let health = &mut self.entry.shared().health;
         for (upstream, _) in &self.booked {
-            health.succeeded(*upstream);
+            health.record_success(*upstream);
         }
     }
 }
@@ -137,15 +137,15 @@
         view: &'a View,
         service: &str,
         model: &Model,
-        trust: Trust,
+        policy: HealthPolicy,
         usable: impl Fn(&Upstream) -> bool,
     ) -> Pool<'a> {
         let factor = |u: &Upstream| {
-            let standing = self.health.standing(now, u.key, u.late);
-            let standing = standing.told(u.suspected);
-            trust.factor(standing).filter(|_| usable(u))
+            let standing = self.health.status(now, u.key, u.late);
+            let standing = standing.with_suspicion(u.suspected);
+            policy.factor(standing).filter(|_| usable(u))
         };
-        let (services, instances) = (&view.services, view.entries());
+        let (services, instances) = (&view.services, view.entry_count());
         Pool::new(services, service, model, &self.loads, instances, factor)
     }
 }
@@ -156,10 +156,10 @@
     answer: 0.0,
     token_mb: 0.0,
     crossing_ms: 0.0,
-    crosses: false,
-    home: 0,
-    spare: 0.0,
-    turns: false,
+    may_cross: false,
+    caller_domain: 0,
+    headroom: 0.0,
+    obeys_quota: false,
 };
 
 impl Entry {
@@ -196,14 +196,14 @@
         let upstreams = of_service(&view.services, service);
         let now = self.now();
         let shared = self.shared();
-        let offers: Vec<Offer> = upstreams
+        let offers: Vec<Candidate> = upstreams
             .iter()
-            .map(|u| Offer {
+            .map(|u| Candidate {
                 requests: shared.loads.at(u.key).requests,
                 slots: u.slots.into(),
-                near: u.domain == self.boot.domain,
+                same_domain: u.domain == self.boot.domain,
                 late: u.late,
-                out: u.suspected || shared.health.is_out(now, u.key),
+                excluded: u.suspected || shared.health.is_excluded(now, u.key),
                 tried: exclusions.tried.contains(&u.key) || !exclusions.may_enter(u.key),
                 limited: !shared.rate_limiter.may_send(now, u.key, &u.id, u.born),
             })
@@ -232,9 +232,9 @@
         work: Work,
         exclusions: Exclusions<'_>,
     ) -> Result<Chosen, Reason> {
-        let over = |trust| self.path_over(view, service, model, work, exclusions, trust);
-        match over(Trust::Sound) {
-            Err(Reason::NoUpstream) => over(Trust::Living),
+        let over = |policy| self.path_over(view, service, model, work, exclusions, policy);
+        match over(HealthPolicy::HealthyOnly) {
+            Err(Reason::NoUpstream) => over(HealthPolicy::AllowFailing),
             found => found,
         }
     }
@@ -246,23 +246,25 @@
         model: &Model,
         mut work: Work,
         exclusions: Exclusions<'_>,
-        trust: Trust,
+        policy: HealthPolicy,
     ) -> Result<Chosen, Reason> {
         let now = self.now();
         let usable = |u: &Upstream| !exclusions.tried.contains(&u.key);
-        let mut pool = self.shared().pool(now, view, service, model, trust, usable);
+        let mut pool = self
+            .shared()
+            .pool(now, view, service, model, policy, usable);
         pool.restrict_entry(|u| exclusions.may_enter(u.key));
         let shared = self.shared();
         let limiter = &shared.rate_limiter;
         let limited = pool.limit_entry(|u| limiter.may_send(now, u.key, &u.id, u.born));
         drop(shared);
         // A caller's domain without engines is none of theirs.
-        work.home = pool.domain(&self.boot.domain).unwrap_or(usize::MAX);
+        work.caller_domain = pool.domain(&self.boot.domain).unwrap_or(usize::MAX);
         let mut rng = rand::rng();
         let noise: Vec<f64> = pool
             .candidates
             .iter()
-            .map(|_| pool::spread(rng.random()))
+            .map(|_| pool::jitter(rng.random()))
             .collect();
         let search = |work: &Work| {
             let noise = |i: usize| noise[i];
@@ -270,22 +272,22 @@
         };
         let mut found = search(&work);
         if found.is_err() {
-            work.crosses = true;
+            work.may_cross = true;
             found = search(&work).and_then(|hops| {
                 let crossings = path::crossings(&pool.candidates, &hops) as f64;
-                let occupied = crossings * work.occupies();
+                let occupied = crossings * work.link_ms();
                 let link = &mut self.shared().link;
-                let free = link.take(now, view.entries(), occupied);
+                let free = link.try_acquire(now, view.entry_count(), occupied);
                 if free { Ok(hops) } else { Err(NoPath::Full) }
             });
         }
         let hops = found.map_err(|e| match e {
-            NoPath::Missing(_) => Reason::NoUpstream,
+            NoPath::MissingLayer(_) => Reason::NoUpstream,
             NoPath::Full if limited => Reason::Limited,
             NoPath::Full => Reason::Full,
         })?;
         assert!(
-            path::is_whole(0, model.layers, &pool.candidates, &hops),
+            path::is_complete(0, model.layers, &pool.candidates, &hops),
             "a path that doesn't cover each layer once and in order: {hops:?}"
         );
         let booked = pool.booking(&hops);
@@ -301,7 +303,7 @@
         booked: Vec<(u64, Hop)>,
         work: Work,
     ) -> Chosen {
-        self.shared().loads.enter(&booked, &work);
+        self.shared().loads.book(&booked, &work);
         Chosen {
             entry: Arc::clone(self),
             upstream,
