--- a/src/voter.rs
+++ b/src/voter.rs
@@ -294,7 +294,11 @@
     fn run(mut self) -> Result<(), StoreError> {
         let outcome = self.serve();
         if let Err(error) = &outcome {
-            tracing::error!(event = event::STORE_FAILED.id, %error, "store failed; stopping the voter");
+            tracing::error!(
+                event = event::STORE_FAILED.id,
+                %error,
+                "store failed; stopping the voter"
+            );
         }
         outcome
     }
