--- a/src/decide/demand.rs
+++ b/src/decide/demand.rs
@@ -1,45 +1,46 @@
-//! How many requests ask for room on the engines between two reports.
+//! Counts the requests that ask for room on the engines between two reports.
 //!
-//! Load pattern: hundreds of instances with about one request a second each. Room
-//! that is divided among all of them falls mostly to those that have no request in
-//! hand before the next report; it stays free while another instance's request
-//! waits for its turn, is late or is refused. So room is divided among the requests
-//! that ask for it, as long as they are fewer than the instances.
+//! Load pattern: hundreds of instances with about one request a second each. Room that is
+//! divided among all of them goes mostly to instances that get no request before the next
+//! report. It stays free while another instance's request waits for its quota, is late or is
+//! refused. Room is therefore divided among the requests that ask for it, as long as they
+//! are fewer than the instances.
 
-/// Requests that asked for room, here and at all instances together.
+/// Requests that asked for room, at this instance and at all instances together.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Demand {
-    /// Here, since the last report; `None` before the first.
+    /// At this instance since the last report; `None` before the first.
     asked: Option<u32>,
-    /// Here, between the latest two reports; `None` before there were two.
+    /// At this instance between the latest two reports; `None` before the second.
     local: Option<u32>,
-    /// At all instances, between two reports; `None` until it was told.
-    all: Option<u32>,
+    /// At all instances between two reports; `None` until the leader reported it.
+    total: Option<u32>,
 }
 
 impl Demand {
-    /// Notes that a request asks for room.
+    /// Records that a request asks for room.
     pub(crate) fn record_request(&mut self) {
         self.asked = self.asked.map(|asked| asked + 1);
     }
 
-    /// Notes a report, and the requests at all instances if it tells of them. The
-    /// `waiting` ones ask again.
-    pub(crate) fn update(&mut self, all: Option<u32>, waiting: u32) {
+    /// Applies a report, with the number of requests at all instances if it contains one.
+    /// The `waiting` requests of this instance ask again.
+    pub(crate) fn update(&mut self, total: Option<u32>, waiting: u32) {
         self.local = self.asked.replace(waiting);
-        self.all = all;
+        self.total = total;
     }
 
-    /// Requests at this instance between two reports, to be told. While instances
-    /// don't know, their number stands for that of their requests.
+    /// Number of requests at this instance between two reports, as reported to the leader.
+    /// Until an instance knows it, it reports one, so that the number of instances stands
+    /// in for the number of requests.
     pub(crate) fn local(&self) -> u32 {
         self.local.unwrap_or(1)
     }
 
-    /// Among how many the room is divided: the `instances`, or the requests if
-    /// these are fewer.
+    /// Number of parts into which room is divided: the `instances`, or the requests if these
+    /// are fewer.
     pub(crate) fn sharers(&self, instances: u32) -> f64 {
-        let requests = self.all.unwrap_or(instances);
+        let requests = self.total.unwrap_or(instances);
         f64::from(requests.min(instances).max(1))
     }
 }
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -1,73 +1,73 @@
-//! Which upstreams are avoided for a while because requests failed there.
+//! Excludes upstreams for a short time after requests failed there.
 //!
-//! Load pattern: an engine dies or turns bad while its heartbeats still look
-//! good for some seconds, and every request that is sent there meanwhile is
-//! lost time. It is left out at once, for a short time that doubles with each
-//! further failure, so that one lost answer costs little and a dead engine is
-//! asked rarely.
+//! Load pattern: an engine dies or degrades while its heartbeats still look good for some
+//! seconds, and every request that is sent there meanwhile loses time. The engine is excluded
+//! at once, for a short time that doubles with each further failure, so that one lost response
+//! costs little and a dead engine is rarely tried.
 //!
-//! An engine that fails only a part of its requests is left out as well. Where all
-//! holders of a layer are left out, those that answer are used all the same.
+//! Engines that fail only a part of their requests are excluded as well. If all holders of a
+//! layer are excluded, those that still respond are used anyway.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 use crate::collections::HashMap;
 
-/// Time out after a first failure: about two heartbeats' worth of waiting for
-/// the controller to notice a dead engine.
-const FIRST_OUT: Duration = Duration::from_millis(1_500);
+/// Exclusion after a first failure, in the range of the two heartbeats after which the
+/// controller notices a dead engine.
+const FAILURE_EXCLUSION: Duration = Duration::from_millis(1_500);
 
-/// Time out after a first quick refusal, doubled while no request gets through
-/// in between. An engine that is short of memory takes the next request soon;
-/// left out for longer, a busy second would take the first engine of a whole
-/// domain away. The neighbours of a dead engine refuse as quickly, and go on.
-const REFUSED_OUT: Duration = Duration::from_millis(200);
+/// Exclusion after a first immediate refusal, doubled with each refusal until a request
+/// succeeds. An engine that is short of memory soon accepts requests again; a longer exclusion
+/// would remove the first engine of a whole domain because of one busy second. The neighbours
+/// of a dead engine refuse as quickly, but keep refusing.
+const REFUSAL_EXCLUSION: Duration = Duration::from_millis(200);
 
-/// Quick refusals in a row that a living engine hardly gives.
+/// Number of consecutive immediate refusals from which an engine looks dead. A living engine
+/// rarely gives as many.
 const DEAD_REFUSALS: u32 = 3;
 
-/// Share of an engine's memory for requests below which it isn't full: requests are
-/// placed only where a tenth is left, and the others' work is known to a report.
+/// Fraction of an engine's memory for requests below which it is not full. Requests are placed
+/// only where a tenth is left, and the load of other instances is known as of the last report.
 const FULL: f64 = 0.75;
 
-/// Longest time out. A recovered engine is found again within it.
-const MOST_OUT: Duration = Duration::from_secs(6);
+/// Maximum exclusion, and so the time within which a recovered engine is used again.
+const MAX_EXCLUSION: Duration = Duration::from_secs(6);
 
-/// Time without a failure after which earlier ones are forgotten.
-const FORGET: Duration = Duration::from_secs(10);
+/// Time without a failure after which earlier ones no longer count.
+const RETENTION: Duration = Duration::from_secs(10);
 
-/// Heartbeats for which a sign of death is told to the leader: the two that it
-/// waits for, the way of the news, and a round of its looking after upstreams.
+/// Time for which an unresponsive upstream is reported to the leader, in heartbeats: the two
+/// that the leader waits for, the transit of the report, and a round of its upstream checks.
 const SUSPECT_BEATS: f64 = 2.5;
 
-/// Time after the first sign of death from which an upstream that isn't known to
-/// be gone counts as alive. The heartbeats of one that died are late by then.
-const PROVED: Duration = Duration::from_millis(1_500);
+/// Time after an upstream first looked dead from which it counts as alive if its heartbeats
+/// are on time. The heartbeats of an upstream that died are late by then.
+const PROOF_OF_LIFE: Duration = Duration::from_millis(1_500);
 
-/// Whether an upstream that refuses may just be full, with the share `used` of its
-/// memory for requests, if that is known.
+/// Whether an upstream that refuses may just be full, given the utilisation of its memory for
+/// requests, if known.
 ///
-/// The neighbours of a dead engine refuse in its name as quickly as one that is short
-/// of memory does itself. One that has room and refuses looks dead: left out for
-/// [`REFUSED_OUT`] only, it is asked by each of hundreds of instances up to four times
-/// before the leader gives it up, and their retries are used up by it.
-pub(crate) fn may_be_full(used: Option<f64>) -> bool {
-    used.is_none_or(|used| used >= FULL)
+/// The neighbours of a dead engine refuse on its behalf as quickly as an engine that is short
+/// of memory. An engine that has room and refuses looks dead: if it were excluded for
+/// [`REFUSAL_EXCLUSION`] only, each of hundreds of instances would try it up to four times
+/// before the leader drops it, and use up their retries.
+pub(crate) fn may_be_full(utilisation: Option<f64>) -> bool {
+    utilisation.is_none_or(|u| u >= FULL)
 }
 
 /// Whether an upstream may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthStatus {
     Healthy,
-    /// Left out, but it lives: used where nothing else can serve.
+    /// Excluded but alive: used only where no other upstream can serve.
     Failing,
-    /// Left out, and it looks dead.
+    /// Excluded, and it looks dead.
     Dead,
 }
 
 impl HealthStatus {
-    /// With what the leader tells: several instances found it dead.
+    /// Downgrades a healthy upstream that several instances suspect to be dead.
     pub(crate) fn with_suspicion(self, suspected: bool) -> Self {
         match self {
             Self::Healthy if suspected => Self::Failing,
@@ -79,86 +79,87 @@
 #[derive(Clone, Copy, Debug)]
 struct Record {
     failures: u32,
-    /// Quick refusals since a request got through.
+    /// Immediate refusals since the last success.
     refusals: u32,
-    last: Time,
-    until: Time,
-    /// First sign of death since a request got through.
-    dead: Option<Time>,
+    last_failure: Time,
+    excluded_until: Time,
+    /// When it first looked dead since the last success.
+    dead_since: Option<Time>,
 }
 
-/// Failures by address key.
+/// Failures of upstreams, by address key.
 #[derive(Debug, Default)]
 pub(crate) struct Health(HashMap<u64, Record>);
 
 impl Health {
-    /// Whether an upstream is left out now.
+    /// Whether an upstream is excluded now.
     pub(crate) fn is_excluded(&self, now: Time, upstream: u64) -> bool {
-        self.0.get(&upstream).is_some_and(|r| now < r.until)
+        self.0
+            .get(&upstream)
+            .is_some_and(|r| now < r.excluded_until)
     }
 
-    /// Whether an upstream may be used now.
+    /// Returns the status of an upstream. `late` tells whether its heartbeats are late.
     ///
-    /// Engines that reset a part of their streams were left out one after the
-    /// other; with all holders of a layer out, an instance refused every request
-    /// at once for as long as 8 s while two of three would have been answered.
-    /// One that looks dead stays out: a request would wait there in vain. But a
-    /// dead one is late within [`PROVED`], so that later on it is only silent to
-    /// some.
+    /// Guards against refusing requests that failing engines would answer: when engines reset
+    /// a part of their streams, all holders of a layer could be excluded at once, and an instance
+    /// refused every request for up to 8 s while two of three would have been answered. An
+    /// upstream that looks dead is not used, since a request would only time out there. But the
+    /// heartbeats of a dead one are late within [`PROOF_OF_LIFE`]; if they are still on time
+    /// then, the upstream is unresponsive to some instances only.
     pub(crate) fn status(&self, now: Time, upstream: u64, late: bool) -> HealthStatus {
-        let Some(record) = self.0.get(&upstream).filter(|r| now < r.until) else {
+        let Some(record) = self.0.get(&upstream).filter(|r| now < r.excluded_until) else {
             return HealthStatus::Healthy;
         };
-        let proved = |since| !late && now.since(since) >= PROVED;
-        match record.dead {
-            Some(since) if !proved(since) => HealthStatus::Dead,
+        let is_alive = |since| !late && now.since(since) >= PROOF_OF_LIFE;
+        match record.dead_since {
+            Some(since) if !is_alive(since) => HealthStatus::Dead,
             _ => HealthStatus::Failing,
         }
     }
 
-    /// Notes that an upstream did nothing: took no connection, or kept silent.
+    /// Records that an upstream accepted no connection or sent nothing.
     pub(crate) fn record_unresponsive(&mut self, now: Time, upstream: u64) {
         self.record_failure(now, upstream);
         let record = self.record(now, upstream);
-        record.dead.get_or_insert(now);
+        record.dead_since.get_or_insert(now);
     }
 
-    /// Notes a failure.
+    /// Records a failure.
     pub(crate) fn record_failure(&mut self, now: Time, upstream: u64) {
         let record = self.record(now, upstream);
-        // Requests that were under way when it was left out fail late; they
-        // say nothing new.
-        if now < record.until {
+        // Requests that were in flight when it was excluded fail late and add no information.
+        if now < record.excluded_until {
             return;
         }
-        if now.since(record.last) >= FORGET {
+        if now.since(record.last_failure) >= RETENTION {
             record.failures = 0;
         }
-        let out = FIRST_OUT.saturating_mul(1 << record.failures.min(8));
+        let exclusion = FAILURE_EXCLUSION.saturating_mul(1 << record.failures.min(8));
         record.failures += 1;
-        record.last = now;
-        record.until = now + out.min(MOST_OUT);
+        record.last_failure = now;
+        record.excluded_until = now + exclusion.min(MAX_EXCLUSION);
     }
 
-    /// Notes that an upstream refused a request at once.
+    /// Records that an upstream refused a request immediately.
     pub(crate) fn record_refusal(&mut self, now: Time, upstream: u64) {
         let record = self.record(now, upstream);
-        if now < record.until {
+        if now < record.excluded_until {
             return;
         }
-        let out = REFUSED_OUT.saturating_mul(1 << record.refusals.min(8));
+        let exclusion = REFUSAL_EXCLUSION.saturating_mul(1 << record.refusals.min(8));
         record.refusals += 1;
         if record.refusals >= DEAD_REFUSALS {
-            record.dead.get_or_insert(now);
+            record.dead_since.get_or_insert(now);
         }
-        record.until = now + out.min(MOST_OUT);
+        record.excluded_until = now + exclusion.min(MAX_EXCLUSION);
     }
 
-    /// Notes that a request got through.
+    /// Records that a request succeeded.
     pub(crate) fn record_success(&mut self, upstream: u64) {
         if let Some(record) = self.0.get_mut(&upstream) {
             record.refusals = 0;
-            record.dead = None;
+            record.dead_since = None;
         }
     }
 
@@ -166,41 +167,47 @@
         let record = self.0.entry(upstream).or_insert(Record {
             failures: 0,
             refusals: 0,
-            last: now,
-            until: now,
-            dead: None,
+            last_failure: now,
+            excluded_until: now,
+            dead_since: None,
         });
-        if now.since(record.until) >= FORGET {
-            record.dead = None;
+        if now.since(record.excluded_until) >= RETENTION {
+            record.dead_since = None;
         }
         record
     }
 
-    /// Upstreams that the leader is told to look dead: those of [`Health::dead`],
-    /// and those that showed a sign of death within the last heartbeats of period
-    /// `beat`, and none of life since.
+    /// Upstreams to report to the leader as suspected dead: those of [`Health::dead`], and
+    /// those that looked dead within the last [`SUSPECT_BEATS`] heartbeats of period `beat` and
+    /// did not succeed since.
     ///
-    /// The leader gives up an upstream that several instances suspect after two
-    /// heartbeats of silence, 2.4 s; left out it is for 1.5 s. Told no longer than
-    /// that, it waited for four heartbeats: of an engine that went dark at 16.0 s
-    /// eight instances told at 16.4, and it was given up at 20.7 with its layers
-    /// missing all the time.
+    /// The leader drops an upstream that several instances suspect after two heartbeats of
+    /// silence, 2.4 s, while an exclusion lasts for 1.5 s. When reports ended with the
+    /// exclusion, the leader waited for four heartbeats: eight instances reported an engine 0.4 s
+    /// after it had stopped, but it was dropped only after 4.7 s, with its layers missing
+    /// until then.
     pub(crate) fn suspects(&self, now: Time, beat: Duration) -> Vec<u64> {
-        let lasts = beat.mul_f64(SUSPECT_BEATS);
-        let silent = |r: &Record| r.dead.is_some_and(|since| now.since(since) < lasts);
-        let silent = self.0.iter().filter(|(_, r)| silent(r));
+        let retention = beat.mul_f64(SUSPECT_BEATS);
+        let unresponsive = |r: &Record| {
+            r.dead_since
+                .is_some_and(|since| now.since(since) < retention)
+        };
+        let unresponsive = self.0.iter().filter(|(_, r)| unresponsive(r));
         let mut suspects = self.dead(now);
-        suspects.extend(silent.map(|(&upstream, _)| upstream));
+        suspects.extend(unresponsive.map(|(&upstream, _)| upstream));
         suspects.sort_unstable();
         suspects.dedup();
         suspects
     }
 
-    /// Upstreams that are left out now for a failure, or since they refuse
-    /// again and again: those that look dead.
+    /// Upstreams that are excluded now for failures or for repeated refusals, and so may be
+    /// dead.
     pub(crate) fn dead(&self, now: Time) -> Vec<u64> {
         let dead = |r: &Record| r.failures > 0 || r.refusals >= DEAD_REFUSALS;
-        let out = self.0.iter().filter(|(_, r)| now < r.until && dead(r));
-        out.map(|(&upstream, _)| upstream).collect()
+        let excluded = self
+            .0
+            .iter()
+            .filter(|(_, r)| now < r.excluded_until && dead(r));
+        excluded.map(|(&upstream, _)| upstream).collect()
     }
 }
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -1,10 +1,9 @@
-//! What each engine has at work: this instance's own requests exactly, those
-//! of the others as last told.
+//! Tracks the load of each engine: this instance's own requests exactly, those of other
+//! instances as of the last report.
 //!
-//! Load pattern: several instances share the engines and each sees only its
-//! own requests at once. An engine whose memory runs out interrupts the newest
-//! request in the middle of its stream, so the sum must be known before a
-//! request is placed, not after it has failed.
+//! Load pattern: several instances share the engines, and each sees only its own requests
+//! immediately. An engine that runs out of memory interrupts the newest request in the middle
+//! of its stream, so the total must be known before a request is placed, not after it failed.
 
 use crate::collections::HashMap;
 use crate::configuration::{Accelerator, Model};
@@ -13,78 +12,73 @@
 use crate::roster::Range;
 use crate::sync::Load;
 
-/// Equal parts of an engine's room that an instance may fill between two
-/// reports. Callers are spread unevenly over the instances; with one part each
-/// room stayed free (73 instances, high load: worth of a day 0.656 with one part,
-/// 0.698 with one and a half, one play each).
-const PART: f64 = 1.5;
+/// Number of equal parts of an engine's room that an instance may fill between two reports.
+/// Callers are spread unevenly over the instances, so with one part each some room stays free.
+const PARTS: f64 = 1.5;
 
-/// Share of the memory for requests that must be left free on each engine of the
-/// path of a usual request, less for a shorter and more for a longer one; and the
-/// part of it that is no longer asked for once the request has waited as long as
-/// it may.
+/// Fraction of an engine's memory for requests that must stay free on the path of a fresh
+/// request of usual length, in proportion to the length for others.
 ///
-/// What is left covers answers that grow longer than expected and what other
-/// instances place meanwhile; and when room is short, a short request finds some
-/// sooner than a long one, which would keep it from several. Under three and a
-/// half times the usual load for 25 s, 2,589 requests were on time while eight
-/// hundredths of the memory were left free for all alike, and 3,957 with this;
-/// the worst-served kind and length got 0.29 and 0.38 of its worth (one play
-/// each). A share, not a number of requests: eleven requests are a tenth of a fast
-/// engine's room and nearly half of a small one's.
-const SPARE: f64 = 0.11;
-const SHRINKS: f64 = 0.3;
-
-/// Times the usual length beyond which a request needs no more room left, so that
-/// no length is shut out; waiting makes up for it as well. With one, 3,603 of the
-/// same requests were on time, with two 4,201 (one play each, room left in requests
-/// instead of as a share).
-const LONG: f64 = 2.0;
-
-/// Holders of each layer at which an instance must have its turn, on average, for
-/// its turns to differ by engine. With four a path of ten engines is found nearly
-/// always; with fewer the same turn at all engines of a path finds more.
-const PLENTY: f64 = 4.0;
-
-/// Part of its wait for which a request that has begun waits for its instance's
-/// turn: a report comes meanwhile.
-const BEGUN_TURNS: f64 = 0.7;
-
-/// Who shares the room of an engine.
+/// The headroom covers responses that grow longer than expected and the requests that other
+/// instances place meanwhile. Because it depends on the length, short requests find room before
+/// a long one takes the place of several: at three and a half times the usual load, 3,957
+/// requests were on time within 25 s, and 2,589 with a headroom of 0.08 for all. It is a
+/// fraction, not a number of requests, since eleven requests are a tenth of a fast engine's
+/// room and nearly half of a small one's.
+const HEADROOM: f64 = 0.11;
+
+/// Part of the headroom that is no longer required once a request has waited as long as it may.
+const WAIT_DISCOUNT: f64 = 0.3;
+
+/// Multiple of the usual length from which the headroom no longer grows, so that no length is
+/// shut out. Under the same load, 4,201 requests were on time with two and 3,603 with one, when
+/// the headroom was still a number of requests.
+const MAX_LENGTH_RATIO: f64 = 2.0;
+
+/// Expected number of holders of a layer at which an instance has quota, from which the quota
+/// is drawn per engine. With four, a path of ten engines nearly always exists; with fewer, the
+/// same draw for all engines of a path finds more paths.
+const MIN_OPEN_REPLICAS: f64 = 4.0;
+
+/// Part of its maximum wait for which a retry obeys its instance's quota, which a report renews
+/// meanwhile.
+const RETRY_QUOTA_WAIT: f64 = 0.7;
+
+/// Instances and engines among which room is divided.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Contention {
-    /// Instances that send requests.
+    /// Number of instances that send requests.
     pub(crate) instances: u32,
-    /// Engines of its domain that hold a layer, on average over the layers.
+    /// Number of engines in the domain that hold a layer, on average over the layers.
     pub(crate) replicas: f64,
 }
 
-/// Work at one engine.
+/// Load of one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Usage {
-    /// Memory that the requests are expected to take, in megabytes.
+    /// Memory that the requests are expected to use, in megabytes.
     pub(crate) memory: f64,
-    /// Requests that pass through it.
+    /// Number of requests that pass through it.
     pub(crate) requests: f64,
-    /// Requests that it received as the first engine.
+    /// Number of requests that enter it as their first engine.
     pub(crate) entered: f64,
 }
 
-/// Work at all engines, by address key.
+/// Load of all engines, by address key.
 #[derive(Debug, Default)]
 pub(crate) struct Loads {
     own: HashMap<u64, Usage>,
     others: HashMap<u64, Usage>,
-    /// What `own` was when `others` was last told.
-    then: HashMap<u64, Usage>,
-    /// In [0, 1); a high one makes it this instance's turn.
+    /// State of `own` at the last report.
+    own_at_report: HashMap<u64, Usage>,
+    /// Random number in [0, 1) that decides how a fractional quota is rounded.
     draw: f64,
-    /// Requests that ask for the room.
+    /// Number of requests that ask for room.
     pub(crate) demand: Demand,
 }
 
 impl Loads {
-    /// Work at an engine.
+    /// Load of an engine.
     pub(crate) fn at(&self, engine: u64) -> Usage {
         let own = self.own.get(&engine).copied().unwrap_or_default();
         let others = self.others.get(&engine).copied().unwrap_or_default();
@@ -95,16 +89,16 @@
         }
     }
 
-    /// Books a request that this instance sends; [`Loads::release`] with the
-    /// same arguments ends it.
+    /// Books a request that this instance sends, until [`Loads::release`] with the same
+    /// arguments.
     pub(crate) fn book(&mut self, path: &[(u64, Hop)], work: &Work) {
         self.add(path, work, 1.0);
     }
 
-    /// Ends what [`Loads::book`] booked.
+    /// Releases a booked request.
     pub(crate) fn release(&mut self, path: &[(u64, Hop)], work: &Work) {
         self.add(path, work, -1.0);
-        // Sums of fractions don't come back to zero by themselves.
+        // Sums of fractions don't return to exactly zero.
         self.own.retain(|_, u| u.requests > 0.5);
     }
 
@@ -117,49 +111,48 @@
         }
     }
 
-    /// Whether this instance may send another request to an engine that has
-    /// `room_mb` left and needs `usual_mb` for a usual request.
+    /// Whether this instance may send another request to an engine that has `room_mb` of free
+    /// memory and needs `usual_mb` for a usual request.
     ///
-    /// All instances see the same room in the same report, and each would fill
-    /// it by itself. So each adds only its part until it hears again: of room
-    /// for ten requests before nine instances one or two. Parts of less than one
-    /// request fall to the instances by turns, the same at all engines, since a
-    /// path needs ten of them (87 instances, high load: worth of a day 0.503 with
-    /// turns at each engine by itself, 0.759 like this, one play each). A request
-    /// that is larger than usual uses up more of the part, but is never too large
-    /// for it.
+    /// All instances see the same room in the same report, and each would fill it alone. Each
+    /// therefore adds requests only up to its quota until the next report: of room for ten
+    /// requests and nine instances, one or two. A quota of less than one request is granted to a
+    /// random subset of the instances, the same for all engines, since a path needs ten of them:
+    /// with a draw per engine, hardly any of 87 instances would have quota on a whole path, and
+    /// requests would be refused while the engines are half free. A request that is larger than
+    /// usual uses up more of the quota, but is never too large for it.
     ///
-    /// In a domain with many `copies` of each layer such turns differ by engine: an
-    /// instance finds its turn at several holders of each layer at any time. With
-    /// the same turns at all, some instances in 300 had none for up to the 4.5 s
-    /// between two reports, and refused a quarter of their requests while the
-    /// engines of their domain were idle.
+    /// In a domain with many `replicas` of each layer, the draw differs by engine instead, so
+    /// that an instance has quota at several holders of each layer at any time. With one draw
+    /// for all engines, some of 300 instances had no quota for up to the 4.5 s between two
+    /// reports, and refused a quarter of their requests while the engines of their domain were
+    /// idle.
     pub(crate) fn may_add(
         &self,
         engine: u64,
         room_mb: f64,
         usual_mb: f64,
-        share: Contention,
+        contention: Contention,
     ) -> bool {
         let memory = |uses: &HashMap<u64, Usage>| uses.get(&engine).map_or(0.0, |u| u.memory);
-        let added = memory(&self.own) - memory(&self.then);
-        let part = PART * (room_mb + added) / self.demand.sharers(share.instances);
-        let requests = part / usual_mb.max(f64::MIN_POSITIVE);
-        let apart = requests < 1.0 && share.replicas * requests >= PLENTY;
-        let offset = if apart { unit_hash(engine) } else { 0.0 };
-        let whole = (requests + (self.draw + offset).fract()).floor();
+        let added = memory(&self.own) - memory(&self.own_at_report);
+        let quota_mb = PARTS * (room_mb + added) / self.demand.sharers(contention.instances);
+        let quota = quota_mb / usual_mb.max(f64::MIN_POSITIVE);
+        let per_engine = quota < 1.0 && contention.replicas * quota >= MIN_OPEN_REPLICAS;
+        let offset = if per_engine { unit_hash(engine) } else { 0.0 };
+        let whole = (quota + (self.draw + offset).fract()).floor();
         added < whole * usual_mb
     }
 
-    /// Replaces what is known of the other instances. `draw` in [0, 1) tells
-    /// whose turn it is.
+    /// Replaces the load of the other instances. `draw` in [0, 1) rounds this instance's quota
+    /// until the next report.
     pub(crate) fn update(&mut self, loads: &[Load], draw: f64) {
         self.draw = draw;
-        self.then.clone_from(&self.own);
+        self.own_at_report.clone_from(&self.own);
         self.others = loads.iter().map(|l| (l.engine, Usage::from(l))).collect();
     }
 
-    /// This instance's own work, to be told.
+    /// This instance's own load, as reported to the leader.
     pub(crate) fn report(&self) -> Vec<Load> {
         let own = self.own.iter();
         own.map(|(&engine, used)| Load {
@@ -172,11 +165,11 @@
     }
 }
 
-/// A number in [0, 1) for each engine, without regard to its neighbours in number.
-pub(crate) fn unit_hash(engine: u64) -> f64 {
-    /// The golden ratio as a fraction of 2^64: multiples of it spread evenly.
+/// Hashes a number to [0, 1), so that adjacent numbers get unrelated values.
+pub(crate) fn unit_hash(number: u64) -> f64 {
+    /// The golden ratio as a fraction of 2^64, whose multiples are evenly distributed.
     const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
-    let mixed = (engine ^ (engine >> 16)).wrapping_mul(GOLDEN);
+    let mixed = (number ^ (number >> 16)).wrapping_mul(GOLDEN);
     (mixed >> 11) as f64 / (1_u64 << 53) as f64
 }
 
@@ -190,23 +183,23 @@
     }
 }
 
-/// Speed and room of an engine under its present load.
+/// Processing times and memory of an engine under its current load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Speed {
-    /// Milliseconds of a step for one layer.
+    /// Duration of a step for one layer, in milliseconds.
     pub(crate) step_ms: f64,
-    /// Milliseconds for one layer to read one prompt token.
+    /// Time in which one layer reads one prompt token, in milliseconds.
     pub(crate) read_ms: f64,
-    /// Memory for requests in all, in megabytes.
+    /// Total memory for requests, in megabytes.
     pub(crate) memory_mb: f64,
-    /// Memory for requests that is left, in megabytes.
+    /// Free memory for requests, in megabytes.
     pub(crate) room_mb: f64,
-    /// Share of the memory for requests that is in use.
+    /// Fraction of the memory for requests that is in use.
     pub(crate) utilisation: f64,
 }
 
 impl Speed {
-    /// Of an engine that holds `range` of `model` on `accelerator`.
+    /// Estimates an engine that holds `range` of `model` on `accelerator`.
     pub(crate) fn new(model: &Model, accelerator: &Accelerator, range: Range, load: Usage) -> Self {
         let layers = f64::from(model.layers);
         let held = f64::from(range.len());
@@ -223,22 +216,22 @@
     }
 }
 
-/// Share of an engine's memory for requests that must be free besides what a
-/// fresh request of `tokens` takes, after it waited for the part `waited` of the
-/// time that it may. `usual` are the tokens of a usual request.
+/// Fraction of an engine's memory for requests that must be free in addition to what a fresh
+/// request of `tokens` uses, after it has waited for the part `waited` of its maximum wait.
+/// `usual` is the number of tokens of a usual request.
 pub(crate) fn headroom(tokens: f64, usual: f64, waited: f64) -> f64 {
-    let waits = 1.0 - SHRINKS * waited.clamp(0.0, 1.0);
-    SPARE * (tokens / usual).min(LONG) * waits
+    let discount = 1.0 - WAIT_DISCOUNT * waited.clamp(0.0, 1.0);
+    HEADROOM * (tokens / usual).min(MAX_LENGTH_RATIO) * discount
 }
 
-/// Whether a request that has begun still waits for its instance's turn, after the
-/// part `waited` of the time that it may wait.
+/// Whether a request of which an attempt may have run still obeys its instance's quota, after it
+/// has waited for the part `waited` of its maximum wait.
 ///
-/// Guards against the herd after a restart of all processes: each running stream comes
-/// back in the same tenth of a second, and without turns all of them are sent to the
-/// first pipeline that is known again, whose engines refuse most. A stream that goes on
-/// alone finds its turn at once or within a report, so its caller sees no long pause.
-/// While the instance is `starting`, the herd lasts for longer than one may wait.
+/// Guards against a thundering herd after a restart of all processes: all running streams return
+/// within the same tenth of a second, and without quotas all of them would be sent to the first
+/// pipeline that becomes known, whose engines refuse most. A single resumed stream finds quota
+/// immediately or after the next report, so its caller sees no long pause. While the instance is
+/// `starting`, the herd lasts for longer than a request may wait.
 pub(crate) fn retry_obeys_quota(starting: bool, waited: f64) -> bool {
-    starting || waited < BEGUN_TURNS
+    starting || waited < RETRY_QUOTA_WAIT
 }
--- a/src/decide/members.rs
+++ b/src/decide/members.rs
@@ -1,49 +1,47 @@
-//! Which stores vote on the replicated log.
+//! Decides which stores vote on the replicated log.
 //!
-//! Failure pattern: the group is founded by the seeds alone and must grow to
-//! the size that bears the losses asked for; a machine loses its disk and
-//! comes back as a new store; a machine is gone for good and an empty one
-//! takes its place at another address.
+//! Failure pattern: the group is founded by the seeds alone and must grow to the size that
+//! tolerates the configured number of failures. A machine may lose its disk and return as a new
+//! store, or be lost for good and be replaced by an empty one at another address.
 
 use std::time::Duration;
 
 use crate::replica::{Change, Peer};
 
-/// Silence after which a voter gives up its place to a store that waits. A
-/// restart takes a second; a machine that is merely frozen for longer comes
-/// back as the one that waits, and loses nothing.
+/// Silence after which a voter is replaced by a waiting store. A restart takes a second; a
+/// machine that was only frozen for longer returns as a waiting store and loses nothing.
 const MAX_SILENCE: Duration = Duration::from_secs(3);
 
-/// A voter as its leader sees it.
+/// State of a voter as seen by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct VoterStatus {
     pub(crate) peer: Peer,
-    /// Time since it last answered.
+    /// Time since its last response.
     pub(crate) silence: Duration,
 }
 
-/// Voters needed so that `tolerated` of them may be lost at once.
+/// Number of voters needed to tolerate the simultaneous loss of `tolerated` of them.
 pub(crate) fn required_voters(tolerated: u32) -> usize {
     2 * tolerated as usize + 1
 }
 
-/// The next change of the members, if any. `voters` includes the leader, with
-/// no silence; `waiting` are stores that ask to become members.
+/// Returns the next change of the members, if any. `voters` includes the leader, with no
+/// silence; `waiting` contains the stores that ask to become members.
 pub(crate) fn next_change(
     voters: &[VoterStatus],
     waiting: &[Peer],
-    wanted: usize,
+    required: usize,
 ) -> Option<Change> {
-    // The same machine with another disk takes the place of its old store.
-    let replaced = |p: &&Peer| voters.iter().any(|v| v.peer.id == p.id);
-    if let Some(&peer) = waiting.iter().find(replaced) {
+    // A machine with a new disk replaces its old store.
+    let is_replacement = |p: &&Peer| voters.iter().any(|v| v.peer.id == p.id);
+    if let Some(&peer) = waiting.iter().find(is_replacement) {
         return Some(Change::Add(peer));
     }
     let &peer = waiting.first()?;
-    if voters.len() < wanted {
+    if voters.len() < required {
         return Some(Change::Add(peer));
     }
     let silent = voters.iter().filter(|v| v.silence >= MAX_SILENCE);
-    let gone = silent.max_by_key(|v| v.silence)?;
-    Some(Change::Remove(gone.peer))
+    let lost = silent.max_by_key(|v| v.silence)?;
+    Some(Change::Remove(lost.peer))
 }
--- a/src/decide/pace.rs
+++ b/src/decide/pace.rs
@@ -1,49 +1,48 @@
-//! Which engines are asked how fast they work, and which answers are news.
+//! Decides which engines are asked for their pace, and which changes instances must learn.
 //!
-//! Load pattern: some engines take several times as long as usual while their
-//! heartbeats go on. By the speed of their kind they still look like the best, so
-//! nearly all requests pass through them; first events come after seconds, or the
-//! memory fills up and all is refused. Engines tell on request how many times as
-//! long they take, so those at work are asked in turn, and paths are chosen by the
-//! answers.
+//! Load pattern: some engines take several times as long as usual while their heartbeats
+//! continue. Judged by the speed of their kind they still look best, so nearly all requests pass
+//! through them; first events take seconds, or their memory fills up and all requests are
+//! refused. On request, engines report their pace: how many times as long as usual they take.
+//! Engines with load are therefore asked in rotation, and paths are chosen by the answers.
 
-/// Rounds of asking in which each engine has its turn.
+/// Number of rounds in which every engine is asked once.
 const ROUNDS: usize = 4;
 
-/// Engines asked in one round. At a fleet of thousands the turns come more seldom,
-/// and the leader's processor stays free for heartbeats.
-const MOST: usize = 48;
+/// Maximum number of engines asked in one round. In a fleet of thousands each engine is asked
+/// less often, which leaves the leader's processor free for heartbeats.
+const MAX_PER_ROUND: usize = 48;
 
-/// Ratio of two paces from which the difference is told to all instances.
-const NEWS: f64 = 1.25;
+/// Ratio of two paces from which the change is sent to all instances.
+const SIGNIFICANT_RATIO: f64 = 1.25;
 
-/// Bounds of a believable pace. One that is faster than its kind isn't relied on.
-const LEAST: f64 = 1.0;
-const SLOWEST: f64 = 100.0;
+/// Bounds of a pace. Reports of an engine that is faster than its kind are not relied on.
+const MIN_PACE: f64 = 1.0;
+const MAX_PACE: f64 = 100.0;
 
-/// Whose turn it is to be asked.
+/// Selects the engines to ask, in rotation.
 #[derive(Debug, Default)]
 pub(crate) struct Rotation {
     next: usize,
 }
 
 impl Rotation {
-    /// The engines that are asked in this round, out of all those at work.
+    /// Returns the engines to ask in this round, out of all those with load.
     pub(crate) fn next_batch<T: Clone>(&mut self, engines: &[T]) -> Vec<T> {
-        let count = engines.len().div_ceil(ROUNDS).min(MOST);
+        let count = engines.len().div_ceil(ROUNDS).min(MAX_PER_ROUND);
         let start = self.next.checked_rem(engines.len()).unwrap_or(0);
         self.next = start + count;
-        let turned = engines.iter().cycle().skip(start);
-        turned.take(count).cloned().collect()
+        let rotated = engines.iter().cycle().skip(start);
+        rotated.take(count).cloned().collect()
     }
 }
 
-/// What instances are told of an engine whose pace was `told` to them and is
-/// `reported` now, if they should hear of it.
-pub(crate) fn significant_change(told: f64, reported: f64) -> Option<f64> {
-    // Also false for what isn't a number.
+/// Returns an engine's `reported` pace, within the bounds, if it differs enough from the `known`
+/// one to be sent to the instances.
+pub(crate) fn significant_change(known: f64, reported: f64) -> Option<f64> {
+    // Also false for NaN.
     let usable = reported > 0.0;
-    let pace = reported.clamp(LEAST, SLOWEST);
-    let ratio = pace / told;
-    (usable && (ratio >= NEWS || ratio <= 1.0 / NEWS)).then_some(pace)
+    let pace = reported.clamp(MIN_PACE, MAX_PACE);
+    let ratio = pace / known;
+    (usable && (ratio >= SIGNIFICANT_RATIO || ratio <= 1.0 / SIGNIFICANT_RATIO)).then_some(pace)
 }
--- a/src/decide/refusal.rs
+++ b/src/decide/refusal.rs
@@ -1,32 +1,31 @@
-//! When a refused client should come back.
+//! Decides when a refused client should retry.
 //!
-//! Load pattern: a burst or a lost engine leaves more requests than room, and
-//! all that are refused would come back at the same moment. Each is told
-//! another time, spread over the time in which room comes free: a refused
-//! request that returns too early is refused again, and one that returns late
-//! waits for nothing.
+//! Load pattern: a burst or a lost engine leaves more requests than room, and all refused
+//! clients would return at the same moment. Each gets a different time, spread over the time in
+//! which room becomes free: a client that returns too early is refused again, and one that
+//! returns late waits longer than needed.
 
 use std::time::Duration;
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reason {
-    /// No configuration is known here yet, or its lease has run out.
+    /// This instance has no configuration yet, or its lease has expired.
     NoConfiguration,
-    /// No upstream that is up can serve it.
+    /// No running upstream can serve the request.
     NoUpstream,
-    /// Every upstream that could serve it is full.
+    /// Every upstream that could serve the request is full.
     Full,
-    /// Each attempt was refused by an upstream, or found none.
+    /// Each attempt was refused by an upstream, or found no upstream.
     NotRun,
-    /// The rate limits of all upstreams at which it could begin allow no request now.
+    /// The rate limits of all upstreams that the request could enter allow none now.
     Limited,
     /// The request is quarantined for this remaining time, since it crashed engines.
     Quarantined(Duration),
 }
 
 impl Reason {
-    /// Stable code for logs and bodies.
+    /// Stable code in logs and response bodies.
     pub(crate) fn code(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no_configuration",
@@ -39,28 +38,28 @@
     }
 }
 
-/// Latest time at which a client comes back that found no room, in seconds: when
-/// hardly any request is refused, and when nearly all are.
+/// Maximum retry delay of a client that found no room, in seconds: if hardly any request is
+/// refused, and if nearly all are.
 ///
-/// A request holds its room for two to three seconds. Under a burst all that
-/// comes free goes to callers that ask for the first time; those that are sent
-/// away come back behind it, as late as they honour with a deadline of 20 s (a
-/// third of what is left). Five bursts of 2 s: 681 requests refused for good
-/// when all came back within 2.4 s, 609 within 5 s.
-const FULL: (f64, f64) = (2.4, 6.6);
+/// A request occupies its room for two to three seconds. In a burst, all room that becomes free
+/// goes to new callers, and refused ones return after the burst. The upper value is the longest
+/// delay that clients honour with a deadline of 20 s, a third of the remaining time. In five
+/// bursts of 2 s, 681 requests were refused for good with delays up to 2.4 s, and 609 with
+/// delays up to 5 s.
+const FULL_MAX_DELAY: (f64, f64) = (2.4, 6.6);
 
-/// Weight of the newest request in the shares of those refused: some twenty
-/// requests, which pass in a second at a busy instance.
+/// Weight of the newest request in the refusal rates. They reflect some twenty requests, which
+/// arrive within a second at a busy instance.
 const WEIGHT: f64 = 0.05;
 
-/// Part of all requests' chance to find room below which the long ones must not
-/// fall. In a replay of one engine under three times its load, 1,342 of 4,804
-/// requests and 64 of the 500 longest found room when all were treated alike,
-/// 1,827 and 60 with a part of 0.4, 2,652 and 29 with 0.2 (one seed; another one
-/// without this bound 2,992 and 9).
-const FAIR: f64 = 0.3;
+/// Minimum success rate of long requests as a fraction of the rate of all requests.
+///
+/// In a replay of one engine at three times its capacity, 1,342 of 4,804 requests and 64 of the
+/// 500 longest found room when all were treated alike, 1,827 and 60 with a fraction of 0.4, and
+/// 2,652 and 29 with 0.2. Without this bound, 2,992 and 9 did under another seed.
+const MIN_LONG_FRACTION: f64 = 0.3;
 
-/// Shares of the requests that found no room lately.
+/// Moving averages of the fraction of requests that found no room.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RefusalRates {
     all: f64,
@@ -68,8 +67,8 @@
 }
 
 impl RefusalRates {
-    /// Notes whether a request was refused for want of room. `long` is one of
-    /// more than the usual length.
+    /// Records whether a request was refused for lack of room. A request is `long` if it exceeds
+    /// the usual length.
     pub(crate) fn record(&mut self, refused: bool, long: bool) {
         let refused = if refused { 1.0 } else { 0.0 };
         self.all += WEIGHT * (refused - self.all);
@@ -78,33 +77,36 @@
         }
     }
 
-    /// Share of all requests.
+    /// Fraction of all requests that found no room.
     pub(crate) fn overall(&self) -> f64 {
         self.all
     }
 
-    /// Whether long requests find room so much more seldom than others that
-    /// they should go first.
+    /// Whether long requests find room so rarely compared to others that they should take
+    /// precedence.
     ///
-    /// Guards against their starving: while room is short, many short requests
-    /// take what comes free before there is enough for a long one, and in a
-    /// lasting overload one in fifty of the longest tenth found some.
+    /// Guards against starvation of long requests: while room is short, many short requests take
+    /// it before there is enough for a long one, and in a lasting overload only one in fifty of
+    /// the longest tenth found room.
     pub(crate) fn starves_long(&self) -> bool {
-        1.0 - self.long < FAIR * (1.0 - self.all)
+        1.0 - self.long < MIN_LONG_FRACTION * (1.0 - self.all)
     }
 }
 
-/// Time after which a refused client should come back. `refused` is the share of
-/// the requests that found no room lately, `draw` lies in [0, 1).
+/// Delay after which a refused client should retry. `refused` is the recent fraction of requests
+/// that found no room; `draw` in [0, 1) selects a time within the range.
 ///
-/// The ranges: a lease or a leader comes back within about a second; lost
-/// layers are loaded again in two to four; a request holds its room for about
-/// three seconds, so a third of the room is free after one.
+/// The ranges follow from the causes: a lease or a leader is back within about a second; lost
+/// layers are loaded again in two to four seconds; a request occupies its room for about three
+/// seconds, so a third of the room becomes free within one.
 pub(crate) fn retry_after(reason: Reason, refused: f64, draw: f64) -> Duration {
     let (least, most) = match reason {
         Reason::NoConfiguration => (0.4, 1.2),
         Reason::NoUpstream => (1.0, 3.0),
-        Reason::Full => (0.6, FULL.0 + (FULL.1 - FULL.0) * refused),
+        Reason::Full => (
+            0.6,
+            FULL_MAX_DELAY.0 + (FULL_MAX_DELAY.1 - FULL_MAX_DELAY.0) * refused,
+        ),
         Reason::NotRun => (0.3, 1.0),
         Reason::Limited => (0.6, 3.0),
         Reason::Quarantined(left) => (left.as_secs_f64(), left.as_secs_f64()),
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,34 +1,34 @@
-//! What to do after an attempt at an upstream has failed.
+//! Decides what follows a failed attempt at an upstream.
 //!
-//! Load pattern: an upstream refuses, breaks off, answers garbage or falls
-//! silent, and the caller still has time. Whether the request may be sent
-//! again depends on what is known to have run; an attempt that may have run
-//! forbids another one for requests that aren't idempotent.
+//! Load pattern: an upstream refuses, closes the connection, sends an invalid response or
+//! nothing, and the caller still has time. Whether the request may be sent again depends on what
+//! is known to have run: after an attempt that may have run, a request that is not idempotent is
+//! not sent again.
 
 use std::time::Duration;
 
 use crate::configuration::Repeat;
 
-/// Attempts that no upstream ran, after which the search is given up. Each
-/// met a full or dying upstream; more would only delay the refusal.
-const MOST_NOT_RUN: u32 = 4;
+/// Number of attempts that no upstream ran after which the request is refused. Each of them met
+/// a full or dying upstream, so further ones would only delay the refusal.
+const MAX_NOT_RUN: u32 = 4;
 
-/// Time left below which no further attempt is made: connecting and running
-/// the shortest request takes about this long.
-const LEAST_LEFT: Duration = Duration::from_millis(60);
+/// Remaining time below which no further attempt is made: connecting and running the shortest
+/// request takes about this long.
+const MIN_REMAINING: Duration = Duration::from_millis(60);
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// Nothing was sent, or the upstream says that it didn't run it.
+    /// Nothing was sent, or the upstream reported that it didn't run the request.
     NotRun,
-    /// It may have run, or has run without a usable answer.
+    /// It may have run, or ran without a usable response.
     Unknown,
-    /// The upstream ran it and answered with a failure of its own.
+    /// The upstream ran it and returned an error of its own.
     Answered,
 }
 
-/// Attempts so far, the failed one included.
+/// Number of attempts so far, including the failed one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct AttemptCounts {
     /// Attempts that may have run.
@@ -47,21 +47,21 @@
     }
 }
 
-/// What comes next.
+/// What follows a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NextStep {
-    /// Another attempt, if the retry budget allows it.
+    /// Make another attempt, if the retry budget allows it.
     Again,
-    /// Hand on the upstream's own failure.
+    /// Return the upstream's own error.
     Pass,
-    /// Tell the caller that it did not run.
+    /// Tell the caller that the request did not run.
     Refuse,
-    /// Tell the caller that it may have run.
+    /// Tell the caller that the request may have run.
     Fail,
 }
 
 impl NextStep {
-    /// As metrics name it.
+    /// Label in metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Again => "again",
@@ -72,7 +72,7 @@
     }
 }
 
-/// The step after `failure`, which `counts` counts already.
+/// Returns what follows `failure`, which `counts` already includes.
 pub(crate) fn next_step(
     repeat: Repeat,
     attempts: u32,
@@ -82,14 +82,14 @@
 ) -> NextStep {
     let may_repeat = repeat != Repeat::Never || counts.may_have_run == 0;
     let in_bounds =
-        counts.may_have_run < attempts && counts.not_run < MOST_NOT_RUN && left >= LEAST_LEFT;
+        counts.may_have_run < attempts && counts.not_run < MAX_NOT_RUN && left >= MIN_REMAINING;
     if may_repeat && in_bounds {
         return NextStep::Again;
     }
     give_up(counts, failure)
 }
 
-/// The answer when no further attempt is made.
+/// Returns how the request ends if no further attempt is made.
 pub(crate) fn give_up(counts: AttemptCounts, failure: Failure) -> NextStep {
     match failure {
         Failure::Answered => NextStep::Pass,
--- a/src/decide/retry_budget.rs
+++ b/src/decide/retry_budget.rs
@@ -1,10 +1,9 @@
-//! How many retries this instance may add to a service's load.
+//! Limits how many retries this instance adds to a service's load.
 //!
-//! Load pattern: engines fail in numbers, every request is sent again, and the
-//! retries finish off those that are left. The operator bounds the retries of
-//! all instances together over a sliding window, as a share of the requests
-//! plus a fixed number; each instance uses its own part, so no agreement is
-//! needed on the way of a request.
+//! Load pattern: many engines fail at once, every request is sent again, and the retries
+//! overload the engines that are left. The operator limits the retries of all instances
+//! together over a sliding window, to a share of the requests plus a fixed number. Each
+//! instance uses its own part, so requests need no coordination between instances.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,78 +11,81 @@
 use crate::clock::Time;
 use crate::collections::HashMap;
 
-/// Share of the bound that is used. The rest covers instances that restart
-/// and forget what they have used.
-const USED: f64 = 0.75;
+/// Fraction of the limit that is used. The rest covers instances that restart and lose
+/// their counts.
+const UTILISATION: f64 = 0.75;
 
 /// Limit on the retries of all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RetryLimit {
     /// Retries as a share of the requests in the window.
     pub(crate) ratio: f64,
-    /// Retries besides the share.
+    /// Number of retries allowed in addition to the share.
     pub(crate) slack: f64,
     pub(crate) window: Duration,
 }
 
+/// Times of one service's requests and retries in the window.
 #[derive(Debug, Default)]
-struct Counts {
+struct Window {
     requests: VecDeque<Time>,
     retries: VecDeque<Time>,
 }
 
-/// Retries and requests of this instance by service.
+/// Requests and retries of this instance by service.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
-    bound: RetryLimit,
-    services: HashMap<String, Counts>,
+    limit: RetryLimit,
+    services: HashMap<String, Window>,
 }
 
 impl RetryBudget {
-    pub(crate) fn new(bound: RetryLimit) -> Self {
+    pub(crate) fn new(limit: RetryLimit) -> Self {
         Self {
-            bound,
+            limit,
             services: HashMap::default(),
         }
     }
 
-    /// Counts a request to a service.
+    /// Records a request to a service.
     pub(crate) fn record_request(&mut self, now: Time, service: &str) {
-        let window = self.bound.window;
-        let counts = self.counts(service);
-        counts.requests.push_back(now);
-        trim(&mut counts.requests, now, window);
+        let length = self.limit.window;
+        let window = self.window(service);
+        window.requests.push_back(now);
+        evict(&mut window.requests, now, length);
     }
 
-    /// Takes one retry, or says that none is left. `instances` share the bound.
+    /// Returns whether a retry is left, and if so, counts it against the limit, which
+    /// `instances` share.
     pub(crate) fn try_acquire(&mut self, now: Time, service: &str, instances: u32) -> bool {
         if self.remaining(now, service, instances) < 1.0 {
             return false;
         }
-        self.counts(service).retries.push_back(now);
+        self.window(service).retries.push_back(now);
         true
     }
 
-    /// Retries to a service that are left at `now`.
+    /// Number of retries to a service that are left at `now`.
     pub(crate) fn remaining(&mut self, now: Time, service: &str, instances: u32) -> f64 {
-        let bound = self.bound;
-        let counts = self.counts(service);
-        trim(&mut counts.requests, now, bound.window);
-        trim(&mut counts.retries, now, bound.window);
-        let slack = bound.slack / f64::from(instances.max(1));
-        USED * (bound.ratio * counts.requests.len() as f64 + slack) - counts.retries.len() as f64
+        let limit = self.limit;
+        let window = self.window(service);
+        evict(&mut window.requests, now, limit.window);
+        evict(&mut window.retries, now, limit.window);
+        let slack = limit.slack / f64::from(instances.max(1));
+        UTILISATION * (limit.ratio * window.requests.len() as f64 + slack)
+            - window.retries.len() as f64
     }
 
-    fn counts(&mut self, service: &str) -> &mut Counts {
+    fn window(&mut self, service: &str) -> &mut Window {
         if !self.services.contains_key(service) {
-            self.services.insert(service.to_owned(), Counts::default());
+            self.services.insert(service.to_owned(), Window::default());
         }
         self.services.get_mut(service).expect("just inserted")
     }
 }
 
-fn trim(times: &mut VecDeque<Time>, now: Time, window: Duration) {
-    while times.front().is_some_and(|&t| now.since(t) >= window) {
+fn evict(times: &mut VecDeque<Time>, now: Time, length: Duration) {
+    while times.front().is_some_and(|&t| now.since(t) >= length) {
         times.pop_front();
     }
 }
