--- a/src/decide/path.rs
+++ b/src/decide/path.rs
@@ -1,98 +1,95 @@
-//! Choice of a path: which engines run which layers of a request.
+//! Chooses a path: which engines run which layers of a request.
 //!
-//! Load pattern: many requests a second over engines that differ twentyfold in
-//! speed, where each engine's memory, not its speed, bounds how many requests
-//! pass through it at once. The path with the least expected time is taken
-//! among those with room. Times grow with the work that is under way, so load
-//! spreads; engines in other failure domains cost extra, as all traffic
-//! between domains shares one narrow link.
+//! Load pattern: many requests a second over engines that differ twentyfold in speed, where the
+//! memory of an engine, not its speed, limits how many requests pass through it at once. The
+//! path with the least expected time is chosen among those with room. Times grow with the load,
+//! so load spreads over the engines. Crossing into another failure domain costs extra, since all
+//! traffic between domains shares one narrow link.
 
 use std::collections::BTreeSet;
 
 use crate::roster::Range;
 
-/// Cost of a millisecond for which a request occupies the link between two
-/// domains, in milliseconds. All requests share the link, so each of the some
-/// hundred that run waits for it too: at seven tenths of its use every token
-/// that crosses waits for about 50 ms, which breaks the allowed pause of all
-/// streams that cross. A path that stays in any one domain goes first.
-const CROSSING: f64 = 100.0;
+/// Cost of each millisecond for which a request occupies the link between two domains, in
+/// milliseconds. All requests share the link, so each of about a hundred running ones is delayed
+/// as well: at a utilisation of 0.7 every token that crosses waits for about 50 ms, which
+/// exceeds the allowed pause of all streams that cross. A path within one domain is preferred.
+const LINK_COST: f64 = 100.0;
 
-/// Delay between two domains, in milliseconds a token.
-const FAR_MS: f64 = 0.25;
+/// Latency between two domains, in milliseconds per token.
+const CROSSING_MS: f64 = 0.25;
 
-/// Cost of a first engine outside the caller's domain, in milliseconds a
-/// request.
-const ENTRY_MS: f64 = 1.0;
+/// Cost of a first engine outside the caller's domain, in milliseconds per request.
+const REMOTE_ENTRY_MS: f64 = 1.0;
 
-/// Cost of each engine in a path, in milliseconds a token: the way there and
-/// the wait for a pass that runs.
+/// Cost of each engine in a path, in milliseconds per token: the transfer, and the wait for the
+/// pass that is running.
 const HOP_MS: f64 = 0.15;
 
-/// Tokens of a prompt that an engine reads in one pass.
-const CHUNK: f64 = 512.0;
+/// Number of prompt tokens that an engine reads in one pass.
+const CHUNK_TOKENS: f64 = 512.0;
 
-/// Share of an engine's room from which its use is discouraged.
-const TIGHT: f64 = 0.7;
+/// Utilisation of an engine's memory from which its cost increases.
+const CONGESTED: f64 = 0.7;
 
 /// An engine that a path may use.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Candidate {
     /// Layers that it holds.
     pub(crate) range: Range,
-    /// Number of its failure domain.
+    /// Index of its failure domain.
     pub(crate) domain: usize,
-    /// Milliseconds of a step for one layer under the present load.
+    /// Duration of a step for one layer under the current load, in milliseconds.
     pub(crate) step_ms: f64,
-    /// Milliseconds for one layer to read one prompt token.
+    /// Time in which one layer reads one prompt token, in milliseconds.
     pub(crate) read_ms: f64,
-    /// Memory for requests in all, in megabytes.
+    /// Total memory for requests, in megabytes.
     pub(crate) memory_mb: f64,
-    /// Memory for requests that is left, in megabytes.
+    /// Free memory for requests, in megabytes.
     pub(crate) room_mb: f64,
-    /// Share of the memory for requests that is in use.
+    /// Fraction of the memory for requests that is in use.
     pub(crate) utilisation: f64,
-    /// Whether this instance may add another request for now.
+    /// Whether this instance's quota allows another request.
     pub(crate) has_quota: bool,
-    /// Whether it takes another request as the first engine.
+    /// Whether it accepts another request as its first engine.
     pub(crate) may_enter: bool,
-    /// Factor on its cost; above 1 for engines that are avoided.
+    /// Factor on its cost; above 1 for engines to be avoided.
     pub(crate) cost_factor: f64,
 }
 
-/// What a request asks of a path.
+/// Requirements of a request on its path.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Work {
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub(crate) prompt: f64,
-    /// Expected tokens of the answer.
+    /// Expected number of tokens of the response.
     pub(crate) answer: f64,
-    /// Memory that a token takes in one layer, in megabytes.
+    /// Memory that a token uses in one layer, in megabytes.
     pub(crate) token_mb: f64,
-    /// Milliseconds for which a token occupies the link between two domains.
+    /// Time for which a token occupies the link between two domains, in milliseconds.
     pub(crate) crossing_ms: f64,
-    /// Whether its path may pass from one domain into another.
+    /// Whether its path may cross between domains.
     pub(crate) may_cross: bool,
-    /// Failure domain of the caller.
+    /// Index of the caller's failure domain.
     pub(crate) caller_domain: usize,
-    /// Share of an engine's memory for requests that must be free besides the
-    /// request's own; see [`crate::decide::load::headroom`]. None for one that has
-    /// begun already: its caller has a part of the answer.
+    /// Fraction of an engine's memory for requests that must be free in addition to what the
+    /// request uses; see [`crate::decide::load::headroom`]. Zero for a request of which an attempt
+    /// may have run, since its caller may have a part of the response.
     pub(crate) headroom: f64,
-    /// Whether it leaves the other instances their part of an engine's room; see
+    /// Whether it must stay within its instance's quota of an engine's room; see
     /// [`crate::decide::load::Loads::may_add`].
     pub(crate) obeys_quota: bool,
 }
 
 impl Work {
-    /// Milliseconds for which one crossing occupies the link between domains.
+    /// Time for which one crossing occupies the link between domains, in milliseconds.
     pub(crate) fn link_ms(&self) -> f64 {
         self.tokens() * self.crossing_ms
     }
 
-    /// Cost of passing into another domain, in milliseconds.
-    fn crossing(&self) -> f64 {
-        FAR_MS * self.answer + CROSSING * self.link_ms()
+    /// Cost of crossing into another domain, in milliseconds.
+    fn crossing_cost(&self) -> f64 {
+        CROSSING_MS * self.answer + LINK_COST * self.link_ms()
     }
 
     /// Whether a candidate has room for the request in `layers` layers.
@@ -102,18 +99,18 @@
             && self.memory(layers) + headroom <= candidate.room_mb
     }
 
-    /// Tokens that it takes, with its answer.
+    /// Number of tokens of the prompt and the expected response.
     pub(crate) fn tokens(&self) -> f64 {
         self.prompt + self.answer
     }
 
-    /// Memory that the request takes in `layers` layers, in megabytes.
+    /// Memory that the request uses in `layers` layers, in megabytes.
     pub(crate) fn memory(&self, layers: u32) -> f64 {
         self.tokens() * self.token_mb * f64::from(layers)
     }
 }
 
-/// One engine's part of a path.
+/// The part of a path at one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Hop {
     /// Index of the candidate.
@@ -121,37 +118,38 @@
     pub(crate) range: Range,
 }
 
-/// Why there is no path.
+/// Reason why there is no path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoPath {
     /// No engine holds this layer.
     MissingLayer(u32),
-    /// Every engine with some layer is full.
+    /// All holders of some layer are full.
     Full,
 }
 
-/// The cheapest way on from one layer boundary.
+/// First step of the cheapest path from a layer boundary to the last one.
 #[derive(Clone, Copy)]
-struct Way {
+struct Segment {
+    /// Cost of the whole rest of the path.
     cost: f64,
     engine: usize,
-    /// Index of the boundary that it leads to.
+    /// Index of the boundary at which the engine's part ends.
     to: usize,
 }
 
 /// Where a path begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Start {
-    /// With layer 0, from the caller.
+    /// At layer 0, from the caller.
     Caller,
-    /// Behind an engine in `domain` that keeps the layers before `layer`.
+    /// At `layer`, after an engine in `domain` that keeps the layers before it.
     After { layer: u32, domain: usize },
 }
 
-/// The path with the least expected time from `start` to layer `layers`.
+/// Returns the path with the least expected time from `start` to layer `layers`.
 ///
-/// `noise` gives a factor near 1 for each candidate: instances that see the
-/// same report would all pick the same engines without it.
+/// `noise` returns a factor near 1 for each candidate, without which all instances that see the
+/// same report would choose the same engines.
 pub(crate) fn choose(
     layers: u32,
     start: Start,
@@ -170,44 +168,50 @@
         Start::Caller => domains,
     };
     let last = cuts.len() - 1;
-    // Cheapest way on from each boundary, by the domain of the engine before.
-    let mut best: Vec<Vec<Option<Way>>> = vec![vec![None; domains]; cuts.len()];
-    let mut enter: Option<Way> = None;
+    // Cheapest continuation from each boundary, by the domain of the previous engine.
+    let mut best: Vec<Vec<Option<Segment>>> = vec![vec![None; domains]; cuts.len()];
+    let mut entry: Option<Segment> = None;
     for at in (0..last).rev() {
         let from_caller = at == 0 && start == Start::Caller;
         for (i, candidate) in candidates.iter().enumerate() {
             if !candidate.range.holds(cuts[at]) || (from_caller && !candidate.may_enter) {
                 continue;
             }
-            let Some(way) = way_on(i, candidate, at, &cuts, &best, work, noise(i)) else {
+            let Some(segment) = cheapest_segment(i, candidate, at, &cuts, &best, work, noise(i))
+            else {
                 continue;
             };
             if from_caller {
-                let near = candidate.domain == work.caller_domain;
-                let cost = way.cost + if near { 0.0 } else { ENTRY_MS };
-                improve(&mut enter, Way { cost, ..way });
+                let same_domain = candidate.domain == work.caller_domain;
+                let cost = segment.cost + if same_domain { 0.0 } else { REMOTE_ENTRY_MS };
+                improve(&mut entry, Segment { cost, ..segment });
                 continue;
             }
             for (domain, slot) in best[at].iter_mut().enumerate() {
-                let near = domain == candidate.domain;
-                if !near && !work.may_cross {
+                let same_domain = domain == candidate.domain;
+                if !same_domain && !work.may_cross {
                     continue;
                 }
-                let cost = way.cost + if near { 0.0 } else { work.crossing() };
-                improve(slot, Way { cost, ..way });
+                let cost = segment.cost
+                    + if same_domain {
+                        0.0
+                    } else {
+                        work.crossing_cost()
+                    };
+                improve(slot, Segment { cost, ..segment });
             }
         }
     }
     if let Start::After { domain, .. } = start {
-        enter = best[0][domain];
+        entry = best[0][domain];
     }
-    let Some(way) = enter else {
-        return Err(missing(first, layers, candidates));
+    let Some(segment) = entry else {
+        return Err(no_path_reason(first, layers, candidates));
     };
-    Ok(merge(follow(way, candidates, &cuts, &best)))
+    Ok(merge(follow(segment, candidates, &cuts, &best)))
 }
 
-/// How often a path passes from one domain into another.
+/// Number of crossings between domains on a path.
 pub(crate) fn crossings(candidates: &[Candidate], hops: &[Hop]) -> usize {
     let domain = |h: &Hop| candidates[h.engine].domain;
     let pairs = hops.windows(2);
@@ -221,22 +225,22 @@
     cuts.into_iter().collect()
 }
 
-/// The cheapest way on from boundary `at` through one engine.
-fn way_on(
+/// Returns the cheapest continuation from boundary `at` that begins with an engine.
+fn cheapest_segment(
     engine: usize,
     candidate: &Candidate,
     at: usize,
     cuts: &[u32],
-    best: &[Vec<Option<Way>>],
+    best: &[Vec<Option<Segment>>],
     work: &Work,
     noise: f64,
-) -> Option<Way> {
+) -> Option<Segment> {
     let last = cuts.len() - 1;
-    let crowd = 1.0 + 2.0 * ((candidate.utilisation - TIGHT).max(0.0) / (1.0 - TIGHT));
-    let factor = candidate.cost_factor * crowd * noise;
-    let layer = candidate.step_ms * work.answer + candidate.read_ms * work.prompt;
-    let hop = HOP_MS * (work.answer + work.prompt / CHUNK);
-    let mut found: Option<Way> = None;
+    let congestion = 1.0 + 2.0 * ((candidate.utilisation - CONGESTED).max(0.0) / (1.0 - CONGESTED));
+    let factor = candidate.cost_factor * congestion * noise;
+    let layer_cost = candidate.step_ms * work.answer + candidate.read_ms * work.prompt;
+    let hop_cost = HOP_MS * (work.answer + work.prompt / CHUNK_TOKENS);
+    let mut found: Option<Segment> = None;
     for to in at + 1..=last {
         let passed = cuts[to] - cuts[at];
         if cuts[to] > candidate.range.end || !work.fits(candidate, passed) {
@@ -246,48 +250,48 @@
             0.0
         } else {
             match best[to][candidate.domain] {
-                Some(way) => way.cost,
+                Some(segment) => segment.cost,
                 None => continue,
             }
         };
-        let cost = (layer * f64::from(passed) + hop) * factor + rest;
-        improve(&mut found, Way { cost, engine, to });
+        let cost = (layer_cost * f64::from(passed) + hop_cost) * factor + rest;
+        improve(&mut found, Segment { cost, engine, to });
     }
     found
 }
 
-fn improve(slot: &mut Option<Way>, way: Way) {
-    if slot.is_none_or(|s| way.cost < s.cost) {
-        *slot = Some(way);
+fn improve(slot: &mut Option<Segment>, segment: Segment) {
+    if slot.is_none_or(|s| segment.cost < s.cost) {
+        *slot = Some(segment);
     }
 }
 
 fn follow(
-    first: Way,
+    first: Segment,
     candidates: &[Candidate],
     cuts: &[u32],
-    best: &[Vec<Option<Way>>],
+    best: &[Vec<Option<Segment>>],
 ) -> Vec<Hop> {
     let mut hops = Vec::new();
     let mut at = 0;
     let mut next = Some(first);
-    while let Some(way) = next {
-        let range = Range::new(cuts[at], cuts[way.to]);
+    while let Some(segment) = next {
+        let range = Range::new(cuts[at], cuts[segment.to]);
         hops.push(Hop {
-            engine: way.engine,
+            engine: segment.engine,
             range,
         });
-        at = way.to;
+        at = segment.to;
         next = best[at]
-            .get(candidates[way.engine].domain)
+            .get(candidates[segment.engine].domain)
             .copied()
             .flatten();
     }
     hops
 }
 
-/// Joins the parts of an engine that comes twice. It holds all layers between
-/// them, and a path may name an engine only once.
+/// Joins two parts at the same engine. It holds all layers between them, and a path may name an
+/// engine only once.
 fn merge(hops: Vec<Hop>) -> Vec<Hop> {
     let mut merged: Vec<Hop> = Vec::with_capacity(hops.len());
     for hop in hops {
@@ -302,7 +306,7 @@
     merged
 }
 
-fn missing(first: u32, layers: u32, candidates: &[Candidate]) -> NoPath {
+fn no_path_reason(first: u32, layers: u32, candidates: &[Candidate]) -> NoPath {
     let held = |layer| candidates.iter().any(|c| c.range.holds(layer));
     match (first..layers).find(|&l| !held(l)) {
         Some(layer) => NoPath::MissingLayer(layer),
@@ -310,14 +314,15 @@
     }
 }
 
-/// Whether the hops cover every layer from `first` on once and in order, each
-/// on an engine of its own that holds it.
+/// Whether the hops cover every layer from `first` on once and in order, each at a different
+/// engine that holds its layers.
 pub(crate) fn is_complete(first: u32, layers: u32, candidates: &[Candidate], hops: &[Hop]) -> bool {
-    let sound = |(i, hop): (usize, &Hop)| {
-        let inside = candidates[hop.engine].range.covers(hop.range);
-        inside && hops[..i].iter().all(|h| h.engine != hop.engine)
+    let is_valid = |(i, hop): (usize, &Hop)| {
+        let is_held = candidates[hop.engine].range.covers(hop.range);
+        is_held && hops[..i].iter().all(|h| h.engine != hop.engine)
     };
-    hops.iter().enumerate().all(sound) && is_contiguous(first, layers, hops.iter().map(|h| h.range))
+    hops.iter().enumerate().all(is_valid)
+        && is_contiguous(first, layers, hops.iter().map(|h| h.range))
 }
 
 /// Whether `parts` cover every layer from `first` on once and in order.
--- a/src/decide/placement/layout.rs
+++ b/src/decide/placement/layout.rs
@@ -1,6 +1,9 @@
-//! One group of domains that share a pipeline: its gaps, and who fills them.
+//! Layout of a group of domains that share a pipeline: fills gaps and places copies.
 
-use super::{BRIMFUL, GROWTH, LEAST_ROOM, Move, ROOMS, STRETCHED, UNFAIR, Worker, capacity, total};
+use super::{
+    BRIDGE_RESERVED, GROWTH, MAX_ROOM_DEFICIT, MIN_LAYER_ROOM, Move, RESERVED, STRETCH_RESERVED,
+    Worker, capacity, total,
+};
 use crate::configuration::Model;
 use crate::roster::Range;
 
@@ -8,26 +11,27 @@
     pub(super) model: &'a Model,
     pub(super) workers: &'a [Worker],
     pub(super) members: &'a [usize],
-    /// Requests for which engines keep memory.
+    /// Number of usual requests for which engines reserve memory.
     pub(super) requests: f64,
-    /// What each worker holds after the moves so far.
+    /// Layers of each worker after the moves so far.
     pub(super) held: Vec<Option<Range>>,
-    /// Members that hold each layer, in the order of their indices.
+    /// Members that hold each layer, sorted by index.
     holders: Vec<Vec<usize>>,
-    /// Tokens for which the holders of each layer together have memory.
+    /// Number of tokens for which the holders of each layer together have memory.
     rooms: Vec<f64>,
-    /// Speed of the holders of each layer together.
+    /// Total speed of the holders of each layer.
     speeds: Vec<f64>,
-    /// Layers that the members bear with memory for `requests`, each copy counted.
-    borne: u32,
+    /// Number of layers, including copies, that the members can hold with memory reserved for
+    /// `requests`.
+    capacity: u32,
     moves: Vec<Move>,
 }
 
 impl<'a> Group<'a> {
     pub(super) fn new(model: &'a Model, workers: &'a [Worker], members: &'a [usize]) -> Self {
         let enough = |&&r: &&f64| total(model, workers, members, r) >= model.layers;
-        let least = ROOMS[ROOMS.len() - 1];
-        let requests = ROOMS.iter().find(enough).copied().unwrap_or(least);
+        let least = RESERVED[RESERVED.len() - 1];
+        let requests = RESERVED.iter().find(enough).copied().unwrap_or(least);
         let held: Vec<Option<Range>> = workers.iter().map(|w| w.held).collect();
         let layers = 0..model.layers;
         let mut group = Self {
@@ -38,7 +42,7 @@
             holders: vec![Vec::new(); layers.len()],
             rooms: vec![0.0; layers.len()],
             speeds: vec![0.0; layers.len()],
-            borne: total(model, workers, members, requests),
+            capacity: total(model, workers, members, requests),
             held,
             moves: Vec::new(),
         };
@@ -46,7 +50,7 @@
             let held = group.held[member];
             held.into_iter().for_each(|h| group.hold(member, h));
         }
-        layers.for_each(|layer| group.sum_up(layer));
+        layers.for_each(|layer| group.update_sums(layer));
         group
     }
 
@@ -60,13 +64,13 @@
         }
     }
 
-    /// Sums up the holders of a layer.
+    /// Recomputes the room and speed of a layer.
     ///
-    /// The sums are kept, and renewed where an order changes the holders. Added up
-    /// over all engines for each that is placed, they took 0.6 s of a core for
-    /// 2,925 engines; that held up a controller's heartbeats, and it was deposed
-    /// before any order had left. With the sums kept it takes 5 ms.
-    fn sum_up(&mut self, layer: u32) {
+    /// These sums are cached and updated only where an order changes the holders. Recomputing
+    /// them for each placed engine took 0.6 s of a core for 2,925 engines, which delayed a
+    /// controller's heartbeats so much that it was deposed before it sent any order. With the
+    /// cache it takes 5 ms.
+    fn update_sums(&mut self, layer: u32) {
         let holders = &self.holders[layer as usize];
         let rooms = holders
             .iter()
@@ -77,8 +81,8 @@
         self.speeds[layer as usize] = speed;
     }
 
-    /// Adds what a member brings that held nothing before to the sums of a layer.
-    fn add_up(&mut self, layer: u32, member: usize) {
+    /// Adds a member that held nothing before to the sums of a layer.
+    fn add_to_sums(&mut self, layer: u32, member: usize) {
         let room = self.held[member].map_or(0.0, |held| self.room(member, held));
         self.rooms[layer as usize] += room;
         self.speeds[layer as usize] += 1.0 / self.workers[member].step_factor;
@@ -87,71 +91,69 @@
     pub(super) fn plan(mut self) -> Vec<Move> {
         let mut empty: Vec<usize> = self.members.to_vec();
         empty.retain(|&i| self.held[i].is_none() && !self.workers[i].busy);
-        // The fastest first: the first copy of each layer should be on the
-        // fast engines, and large ranges fit best while all is empty.
+        // Fastest first: the first copy of each layer should be on a fast engine, and large
+        // ranges fit best while no layer is placed.
         let slowness = |i: &usize| self.workers[*i].step_factor * self.workers[*i].read_factor;
         empty.sort_by(|a, b| slowness(a).total_cmp(&slowness(b)));
         for i in empty {
             self.place(i);
         }
-        self.mend();
+        self.fill_gaps();
         if self.gap().is_none() {
             self.relieve();
         }
         self.moves
     }
 
-    /// Gives an empty engine the lowest layers that nobody holds, or else a
-    /// copy of those with too little room, or of those that are run the
-    /// slowest.
+    /// Gives an empty engine the lowest layers without a holder, or else a copy of the layers with
+    /// too little room, or else of the slowest ones.
     ///
-    /// The fastest engines hold many layers each, and no others did: in a
-    /// domain of 33 engines 32 layers had one holder with room for 100 requests
-    /// and 16 had eight; in a burst a third of the requests were refused.
+    /// Copies by speed alone leave too little room at the fastest engines, which hold many layers
+    /// each: in a domain of 33 engines, 32 layers had one holder with room for 100 requests while
+    /// 16 had eight holders, and a third of the requests of a burst were refused.
     fn place(&mut self, worker: usize) {
-        let most = self.most(worker, self.requests);
+        let most = self.max_layers(worker, self.requests);
         if most == 0 {
             return;
         }
         let gap = self.gap();
         let range = gap.map(|g| Range::new(g.first, g.end.min(g.first + most)));
-        let range = range.or_else(|| self.scarce(most));
+        let range = range.or_else(|| self.scarcest(most));
         let range = range.unwrap_or_else(|| self.slowest(most));
-        self.order(worker, range);
+        self.assign(worker, range);
     }
 
-    /// The `length` layers around that with the least room, if that is far below
-    /// what the engines together could give each layer.
-    fn scarce(&self, length: u32) -> Option<Range> {
-        let fair = self.requests * f64::from(self.borne) / f64::from(self.model.layers);
-        let wanted = self.tokens(LEAST_ROOM.max(fair - UNFAIR));
+    /// Returns the `length` layers with the least room, if some layer's room is far below an equal
+    /// division of the engines' room.
+    fn scarcest(&self, length: u32) -> Option<Range> {
+        let fair = self.requests * f64::from(self.capacity) / f64::from(self.model.layers);
+        let wanted = self.tokens(MIN_LAYER_ROOM.max(fair - MAX_ROOM_DEFICIT));
         let rooms = self.rooms();
         if rooms.iter().all(|&room| room >= wanted) {
             return None;
         }
         let rooms: Vec<f64> = rooms.iter().map(|room| room.min(wanted)).collect();
-        Some(lowest(&rooms, length))
+        Some(lowest_window(&rooms, length))
     }
 
-    /// Fills what nobody holds: by engines beside the gap, which keep what
-    /// they hold and load a few layers more; else by engines whose layers
-    /// others hold too.
+    /// Fills layers without a holder: by engines adjacent to the gap, which keep their layers and
+    /// load a few more, or else by spare engines, whose layers others hold too.
     ///
-    /// Those must first finish what passes through them, for many seconds, in
-    /// which the gap of even one layer stops the whole domain. So a neighbour
-    /// bridges it meanwhile at the cost of its room, and gives the layers up
-    /// again once the other has loaded them.
-    fn mend(&mut self) {
+    /// A spare engine must first finish its running requests, which takes many seconds, while
+    /// even one missing layer stops the whole domain. An adjacent engine therefore bridges the
+    /// gap meanwhile at the cost of its room, and gives the layers up again once the spare one
+    /// has loaded them.
+    fn fill_gaps(&mut self) {
         while let Some(gap) = self.gap() {
-            if let Some((worker, range)) = self.stretch(gap, &STRETCHED) {
-                self.order(worker, range);
+            if let Some((worker, range)) = self.stretch(gap, &STRETCH_RESERVED) {
+                self.assign(worker, range);
                 continue;
             }
-            let bridge = self.stretch(gap, &BRIMFUL);
+            let bridge = self.stretch(gap, &BRIDGE_RESERVED);
             let spare = self.spare(gap);
             let spare = spare.filter(|(s, _)| bridge.is_none_or(|(b, _)| b != *s));
             for (worker, range) in bridge.into_iter().chain(spare) {
-                self.order(worker, range);
+                self.assign(worker, range);
             }
             if bridge.is_none() && spare.is_none() {
                 return;
@@ -159,25 +161,27 @@
         }
     }
 
-    /// The engine beside a gap that has the most room after it took what it
-    /// can of the gap, and its new range.
-    fn stretch(&self, gap: Range, rungs: &[f64]) -> Option<(usize, Range)> {
-        // One that this plan stretches already may take some more.
+    /// Returns the engine adjacent to a gap that has the most room after it has taken as much of
+    /// the gap as it can, and its new range.
+    fn stretch(&self, gap: Range, reserved: &[f64]) -> Option<(usize, Range)> {
+        // An engine that this plan already stretches may take more.
         let idle = |&i: &usize| !self.workers[i].busy && self.keeps_held(i);
         let free = || self.members.iter().copied().filter(idle);
         let room = |(i, range): &(usize, Range)| self.room(*i, *range);
-        rungs.iter().find_map(|&requests| {
+        reserved.iter().find_map(|&requests| {
             free()
                 .filter_map(|i| Some((i, self.stretched(i, gap, requests)?)))
                 .max_by(|a, b| room(a).total_cmp(&room(b)))
         })
     }
 
-    /// The range of an engine that takes what it can of the gap beside it and
-    /// keeps memory for `requests`.
+    /// Returns the range of an engine that takes as much as it can of an adjacent gap and reserves
+    /// memory for `requests`.
     fn stretched(&self, worker: usize, gap: Range, requests: f64) -> Option<Range> {
         let held = self.held[worker]?;
-        let most = self.most(worker, requests).min(self.fits(worker));
+        let most = self
+            .max_layers(worker, requests)
+            .min(self.max_beside_running(worker));
         let more = most.saturating_sub(held.len()).min(gap.len());
         if more == 0 {
             return None;
@@ -188,27 +192,27 @@
         (held.first == gap.end).then(|| Range::new(gap.end - more, held.end))
     }
 
-    /// Most layers that leave the running requests their memory.
-    pub(super) fn fits(&self, worker: usize) -> u32 {
+    /// Maximum number of layers that leave enough memory for the running requests.
+    pub(super) fn max_beside_running(&self, worker: usize) -> u32 {
         let worker = &self.workers[worker];
         let free = worker.size_mb - GROWTH * worker.used_mb;
         (free / self.model.layer_mb).max(0.0) as u32
     }
 
-    /// The engine that can best be spared for a gap: one that fills it, else
-    /// the one that fills most of it.
+    /// Returns the spare engine that fills a gap, or else the one that fills most of it, and its
+    /// new range.
     fn spare(&self, gap: Range) -> Option<(usize, Range)> {
-        let least = ROOMS[ROOMS.len() - 1];
-        let fits = |i: &usize| self.most(*i, least).min(gap.len());
+        let least = RESERVED[RESERVED.len() - 1];
+        let fits = |i: &usize| self.max_layers(*i, least).min(gap.len());
         let spare = self.members.iter().copied().filter(|&i| self.is_spare(i));
-        // Of those that fill it, the one with the least to finish is free first.
+        // Of several that fill it, the one with the least running work is free first.
         let used = |i: &usize| std::cmp::Reverse(self.workers[*i].used_mb as u64);
         let worker = spare.max_by_key(|i| (fits(i), used(i)))?;
         let most = fits(&worker);
         (most > 0).then(|| (worker, Range::new(gap.first, gap.first + most)))
     }
 
-    /// Whether an engine keeps all that it holds under the moves so far.
+    /// Whether an engine keeps all its layers under the moves so far.
     fn keeps_held(&self, worker: usize) -> bool {
         match (self.workers[worker].held, self.held[worker]) {
             (Some(old), Some(new)) => new.covers(old),
@@ -222,13 +226,12 @@
         !self.workers[worker].busy && !moved
     }
 
-    /// Whether others hold all that an engine holds.
+    /// Whether an engine is free and others have loaded all its layers.
     fn is_spare(&self, worker: usize) -> bool {
         self.is_free(worker) && self.others_hold(worker, |room| room > 0.0)
     }
 
-    /// Whether others have loaded all that an engine holds, each layer with
-    /// `enough` room.
+    /// Whether others have loaded all layers of an engine, each with `enough` room.
     pub(super) fn others_hold(&self, worker: usize, enough: impl Fn(f64) -> bool) -> bool {
         let Some(held) = self.held[worker] else {
             return false;
@@ -237,12 +240,12 @@
         layers.all(|layer| enough(self.loaded_room_at(layer, worker)))
     }
 
-    pub(super) fn order(&mut self, worker: usize, range: Range) {
+    pub(super) fn assign(&mut self, worker: usize, range: Range) {
         let before = self.held[worker].replace(range);
         let held = range.first..range.end.min(self.model.layers);
         let Some(before) = before else {
             self.hold(worker, range);
-            held.for_each(|layer| self.add_up(layer, worker));
+            held.for_each(|layer| self.add_to_sums(layer, worker));
             self.moves.push(Move { worker, range });
             return;
         };
@@ -251,38 +254,38 @@
             self.holders[layer as usize].retain(|&i| i != worker);
         }
         self.hold(worker, range);
-        // An engine's room at each of its layers depends on how many it holds.
+        // An engine's room at each of its layers depends on how many layers it holds.
         for layer in given_up.chain(held) {
-            self.sum_up(layer);
+            self.update_sums(layer);
         }
         self.moves.retain(|m| m.worker != worker);
         self.moves.push(Move { worker, range });
     }
 
-    /// Most layers of an engine that keeps memory for `requests`.
-    pub(super) fn most(&self, worker: usize, requests: f64) -> u32 {
+    /// Maximum number of layers of an engine that reserves memory for `requests`.
+    pub(super) fn max_layers(&self, worker: usize, requests: f64) -> u32 {
         capacity(self.model, self.workers[worker].size_mb, requests)
     }
 
     pub(super) fn holders(&self, layer: u32) -> impl Iterator<Item = usize> + '_ {
-        // An engine may report layers beyond those of the model in force.
+        // An engine may report layers beyond those of the current model.
         let holders = self.holders.get(layer as usize);
         holders.into_iter().flatten().copied()
     }
 
-    /// Tokens for which the holders of each layer together have memory.
+    /// Number of tokens for which the holders of each layer together have memory.
     pub(super) fn rooms(&self) -> &[f64] {
         &self.rooms
     }
 
-    /// Tokens for which an engine with `range` has memory.
+    /// Number of tokens for which an engine with `range` has memory.
     pub(super) fn room(&self, worker: usize, range: Range) -> f64 {
         let layers = f64::from(range.len());
         let memory = self.workers[worker].size_mb - layers * self.model.layer_mb;
         memory.max(0.0) / (layers * self.model.token_mb)
     }
 
-    /// The lowest run of layers that nobody holds.
+    /// Returns the lowest contiguous layers without a holder.
     fn gap(&self) -> Option<Range> {
         let held = |layer: &u32| !self.holders[*layer as usize].is_empty();
         let first = (0..self.model.layers).find(|l| !held(l))?;
@@ -290,15 +293,15 @@
         Some(Range::new(first, end.unwrap_or(self.model.layers)))
     }
 
-    /// The `length` layers that their holders together run the slowest.
+    /// Returns the `length` layers with the lowest total speed of their holders.
     fn slowest(&self, length: u32) -> Range {
-        lowest(&self.speeds, length)
+        lowest_window(&self.speeds, length)
     }
 }
 
-/// The `length` layers with the least sum of `values`, which has one for each
-/// layer; where many are alike, the first of them.
-fn lowest(values: &[f64], length: u32) -> Range {
+/// Returns the first `length` contiguous layers with the least sum of `values`, which has one
+/// value per layer.
+fn lowest_window(values: &[f64], length: u32) -> Range {
     let sum = |window: &[f64]| window.iter().sum::<f64>();
     let windows = values.windows(length as usize).map(sum).enumerate();
     let first = windows.min_by(|a, b| a.1.total_cmp(&b.1));
--- a/src/decide/placement/relief.rs
+++ b/src/decide/placement/relief.rs
@@ -1,16 +1,15 @@
-//! Room for the layers that hold up the whole pipeline.
+//! Relieves layers whose lack of room limits the whole pipeline.
 
 use super::layout::Group;
-use super::{BALANCE_GAIN, BALANCE_STEP, BALANCE_STEPS, LEAST_ROOM, total};
+use super::{BALANCE_GAIN, BALANCE_STEP, BALANCE_STEPS, MIN_LAYER_ROOM, total};
 use crate::roster::Range;
 
 impl Group<'_> {
-    /// Relieves the tightest engine: it gives up layers for which others have
-    /// room, else a spare engine takes some of them first.
+    /// Relieves the tightest engine: it gives up layers for which others have room, or else a
+    /// spare engine takes some of them first.
     ///
-    /// One order a plan: several at once took engines from requests faster than
-    /// they gave room (sum of worth over ten days with trouble: 6.48 against
-    /// 6.71).
+    /// Each plan contains one such order, since several at once would take engines away from
+    /// requests faster than they add room.
     pub(super) fn relieve(&mut self) {
         let Some((worker, held)) = self.tightest() else {
             return;
@@ -19,32 +18,33 @@
             return;
         }
         if let Some(range) = self.trimmed(worker, held) {
-            return self.order(worker, range);
+            return self.assign(worker, range);
         }
         let spare = self.members.iter().copied();
         let spare = spare.filter(|&i| i != worker && self.is_roomy_spare(i));
-        let helper = spare.max_by_key(|&i| self.most(i, self.requests));
-        // Where others hold or load some of them already, the next takes the
-        // layers behind.
-        let least = self.tokens(LEAST_ROOM);
+        let helper = spare.max_by_key(|&i| self.max_layers(i, self.requests));
+        // Skips layers that others already hold or load with enough room.
+        let least = self.tokens(MIN_LAYER_ROOM);
         let room = |layer: u32| self.rooms().get(layer as usize).copied();
         let first = (held.first..held.end).find(|&l| room(l).is_some_and(|r| r < least));
         let first = first.unwrap_or(held.first);
-        let most = helper.map_or(0, |h| self.most(h, self.requests).min(held.end - first));
+        let most = helper.map_or(0, |h| {
+            self.max_layers(h, self.requests).min(held.end - first)
+        });
         match helper {
-            Some(helper) if most > 0 => self.order(helper, Range::new(first, first + most)),
+            Some(helper) if most > 0 => self.assign(helper, Range::new(first, first + most)),
             _ => self.balance(),
         }
     }
 
-    /// Moves all engines towards ranges that leave each about the same room.
+    /// Moves all engines towards ranges that leave each of them about the same room.
     ///
-    /// After a large engine has left for good, some of the others hold too
-    /// much and none can be spared. Each grows towards its place as far as its
-    /// memory allows, and gives up what others have loaded; over some orders
-    /// the whole domain shifts, and no layer is missing in between.
+    /// After a large engine is lost for good, some of the others hold too many layers and none is
+    /// spare. Each engine grows towards its target range as far as its memory allows, and gives
+    /// up what others have loaded. Over several orders the whole domain shifts without a missing
+    /// layer in between.
     fn balance(&mut self) {
-        // Orders that are under way may relieve the layers already.
+        // Pending orders may already relieve the layers.
         if self.members.iter().any(|&i| self.workers[i].busy) {
             return;
         }
@@ -58,21 +58,23 @@
             let kept = self.without_copies(worker, held, target);
             let range = self.grown(worker, kept, target);
             if range != held {
-                self.order(worker, range);
+                self.assign(worker, range);
             }
         }
     }
 
-    /// The ranges of a balanced layout in the present order of the engines, if
-    /// it has much more room than the present one.
+    /// Returns the ranges of a balanced layout that keeps the order of the engines, if it has much
+    /// more room than the current one.
     fn targets(&self) -> Option<Vec<(usize, Range)>> {
-        let present = self.rooms().iter().copied().fold(f64::INFINITY, f64::min);
-        let most = |requests| total(self.model, self.workers, self.members, requests);
+        let current = self.rooms().iter().copied().fold(f64::INFINITY, f64::min);
+        let capacity = |requests| total(self.model, self.workers, self.members, requests);
         let steps = (1..=BALANCE_STEPS)
             .rev()
             .map(|s| f64::from(s) * BALANCE_STEP);
-        let requests = steps.into_iter().find(|&r| most(r) >= self.model.layers)?;
-        if self.tokens(requests) < BALANCE_GAIN * present {
+        let requests = steps
+            .into_iter()
+            .find(|&r| capacity(r) >= self.model.layers)?;
+        if self.tokens(requests) < BALANCE_GAIN * current {
             return None;
         }
         let mut order: Vec<usize> = self.members.to_vec();
@@ -81,7 +83,10 @@
         let mut at = 0;
         let mut targets = Vec::new();
         for worker in order {
-            let end = self.model.layers.min(at + self.most(worker, requests));
+            let end = self
+                .model
+                .layers
+                .min(at + self.max_layers(worker, requests));
             if at < end {
                 targets.push((worker, Range::new(at, end)));
             }
@@ -90,37 +95,36 @@
         Some(targets)
     }
 
-    /// What an engine holds without the ends beyond its target that others
-    /// have loaded.
+    /// Returns an engine's range without the ends outside its target that others have loaded.
     fn without_copies(&self, worker: usize, held: Range, target: Range) -> Range {
         let copied = |layer: u32| self.loaded_room_at(layer, worker) > 0.0;
         let outside = |layer: u32| !target.holds(layer) && copied(layer);
         let (low, high) = ends(held, outside);
         if low == held.len() {
-            // All of it is held elsewhere, and none of it is wanted here.
+            // All its layers are held elsewhere, and none belongs to the target.
             return target;
         }
         Range::new(held.first + low, held.end - high)
     }
 
-    /// A range grown towards its target, as far as the memory allows beside
-    /// the running requests.
+    /// Returns a range that is extended towards its target as far as the memory allows besides the
+    /// running requests.
     fn grown(&self, worker: usize, kept: Range, target: Range) -> Range {
-        let mut left = self.fits(worker).saturating_sub(kept.len());
+        let mut left = self.max_beside_running(worker).saturating_sub(kept.len());
         let low = kept.first.saturating_sub(target.first).min(left);
         left -= low;
         let high = target.end.saturating_sub(kept.end).min(left);
         if kept.end < target.first || target.end < kept.first {
-            // Growing reaches it only over layers that it doesn't need.
+            // Reaching the target would require layers that don't belong to it.
             return kept;
         }
         Range::new(kept.first - low, kept.end + high)
     }
 
-    /// The engine with the least room among the holders of a layer for which
-    /// all together have too little, and what it holds.
+    /// Returns the engine with the least room among the holders of the layer with the least room,
+    /// and its range, if that layer has too little room.
     pub(super) fn tightest(&self) -> Option<(usize, Range)> {
-        let least = self.tokens(LEAST_ROOM);
+        let least = self.tokens(MIN_LAYER_ROOM);
         let rooms = (0..self.model.layers).zip(self.rooms().iter().copied());
         let tight = rooms.filter(|&(_, room)| room > 0.0 && room < least);
         let (layer, _) = tight.min_by(|a, b| a.1.total_cmp(&b.1))?;
@@ -128,13 +132,13 @@
         holders.min_by(|a, b| self.room(a.0, a.1).total_cmp(&self.room(b.0, b.1)))
     }
 
-    /// What an engine should keep of its layers when others have room for
-    /// some at an end.
+    /// Returns the layers that an engine keeps if others have enough room for some at one of its
+    /// ends.
     fn trimmed(&self, worker: usize, held: Range) -> Option<Range> {
-        let least = self.tokens(LEAST_ROOM);
+        let least = self.tokens(MIN_LAYER_ROOM);
         let others = |layer: u32| self.loaded_room_at(layer, worker) >= least;
         let (low, high) = ends(held, others);
-        // It keeps a layer at least, or it would be an empty engine.
+        // It keeps at least one layer, since otherwise it would be an empty engine.
         let most = held.len() - 1;
         if low.max(high).min(most) == 0 {
             return None;
@@ -146,15 +150,15 @@
         })
     }
 
-    /// Whether others hold all that an engine holds, with room enough.
+    /// Whether an engine is free and others have loaded all its layers with enough room.
     fn is_roomy_spare(&self, worker: usize) -> bool {
-        let least = self.tokens(LEAST_ROOM);
+        let least = self.tokens(MIN_LAYER_ROOM);
         self.is_free(worker) && self.others_hold(worker, |room| room >= least)
     }
 
-    /// Tokens for which the engines that have loaded a layer and keep it
-    /// together have memory, but for one of them. What is still being loaded
-    /// doesn't count: given up on its account, the layer would be missing.
+    /// Number of tokens for which the engines that have loaded a layer and keep it together have
+    /// memory, except for one of them. Engines that are still loading it don't count: if another
+    /// gave up the layer because of them, it would be missing until they have loaded it.
     pub(super) fn loaded_room_at(&self, layer: u32, without: usize) -> f64 {
         let loaded = |i: usize| self.workers[i].loaded.is_some_and(|l| l.holds(layer));
         let others = self.holders(layer).filter(|&i| i != without && loaded(i));
@@ -167,9 +171,11 @@
     }
 }
 
-/// How many layers at the low and at the high end of a range `are` all so.
-fn ends(range: Range, are: impl Fn(u32) -> bool) -> (u32, u32) {
-    let low = (range.first..range.end).take_while(|&l| are(l)).count();
-    let high = (range.first..range.end).rev().take_while(|&l| are(l));
+/// Number of layers at the low and at the high end of a range that satisfy `predicate`.
+fn ends(range: Range, predicate: impl Fn(u32) -> bool) -> (u32, u32) {
+    let low = (range.first..range.end)
+        .take_while(|&l| predicate(l))
+        .count();
+    let high = (range.first..range.end).rev().take_while(|&l| predicate(l));
     (low as u32, high.count() as u32)
 }
--- a/src/decide/stall.rs
+++ b/src/decide/stall.rs
@@ -38,7 +38,7 @@
     timeout: Duration,
     /// Whether the attempt can be rerouted around an engine.
     reroutable: bool,
-    /// Whether it was rerouted around an engine that was known to be dead.
+    /// Whether a reroute around a known dead engine was tried.
     rerouted: bool,
 }
 
