--- a/src/tests/decide.rs
+++ b/src/tests/decide.rs
@@ -1,4 +1,4 @@
-//! Tests of [`crate::decide`], each with the load or failure that it answers.
+//! Tests of [`crate::decide`], each for one load or failure pattern.
 
 use std::time::Duration;
 
@@ -22,7 +22,6 @@
 
 mod demand;
 mod migration;
-
 mod overload;
 mod pace;
 mod path;
@@ -47,46 +46,46 @@
 #[case::refused_after_run(Repeat::Always, 2, 1, Failure::NotRun, NextStep::Fail)]
 fn next_step_after_failure(
     #[case] repeat: Repeat,
-    #[case] run: u32,
-    #[case] idle: u32,
+    #[case] may_have_run: u32,
+    #[case] not_run: u32,
     #[case] failure: Failure,
     #[case] step: NextStep,
 ) {
-    let tries = AttemptCounts {
-        may_have_run: run,
-        not_run: idle,
+    let counts = AttemptCounts {
+        may_have_run,
+        not_run,
     };
     let left = Duration::from_secs(1);
-    assert_eq!(next_step(repeat, 2, tries, failure, left), step);
+    assert_eq!(next_step(repeat, 2, counts, failure, left), step);
 }
 
 #[test]
 fn next_step_no_time() {
-    let tries = AttemptCounts {
+    let counts = AttemptCounts {
         may_have_run: 1,
         not_run: 0,
     };
     let left = Duration::from_millis(10);
-    let step = next_step(Repeat::Always, 2, tries, Failure::Unknown, left);
+    let step = next_step(Repeat::Always, 2, counts, Failure::Unknown, left);
     assert_eq!(step, NextStep::Fail);
 }
 
+/// Guards against exceeding the limit when many engines fail at once and each instance sees only
+/// its own requests.
 #[test]
-fn take_bounded() {
-    // Engines fail in numbers: all instances together must stay within the
-    // bound, whatever each of them sees.
-    let bound = RetryLimit {
+fn try_acquire_bounded() {
+    let limit = RetryLimit {
         ratio: 0.2,
         slack: 200.0,
         window: Duration::from_secs(10),
     };
     let mut taken = 0;
     for _ in 0..10 {
-        let mut allowance = RetryBudget::new(bound);
+        let mut budget = RetryBudget::new(limit);
         for i in 0..100 {
-            allowance.record_request(at(i), "models");
-            taken += u32::from(allowance.try_acquire(at(i), "models", 10));
-            taken += u32::from(allowance.try_acquire(at(i), "models", 10));
+            budget.record_request(at(i), "models");
+            taken += u32::from(budget.try_acquire(at(i), "models", 10));
+            taken += u32::from(budget.try_acquire(at(i), "models", 10));
         }
     }
     assert!(
@@ -96,36 +95,35 @@
 }
 
 #[test]
-fn take_window_slides() {
-    let bound = RetryLimit {
+fn try_acquire_window_slides() {
+    let limit = RetryLimit {
         ratio: 0.0,
         slack: 4.0,
         window: Duration::from_secs(10),
     };
-    let mut allowance = RetryBudget::new(bound);
-    assert!((0..3).all(|_| allowance.try_acquire(at(0), "s", 1)));
-    assert!(!allowance.try_acquire(at(9_999), "s", 1));
-    assert!(allowance.try_acquire(at(10_000), "s", 1));
+    let mut budget = RetryBudget::new(limit);
+    assert!((0..3).all(|_| budget.try_acquire(at(0), "s", 1)));
+    assert!(!budget.try_acquire(at(9_999), "s", 1));
+    assert!(budget.try_acquire(at(10_000), "s", 1));
 }
 
 #[test]
-fn failed_doubles() {
+fn record_failure_doubles() {
     let mut health = Health::default();
     health.record_failure(at(0), 1);
     assert!(health.is_excluded(at(1_499), 1));
     assert!(!health.is_excluded(at(1_500), 1));
     health.record_failure(at(1_500), 1);
     assert!(health.is_excluded(at(4_499), 1));
-    // What was under way when it was left out says nothing new.
+    // A request that was in flight when the upstream was excluded adds no information.
     health.record_failure(at(2_000), 1);
     assert!(!health.is_excluded(at(4_500), 1));
 }
 
+/// Guards against excluding the first engine of a domain, and so its whole pipeline, for as long as
+/// a dead engine because it refuses some requests of a burst for lack of memory.
 #[test]
-fn refused_short() {
-    // In a burst the first engine of a domain refuses some requests for lack
-    // of memory. Left out like a dead one, with its time doubled at each, it
-    // would take the whole domain's pipeline away while it serves well.
+fn record_refusal_short() {
     let mut health = Health::default();
     for i in 0..20 {
         health.record_refusal(at(i * 1000), 1);
@@ -133,16 +131,16 @@
         assert!(!health.is_excluded(at(i * 1000 + 200), 1));
         health.record_success(1);
     }
-    // It shortens no time out of a failure.
+    // A refusal doesn't shorten the exclusion after a failure.
     health.record_failure(at(30_000), 1);
     health.record_refusal(at(30_100), 1);
     assert!(health.is_excluded(at(31_400), 1));
 }
 
+/// Guards against frequent requests to a dead engine, whose neighbours refuse at once on its behalf
+/// while none succeeds.
 #[test]
-fn refused_by_dead() {
-    // An engine is gone, and its neighbours refuse what should pass through it
-    // at once. No request gets through, so it must be asked ever more rarely.
+fn record_refusal_by_dead() {
     let mut health = Health::default();
     let asked = (0..6_000).filter(|&now| {
         let free = !health.is_excluded(at(now), 1);
@@ -154,11 +152,11 @@
     assert!(asked.count() <= 6);
 }
 
+/// Guards against refusing requests that failing engines could serve, and against sending requests
+/// to an engine that has just stopped. Engine 1 resets some of its streams, responses of engine 2
+/// are lost; the heartbeats of both arrive.
 #[test]
-fn standing_failing_lives() {
-    // An engine resets a part of its streams, another one's answers are lost.
-    // Their heartbeats come. Where nothing else serves both must be used; one
-    // that has just gone dark must not, as a request would wait there in vain.
+fn status_failing_is_alive() {
     let mut health = Health::default();
     health.record_failure(at(0), 1);
     assert_eq!(health.status(at(1), 1, false), HealthStatus::Failing);
@@ -168,19 +166,19 @@
     assert_eq!(health.status(at(1_601), 2, false), HealthStatus::Failing);
     assert_eq!(health.status(at(1_601), 2, true), HealthStatus::Dead);
     assert_eq!(health.status(at(20_000), 2, true), HealthStatus::Healthy);
-    // Long after that, a sign of death counts from then on.
+    // Much later, an unresponsive upstream counts as dead from that moment.
     health.record_unresponsive(at(20_000), 2);
     assert_eq!(health.status(at(20_001), 2, false), HealthStatus::Dead);
     health.record_success(2);
     assert_eq!(health.status(at(20_002), 2, false), HealthStatus::Failing);
 }
 
+/// Guards against ending the report of a suspect before the leader drops it. Two instances find an
+/// engine dead 0.4 s after its last heartbeat and exclude it for 1.5 s, while the leader drops a
+/// suspected one after 2.4 s of silence. When the report ended before, its layers were missing for
+/// 4.3 s and its whole domain refused requests.
 #[test]
-fn suspects_until_given_up() {
-    // An engine goes dark just after a heartbeat. Two instances find it dead 0.4 s
-    // later (408, `dead_part`) and leave it out for 1.5 s; the leader gives up a
-    // suspected one after 2.4 s of silence. The suspicion had ended by then, and
-    // its layers were missing for 4.3 s (305, 307): a whole domain refused.
+fn suspects_until_dropped() {
     let beat = Duration::from_millis(1200);
     let mut roster = Roster::new(beat);
     let news = board::news(1, 1, Some((0, 9)));
@@ -201,14 +199,14 @@
         }
     }
     assert!(lost.is_some_and(|at| at <= 2_750), "{lost:?}");
-    // One that answers again is suspected no more.
+    // An engine that responds again is no longer suspect.
     health.record_success(key);
     assert_eq!(health.suspects(at(2_900), beat), [0; 0]);
 }
 
+/// Guards against treating a dead engine as alive because its neighbours refuse on its behalf.
 #[test]
-fn standing_refused_again_and_again() {
-    // The neighbours of a dead engine refuse what should pass through it.
+fn status_refused_repeatedly() {
     let mut health = Health::default();
     health.record_refusal(at(0), 1);
     assert_eq!(health.status(at(1), 1, false), HealthStatus::Failing);
@@ -218,71 +216,71 @@
 }
 
 #[test]
-fn pick_free_place() {
-    let offer = |requests, near| Candidate {
+fn choose_free_slots() {
+    let candidate = |requests, same_domain| Candidate {
         limited: false,
         requests,
         slots: 6.0,
-        same_domain: near,
+        same_domain,
         late: false,
         excluded: false,
         tried: false,
     };
     assert_eq!(
-        pick::choose(&[offer(0.0, false), offer(0.0, true)], 0.0),
+        pick::choose(&[candidate(0.0, false), candidate(0.0, true)], 0.0),
         Some(1)
     );
     assert_eq!(
-        pick::choose(&[offer(0.0, false), offer(5.0, true)], 0.9),
+        pick::choose(&[candidate(0.0, false), candidate(5.0, true)], 0.9),
         Some(0)
     );
     let tried = Candidate {
         tried: true,
-        ..offer(0.0, true)
+        ..candidate(0.0, true)
     };
     assert_eq!(pick::choose(&[tried], 0.5), None);
 }
 
-fn seen(id: u64, silent: u64) -> VoterStatus {
+fn voter(id: u64, silence: u64) -> VoterStatus {
     VoterStatus {
         peer: Peer { id, store: id },
-        silence: Duration::from_secs(silent),
+        silence: Duration::from_secs(silence),
     }
 }
 
 const WAITING: [Peer; 1] = [Peer { id: 9, store: 90 }];
 
+/// Three seeds found the group; tolerating two losses at once requires five voters.
 #[test]
-fn members_grow() {
-    // Three seeds found the group; two losses at once need five.
-    let voters = [seen(1, 0), seen(2, 0), seen(3, 0)];
+fn next_change_grows() {
+    let voters = [voter(1, 0), voter(2, 0), voter(3, 0)];
     let change = members::next_change(&voters, &WAITING, members::required_voters(2));
     assert_eq!(change, Some(Change::Add(WAITING[0])));
     assert_eq!(members::next_change(&voters, &[], 5), None);
 }
 
+/// Guards against keeping the empty store of a machine that returns with a new disk, although the
+/// group is full.
 #[test]
-fn members_wiped_disk() {
-    // A machine comes back with an empty disk. Its old store holds nothing any
-    // more and must give way, though the group is full.
-    let voters = [seen(1, 0), seen(2, 0), seen(9, 0)];
+fn next_change_wiped_disk() {
+    let voters = [voter(1, 0), voter(2, 0), voter(9, 0)];
     let change = members::next_change(&voters, &WAITING, 3);
     assert_eq!(change, Some(Change::Add(WAITING[0])));
 }
 
 #[test]
-fn members_replaced_machine() {
-    let voters = [seen(1, 0), seen(2, 9), seen(3, 5)];
+fn next_change_replaced_machine() {
+    let voters = [voter(1, 0), voter(2, 9), voter(3, 5)];
     let change = members::next_change(&voters, &WAITING, 3);
     assert_eq!(change, Some(Change::Remove(Peer { id: 2, store: 2 })));
-    let voters = [seen(1, 0), seen(2, 0), seen(3, 0)];
+    let voters = [voter(1, 0), voter(2, 0), voter(3, 0)];
     assert_eq!(members::next_change(&voters, &WAITING, 3), None);
 }
 
+/// Guards against refusing the last retry of a caller whose response was cut off when all processes
+/// were killed, and that returns before the first configuration arrives.
 #[test]
-fn hold_while_starting() {
-    // All processes were killed and are back; a caller whose answer was cut
-    // off comes with its last try before the first configuration does.
+fn limit_while_starting() {
     let left = Duration::from_secs(12);
     let started = at(1_000);
     assert!(view_wait::limit(started, at(1_200), left) >= Duration::from_secs(2));
@@ -294,32 +292,32 @@
     );
 }
 
-/// A second try is late already; it waits as long as ever.
+/// A second attempt is late already and waits regardless of the queue's speed.
 #[rstest]
 #[case::first(0, 20_000, Some(400))]
 #[case::last(11, 20_000, Some(400))]
-#[case::line_full(12, 20_000, None)]
+#[case::queue_full(12, 20_000, None)]
 #[case::little_time(0, 600, Some(200))]
 #[case::no_time(0, 30, None)]
-fn waiting_limit_second(#[case] waiters: usize, #[case] left: u64, #[case] limit: Option<u64>) {
+fn limit_second_attempt(#[case] waiters: usize, #[case] left: u64, #[case] limit: Option<u64>) {
     let objective = Duration::from_millis(500);
     let (spent, left) = (Duration::from_millis(200), Duration::from_millis(left));
     let limit = limit.map(Duration::from_millis);
-    let pace = QueueTiming::default();
+    let timing = QueueTiming::default();
     assert_eq!(
-        waiting::limit(objective, spent, left, waiters, &pace),
+        waiting::limit(objective, spent, left, waiters, &timing),
         limit
     );
 }
 
-/// A pace of 30 ms a turn, at which first events take 50 ms give or take 20.
+/// The queue moves every 30 ms, and first events take 50 ms with a mean deviation of 20.
 #[rstest]
 #[case::first(0, 20_000, Some(370))]
 #[case::last(11, 20_000, Some(370))]
-#[case::line_full(12, 20_000, None)]
+#[case::queue_full(12, 20_000, None)]
 #[case::little_time(0, 600, Some(200))]
 #[case::least(0, 30, Some(20))]
-fn waiting_limit_fresh(#[case] waiters: usize, #[case] left: u64, #[case] limit: Option<u64>) {
+fn limit_fresh(#[case] waiters: usize, #[case] left: u64, #[case] limit: Option<u64>) {
     let objective = Duration::from_millis(500);
     let left = Duration::from_millis(left);
     let limit = limit.map(Duration::from_millis);
@@ -334,38 +332,39 @@
     assert_eq!(rounded, limit);
 }
 
+/// Guards against queueing requests that would find room only after their objective. Each request is
+/// first in the queue for 150 ms, so the third one would be late; refused at once, its caller learns
+/// when to retry.
 #[test]
-fn waiting_limit_slow_line() {
-    // Each request that found room had been first in line for 150 ms: whoever
-    // is third would find it after its objective. Sent away at once, its caller
-    // knows when to come back instead of waiting for nothing.
-    let mut pace = QueueTiming::default();
+fn limit_slow_queue() {
+    let mut timing = QueueTiming::default();
     for _ in 0..40 {
-        pace.record_turn(Duration::from_millis(150), true);
+        timing.record_turn(Duration::from_millis(150), true);
     }
     let objective = Duration::from_millis(500);
     let left = Duration::from_secs(20);
-    let limit = |waiters| waiting::limit(objective, Duration::ZERO, left, waiters, &pace);
+    let limit = |waiters| waiting::limit(objective, Duration::ZERO, left, waiters, &timing);
     assert!(limit(2).is_some());
     assert_eq!(limit(3), None);
-    // It moves again as soon as one finds room at once.
+    // The queue grows again as soon as requests find room immediately.
     for _ in 0..20 {
-        pace.record_turn(Duration::ZERO, true);
+        timing.record_turn(Duration::ZERO, true);
     }
-    let limit = waiting::limit(objective, Duration::ZERO, left, 3, &pace);
+    let limit = waiting::limit(objective, Duration::ZERO, left, 3, &timing);
     assert!(limit.is_some());
 }
 
+/// Guards against a queue that seems to move while no room becomes free: requests that stop waiting
+/// count as well.
 #[test]
-fn pace_gives_up() {
-    // Nothing comes free: who gives up tells it, though it found nothing.
-    let mut pace = QueueTiming::default();
+fn record_turn_not_found() {
+    let mut timing = QueueTiming::default();
     for _ in 0..40 {
-        pace.record_turn(Duration::from_millis(300), false);
+        timing.record_turn(Duration::from_millis(300), false);
     }
     let objective = Duration::from_millis(500);
     let left = Duration::from_secs(20);
-    let limit = |waiters| waiting::limit(objective, Duration::ZERO, left, waiters, &pace);
+    let limit = |waiters| waiting::limit(objective, Duration::ZERO, left, waiters, &timing);
     assert!(limit(0).is_some());
     assert_eq!(limit(2), None);
 }
@@ -374,7 +373,7 @@
 #[case::calm(0.0, 600, 2_400)]
 #[case::half(0.5, 600, 4_500)]
 #[case::all(1.0, 600, 6_600)]
-fn come_back_full(#[case] refused: f64, #[case] least: u64, #[case] most: u64) {
+fn retry_after_full(#[case] refused: f64, #[case] least: u64, #[case] most: u64) {
     let at = |draw| refusal::retry_after(Reason::Full, refused, draw);
     assert_eq!(at(0.0), Duration::from_millis(least));
     assert_eq!(at(1.0), Duration::from_millis(most));
--- a/src/tests/decide/demand.rs
+++ b/src/tests/decide/demand.rs
@@ -1,4 +1,4 @@
-//! Room on the engines replayed before hundreds of instances.
+//! Replays of hundreds of instances that share the room of an engine.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -26,8 +26,8 @@
     }
 }
 
-/// Of the requests that ask at each instance between two reports, those that find
-/// its turn at an engine with `room` for so many.
+/// Returns how many of the `asking` requests at each instance between two reports get quota at an
+/// engine with `room` for that many requests.
 fn round(asking: &[u32], room: f64, rng: &mut ChaCha8Rng) -> Vec<u32> {
     let all: u32 = asking.iter().sum();
     let place = |own: &u32| {
@@ -50,13 +50,12 @@
     asking.iter().map(place).collect()
 }
 
+/// Guards against dividing room among instances that have no request for it. 295 instances get 350
+/// requests per second and a report every quarter of a second, so nine in ten have at most one
+/// request between two reports. With room for seventy requests divided into 295 parts, two in three
+/// requests got no quota, waited for 0.47 s and were late or refused while the room stayed free.
 #[test]
-fn sharers_quiet_fleet() {
-    // 350 requests a second come to 295 instances, and a report each quarter of a
-    // second: nine in ten instances hold one request or none between two reports.
-    // An engine with room for seventy was divided into 295 parts, so two in three
-    // requests found no turn, waited for 0.47 s and were late or refused while
-    // the room stayed free.
+fn sharers_low_load() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let (mut asked, mut placed) = (0, 0);
     for _ in 0..40 {
@@ -65,19 +64,18 @@
         let found: u32 = round(&asking, 70.0, &mut rng).iter().sum();
         asked += asking.iter().sum::<u32>();
         placed += found;
-        // Beside what others place meanwhile the engine must not be overrun.
+        // Together the instances must not overload the engine.
         assert!(found <= 105, "{found} to room for 70");
     }
     assert!(placed * 100 > asked * 95, "{placed} of {asked}");
 }
 
+/// Guards against a lack of quota after a shift of load. All callers of one of five domains move to
+/// another: 59 instances get two thirds of a request between two reports instead of one third, and
+/// as many get none. A request that waits for the next report, 250 ms, is on time; one that waits for
+/// the report after that is late, which one in a hundred may be.
 #[test]
 fn sharers_shift() {
-    // All callers of one of five domains move to another: 59 instances hold two
-    // thirds of a request between two reports where they held a third, and as many
-    // hold none. By equal parts the first would lack turns that the others don't
-    // need. Waiting for the next report, 250 ms, leaves a request on time; for the
-    // one after, it is late: one in a hundred may be.
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let (mut asked, mut late) = (0, 0);
     let mut waiting = vec![0; INSTANCES as usize];
@@ -100,10 +98,10 @@
     assert!(late * 100 < asked, "{late} of {asked}");
 }
 
+/// Guards against dividing room into more parts than there are instances, however many requests ask.
+/// Three requests per instance wait for an engine with room for forty.
 #[test]
 fn sharers_burst() {
-    // Three requests wait at each instance for an engine with room for forty.
-    // However many ask, no more instances than there are share the room.
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let asking = [3; INSTANCES as usize];
     for _ in 0..40 {
@@ -118,16 +116,16 @@
     }
 }
 
+/// Until a new leader knows how many requests ask, each may be one of many.
 #[test]
 fn sharers_unknown() {
-    // A new leader hasn't heard how many requests ask: each may be one of many.
     let mut loads = Loads::default();
     loads.update(&[], 0.5);
     assert!(!loads.may_add(ENGINE, 40.0 * USUAL, USUAL, few(INSTANCES)));
 }
 
 #[test]
-fn learn_waiting_ask_again() {
+fn update_counts_waiting() {
     let mut loads = Loads::default();
     loads.demand.update(Some(9), 0);
     loads.demand.record_request();
@@ -138,8 +136,8 @@
     assert_eq!(loads.demand.local(), 3);
 }
 
-/// Whether an instance finds room for a stream that goes on, after it waited.
-fn goes_on(loads: &mut Loads, instances: u32, room: f64, waited: f64) -> bool {
+/// Whether an instance finds room for a retried stream that has waited.
+fn places_retry(loads: &mut Loads, instances: u32, room: f64, waited: f64) -> bool {
     let work = Work {
         obeys_quota: retry_obeys_quota(false, waited),
         ..usual()
@@ -154,30 +152,30 @@
     found
 }
 
+/// Guards against a thundering herd after all processes were killed. Four streams at each of 87
+/// instances were cut off and return within the same tenth of a second, as soon as one pipeline is
+/// known again. When retries ignored the quota, all were sent there, the engines refused 347 of 529,
+/// and half of these callers had no retry left.
 #[test]
-fn begun_herd_takes_turns() {
-    // All processes are killed. Four streams at each of 87 instances were cut off
-    // and come back in the same tenth of a second, as soon as one pipeline is known
-    // again. A stream that had begun didn't wait for its instance's turn: all were
-    // sent there, the engines refused 347 of 529, and for half of these callers
-    // that was the last try.
+fn retry_herd_obeys_quota() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut sent = 0;
     for _ in 0..87 {
         let mut loads = Loads::default();
         loads.update(&[], rng.random());
-        let found = (0..4).filter(|_| goes_on(&mut loads, 87, 100.0, 0.0));
+        let found = (0..4).filter(|_| places_retry(&mut loads, 87, 100.0, 0.0));
         sent += found.count();
     }
     assert!((80..=180).contains(&sent), "{sent} to room for 100");
 }
 
+/// Guards against giving up a retry whose caller has a part of the response while fresh requests
+/// wait.
 #[test]
-fn begun_goes_first_in_the_end() {
-    // Its caller has a part of the answer: while others wait it isn't given up.
+fn retry_ignores_quota_in_the_end() {
     let mut loads = Loads::default();
-    assert!(!goes_on(&mut loads, 295, 100.0, 0.0));
-    assert!(goes_on(&mut loads, 295, 100.0, 0.9));
-    // But while all come back at once, each such exemption is one of hundreds.
+    assert!(!places_retry(&mut loads, 295, 100.0, 0.0));
+    assert!(places_retry(&mut loads, 295, 100.0, 0.9));
+    // But while all streams return at once, each such exemption is one of hundreds.
     assert!(retry_obeys_quota(true, 0.9));
 }
