--- a/src/tests/decide.rs
+++ b/src/tests/decide.rs
@@ -332,9 +332,9 @@
     assert_eq!(rounded, limit);
 }
 
-/// Guards against queueing requests that would find room only after their objective. Each request is
-/// first in the queue for 150 ms, so the third one would be late; refused at once, its caller learns
-/// when to retry.
+/// Guards against queueing requests that would find room only after their objective. Each request
+/// is first in the queue for 150 ms, so the third one would be late; refused at once, its caller
+/// learns when to retry.
 #[test]
 fn limit_slow_queue() {
     let mut timing = QueueTiming::default();
--- a/src/tests/decide/demand.rs
+++ b/src/tests/decide/demand.rs
@@ -3,7 +3,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::overload::{ENGINE, LAYERS, USUAL, USUAL_TOKENS, candidate, few, work};
+use super::overload::{ENGINE, LAYERS, USUAL, USUAL_TOKENS, candidate, one_replica, work};
 use crate::decide::load::{Loads, retry_obeys_quota};
 use crate::decide::path::{Hop, Start, Work, choose};
 use crate::roster::Range;
@@ -40,7 +40,7 @@
         assert_eq!(loads.demand.local(), *own);
         for _ in 0..*own {
             let left = room * USUAL - loads.at(ENGINE).memory;
-            if loads.may_add(ENGINE, left, USUAL, few(INSTANCES)) {
+            if loads.may_add(ENGINE, left, USUAL, one_replica(INSTANCES)) {
                 loads.book(&[(ENGINE, HOP)], &usual());
                 placed += 1;
             }
@@ -72,8 +72,8 @@
 
 /// Guards against a lack of quota after a shift of load. All callers of one of five domains move to
 /// another: 59 instances get two thirds of a request between two reports instead of one third, and
-/// as many get none. A request that waits for the next report, 250 ms, is on time; one that waits for
-/// the report after that is late, which one in a hundred may be.
+/// as many get none. A request that waits for the next report, 250 ms, is on time; one that waits
+/// for the report after that is late, which one in a hundred may be.
 #[test]
 fn sharers_shift() {
     let mut rng = ChaCha8Rng::seed_from_u64(4);
@@ -98,8 +98,8 @@
     assert!(late * 100 < asked, "{late} of {asked}");
 }
 
-/// Guards against dividing room into more parts than there are instances, however many requests ask.
-/// Three requests per instance wait for an engine with room for forty.
+/// Guards against dividing room into more parts than there are instances, however many requests
+/// ask. Three requests per instance wait for an engine with room for forty.
 #[test]
 fn sharers_burst() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
@@ -110,7 +110,7 @@
             let mut loads = Loads::default();
             loads.update(&[], rng.random());
             loads.demand.update(Some(asking.iter().sum()), 3);
-            open += u32::from(loads.may_add(ENGINE, 40.0 * USUAL, USUAL, few(INSTANCES)));
+            open += u32::from(loads.may_add(ENGINE, 40.0 * USUAL, USUAL, one_replica(INSTANCES)));
         }
         assert!((30..=95).contains(&open), "{open} of {INSTANCES}");
     }
@@ -121,7 +121,7 @@
 fn sharers_unknown() {
     let mut loads = Loads::default();
     loads.update(&[], 0.5);
-    assert!(!loads.may_add(ENGINE, 40.0 * USUAL, USUAL, few(INSTANCES)));
+    assert!(!loads.may_add(ENGINE, 40.0 * USUAL, USUAL, one_replica(INSTANCES)));
 }
 
 #[test]
@@ -143,7 +143,7 @@
         ..usual()
     };
     let room_mb = room * USUAL - loads.at(ENGINE).memory;
-    let open = loads.may_add(ENGINE, room_mb, USUAL, few(instances));
+    let open = loads.may_add(ENGINE, room_mb, USUAL, one_replica(instances));
     let candidate = candidate(room * USUAL, room_mb, open);
     let found = choose(LAYERS, Start::Caller, &[candidate], &work, |_| 1.0).is_ok();
     if found {
@@ -154,8 +154,8 @@
 
 /// Guards against a thundering herd after all processes were killed. Four streams at each of 87
 /// instances were cut off and return within the same tenth of a second, as soon as one pipeline is
-/// known again. When retries ignored the quota, all were sent there, the engines refused 347 of 529,
-/// and half of these callers had no retry left.
+/// known again. When retries ignored the quota, all were sent there, the engines refused 347 of
+/// 529, and half of these callers had no retry left.
 #[test]
 fn retry_herd_obeys_quota() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
--- a/src/tests/decide/overload.rs
+++ b/src/tests/decide/overload.rs
@@ -1,5 +1,4 @@
-//! Overload replayed against the decisions on room: one engine, several
-//! instances, and more requests than it can hold.
+//! Replays of overload: several instances send more requests to one engine than it can hold.
 
 use std::time::Duration;
 
@@ -17,16 +16,16 @@
 pub(super) const ENGINE: u64 = 77;
 pub(super) const LAYERS: u32 = 10;
 pub(super) const USUAL_TOKENS: f64 = 900.0;
-/// Memory of a usual request on the engine, in megabytes.
+/// Memory that a usual request uses at the engine, in megabytes.
 pub(super) const USUAL: f64 = USUAL_TOKENS * 0.005 * 10.0;
 /// Room for a hundred usual requests.
 const MEMORY: f64 = 100.0 * USUAL;
 const INSTANCES: usize = 9;
-/// Period at which instances hear of each other, in milliseconds.
-const REPORT: u64 = 250;
+/// Interval of reports to the instances, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 250;
 
-/// Instances before a domain that holds each layer once.
-pub(super) fn few(instances: u32) -> Contention {
+/// Contention of instances for a domain that holds each layer once.
+pub(super) fn one_replica(instances: u32) -> Contention {
     Contention {
         instances,
         replicas: 1.0,
@@ -39,15 +38,15 @@
     work: Work,
 }
 
-/// What became of the requests of one run.
+/// Result of a replay.
 #[derive(Debug, Default)]
 struct Tally {
-    /// Requests that found room, and of these the longest tenth.
+    /// Number of requests that found room, and of the longest tenth among them.
     placed: usize,
     placed_long: usize,
     arrived: usize,
     arrived_long: usize,
-    /// Most memory in use at once.
+    /// Maximum memory in use at once, in megabytes.
     most: f64,
 }
 
@@ -64,8 +63,8 @@
     }
 }
 
-/// Plays `seconds` in which `per_s` requests arrive at instances by lot.
-fn play(
+/// Replays `seconds` in which `per_s` requests per second arrive at random instances.
+fn replay(
     seed: u64,
     per_s: f64,
     seconds: u64,
@@ -86,20 +85,20 @@
         }
         running.retain(|r| r.ends > now);
         for (i, loads) in loads.iter_mut().enumerate() {
-            if now % REPORT == i as u64 * 20 {
+            if now % REPORT_INTERVAL_MS == i as u64 * 20 {
                 let others = running.iter().filter(|r| r.instance != i);
                 let (mut memory, mut requests) = (0.0, 0);
                 others.for_each(|r| {
                     memory += r.work.memory(LAYERS);
                     requests += 1;
                 });
-                let told = Load {
+                let reported = Load {
                     engine: ENGINE,
                     memory: memory as u32,
                     requests,
                     entered: 0,
                 };
-                loads.update(&[told], rng.random());
+                loads.update(&[reported], rng.random());
             }
         }
         if rng.random::<f64>() < per_s / 1000.0 {
@@ -115,7 +114,7 @@
                 tally.placed += 1;
                 tally.placed_long += usize::from(long);
                 loads[instance].book(&[(ENGINE, hop)], &work);
-                // A token of the answer takes some 15 ms, and is as one in six.
+                // One token in six belongs to the response, and takes about 15 ms.
                 let ends = now + (tokens * 2.5) as u64;
                 running.push(Running {
                     ends,
@@ -146,35 +145,34 @@
     }
 }
 
-/// As instances decide it for a fresh request.
-fn admitted(loads: &Loads, room_mb: f64, work: &Work, refused: &RefusalRates) -> bool {
-    let open = loads.may_add(ENGINE, room_mb, USUAL, few(INSTANCES as u32));
+/// Whether an instance admits a fresh request.
+fn is_admitted(loads: &Loads, room_mb: f64, work: &Work, refused: &RefusalRates) -> bool {
+    let open = loads.may_add(ENGINE, room_mb, USUAL, one_replica(INSTANCES as u32));
     let candidate = candidate(MEMORY, room_mb, open);
-    let first = work.tokens() > USUAL_TOKENS && refused.starves_long();
+    let takes_precedence = work.tokens() > USUAL_TOKENS && refused.starves_long();
     let work = Work {
-        headroom: if first {
+        headroom: if takes_precedence {
             0.0
         } else {
             headroom(work.tokens(), USUAL_TOKENS, 0.0)
         },
-        obeys_quota: !first,
+        obeys_quota: !takes_precedence,
         ..*work
     };
     choose(LAYERS, Start::Caller, &[candidate], &work, |_| 1.0).is_ok()
 }
 
+/// Guards against long requests that take the room of several short ones each. Three times as many
+/// requests arrive as an engine can hold; with a headroom by length more are placed, while the
+/// longest tenth finds about as much room as before.
 #[test]
 fn overload_short_first() {
-    // Three times as many requests come as an engine holds. Long ones took the
-    // room of several short ones each: fewer were answered, and the others were
-    // refused or late. With room asked for by size more are placed, while the
-    // longest tenth finds about as much as before.
     for seed in 0..5 {
         let alike = |_: &Loads, room: f64, work: &Work, _: &RefusalRates| {
             work.memory(LAYERS) <= room - 0.08 * MEMORY
         };
-        let before = play(seed, 160.0, 30, alike);
-        let after = play(seed, 160.0, 30, admitted);
+        let before = replay(seed, 160.0, 30, alike);
+        let after = replay(seed, 160.0, 30, is_admitted);
         let gain = after.placed as f64 / before.placed as f64;
         assert!(gain > 1.3, "seed {seed}: {before:?}, {after:?}");
         let long = after.placed_long as f64 / before.placed_long as f64;
@@ -182,11 +180,11 @@
     }
 }
 
+/// Guards against a thundering herd after a power loss of all machines. When the first whole
+/// pipeline is known again, each instance has dozens of waiting requests, sees the same free engine
+/// and doesn't know of the others: the engine refused 186 of 273 requests.
 #[test]
-fn herd_takes_parts() {
-    // All machines lose power. When the first whole pipeline is known again,
-    // each instance has dozens of requests waiting, all see the same free
-    // engine, and none knows of the others: 186 of 273 were refused by it.
+fn herd_obeys_quota() {
     let (mut sent, mut requests) = (0.0, 0);
     for i in 0..INSTANCES {
         let mut loads = Loads::default();
@@ -197,7 +195,7 @@
         };
         for _ in 0..60 {
             let room = MEMORY - loads.at(ENGINE).memory;
-            if admitted(&loads, room, &work(USUAL_TOKENS), &RefusalRates::default()) {
+            if is_admitted(&loads, room, &work(USUAL_TOKENS), &RefusalRates::default()) {
                 loads.book(&[(ENGINE, hop)], &work(USUAL_TOKENS));
                 sent += USUAL;
                 requests += 1;
@@ -208,11 +206,10 @@
     assert!(sent < 1.6 * MEMORY, "{requests} to room for 100");
 }
 
+/// Guards against unused room when the quota of each instance is less than one request: 73
+/// instances share an engine with room for forty.
 #[test]
-fn parts_of_many_instances() {
-    // 73 instances before an engine with room for forty: the part of each is
-    // less than one request. It falls to some of them by turns, or none would
-    // send anything and the room would stay free.
+fn quota_of_many_instances() {
     let mut turns = [0; 73];
     for draw in 0..100 {
         let mut open = 0;
@@ -220,7 +217,7 @@
             let mut loads = Loads::default();
             let own = (f64::from(draw) * 0.37 + i as f64 / 73.0).fract();
             loads.update(&[], own);
-            let may = loads.may_add(ENGINE, 40.0 * USUAL, USUAL, few(73));
+            let may = loads.may_add(ENGINE, 40.0 * USUAL, USUAL, one_replica(73));
             open += usize::from(may);
             *turns += usize::from(may);
         }
@@ -229,81 +226,80 @@
     assert!(turns.iter().all(|&t| t > 30), "{turns:?}");
 }
 
+/// A waiting request needs less and less headroom, and a very long request no more than one of
+/// twice the usual length, so that no length is shut out.
 #[test]
-fn spare_shrinks() {
-    // What waits needs less and less, and a very long request no more than one
-    // of twice the usual length: no length is shut out.
+fn headroom_shrinks() {
     assert!(headroom(900.0, 900.0, 1.0) < headroom(900.0, 900.0, 0.5));
     assert!(headroom(300.0, 900.0, 0.0) < headroom(900.0, 900.0, 0.0));
     assert!((headroom(3000.0, 900.0, 0.0) - headroom(1800.0, 900.0, 0.0)).abs() < 1e-9);
 }
 
+/// Guards against a queue whose requests are all late. In a lasting burst 28 requests per second
+/// find no room at one instance, and 16 slots become free. When each request waited for 400 ms of
+/// its objective of 500 and then needed 100 for its first event, nearly all were late.
 #[test]
-fn line_serves_on_time() {
-    // A burst that lasts: 28 requests a second find no room at one instance, and
-    // 16 places come free. Each waited 400 ms of its 500 and then needed 100 for
-    // its first event: nearly all that were served were late.
+fn queue_serves_on_time() {
     let objective = Duration::from_millis(500);
-    let (mut pace, mut waiting) = (QueueTiming::default(), Vec::<(u64, u64)>::new());
+    let (mut timing, mut queue) = (QueueTiming::default(), Vec::<(u64, u64)>::new());
     let (mut on_time, mut late) = (0, 0);
     let mut head = None;
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     for now in 0..20_000 {
         if rng.random::<f64>() < 0.028 {
             let left = Duration::from_secs(20);
-            let limit = waiting::limit(objective, Duration::ZERO, left, waiting.len(), &pace);
+            let limit = waiting::limit(objective, Duration::ZERO, left, queue.len(), &timing);
             if let Some(limit) = limit {
-                waiting.push((now, now + limit.as_millis() as u64));
+                queue.push((now, now + limit.as_millis() as u64));
             }
         }
-        if !waiting.is_empty() && head.is_none() {
+        if !queue.is_empty() && head.is_none() {
             head = Some(now);
         }
         let free = rng.random::<f64>() < 0.016;
-        if let (Some(&(came, until)), Some(since)) = (waiting.first(), head)
+        if let (Some(&(came, until)), Some(since)) = (queue.first(), head)
             && (free || until <= now)
         {
-            pace.record_turn(at(now).since(at(since)), free);
-            waiting.remove(0);
+            timing.record_turn(at(now).since(at(since)), free);
+            queue.remove(0);
             head = None;
             if free {
                 let first = 60 + rng.random_range(0..80);
-                pace.record_first_event(Duration::from_millis(first));
+                timing.record_first_event(Duration::from_millis(first));
                 match now - came + first <= 500 {
                     true => on_time += 1,
                     false => late += 1,
                 }
             }
         }
-        waiting.retain(|w| w.1 > now);
+        queue.retain(|w| w.1 > now);
     }
     assert!(on_time > 250, "{on_time} on time, {late} late");
     assert!(late * 20 < on_time, "{on_time} on time, {late} late");
 }
 
+/// Guards against a draw per engine, with which hardly any of 87 instances would have quota at all
+/// ten engines of a pipeline, and requests would be refused while the engines are half free. Each
+/// engine has room for forty.
 #[test]
-fn parts_of_whole_paths() {
-    // 87 instances before pipelines of ten engines, each with room for forty. Had
-    // each engine turns of its own, hardly any instance would have its turn at all
-    // ten, and requests would be refused beside engines that are half free.
+fn quota_of_whole_paths() {
     let mut placed = 0;
     for i in 0..87 {
         let mut loads = Loads::default();
         loads.update(&[], (f64::from(i) + 0.5) / 87.0);
         let engines = 1..=10;
-        let open = |e| loads.may_add(e, 40.0 * USUAL, USUAL, few(87));
+        let open = |e| loads.may_add(e, 40.0 * USUAL, USUAL, one_replica(87));
         placed += usize::from(engines.into_iter().all(open));
     }
     assert!((30..=80).contains(&placed), "{placed} of 87");
 }
 
+/// Guards against one draw for all engines of a large domain: 300 instances share 975 engines, 75
+/// for each of thirteen ranges of layers, each with room for forty. An instance without quota had
+/// none at any engine until the next report after 4.5 s, and refused its requests after 400 ms
+/// while the domain was idle.
 #[test]
-fn parts_of_large_domain() {
-    // 300 instances before a domain of 975 engines, 75 for each of thirteen ranges
-    // of layers, each with room for forty. An instance whose turn it wasn't had it
-    // at none of them, and heard of the others only every 4.5 s: until then it
-    // refused its requests after 400 ms (410 with `found` false from 1.1 to 4.8 s
-    // on one instance) beside a domain that was idle.
+fn quota_of_large_domain() {
     let share = Contention {
         instances: 300,
         replicas: 75.0,
@@ -320,6 +316,6 @@
             free.iter().for_each(|e| at_engine[**e as usize] += 1);
         }
     }
-    // Together they fill no engine beyond the parts that they are given.
+    // Together the instances fill no engine beyond their quotas.
     assert!(at_engine.iter().all(|&n| n <= 75), "{at_engine:?}");
 }
--- a/src/tests/decide/pace.rs
+++ b/src/tests/decide/pace.rs
@@ -1,4 +1,4 @@
-//! Engines that turn slow, from their reports to the choice of a path.
+//! Tests of slow engines, from their reports to the choice of a path.
 
 use super::super::pool::{self, WORK};
 use super::super::{at, board};
@@ -12,7 +12,7 @@
 use crate::roster::{Announcement, Range, Roster};
 use crate::sync::UpstreamRecord;
 
-/// Layers that each engine holds, and that a request passes through.
+/// Layers of each engine and of the model.
 const LAYERS: Range = Range { first: 0, end: 6 };
 
 fn engine(host: u8, kind: &str, pace: f64) -> Upstream {
@@ -23,7 +23,7 @@
     }
 }
 
-/// The engine that a request is sent to.
+/// Returns the engine that a request is sent to.
 fn chosen(engines: Vec<Upstream>) -> u64 {
     let mut services = Services::default();
     services.insert("letters".to_owned(), engines);
@@ -33,12 +33,12 @@
     pool.engines[hops.unwrap()[0].engine].key
 }
 
+/// Guards against choosing a slow engine by the speed of its kind. For six seconds the engine of
+/// the fastest kind takes four times as long as usual while its heartbeats continue. Requests
+/// queued up there, and within windows of two seconds none of 300 callers got a first event in
+/// time, while other engines with the same layers were idle.
 #[test]
-fn path_around_slow() {
-    // The engine of the fastest kind takes four times as long as usual for six
-    // seconds, and its heartbeats go on. By its kind it stayed the best choice:
-    // requests queued up there, and in windows of two seconds no caller of 300
-    // got a first event in time, while others with the same layers were idle.
+fn choose_around_slow() {
     let model = model();
     let mut kinds: Vec<_> = model.accelerators.iter().collect();
     kinds.sort_by(|a, b| a.step_factor.total_cmp(&b.step_factor));
@@ -59,11 +59,11 @@
 }
 
 #[test]
-fn news_of_differences() {
+fn significant_change_bounds() {
     assert_eq!(significant_change(1.0, 4.5), Some(4.5));
     assert_eq!(significant_change(4.5, 4.7), None);
     assert_eq!(significant_change(4.5, 1.0), Some(1.0));
-    // An engine that works faster than its kind is as good as usual.
+    // Being faster than the kind is treated as the usual pace.
     assert_eq!(significant_change(1.0, 0.3), None);
     assert_eq!(significant_change(1.0, 1e9), Some(100.0));
     for bad in [0.0, -3.0, f64::NAN] {
@@ -72,26 +72,26 @@
 }
 
 #[test]
-fn turns_reach_all() {
+fn next_batch_reaches_all() {
     let engines: Vec<u32> = (0..99).collect();
-    let mut turns = Rotation::default();
-    let mut asked: Vec<u32> = (0..4).flat_map(|_| turns.next_batch(&engines)).collect();
+    let mut rotation = Rotation::default();
+    let mut asked: Vec<u32> = (0..4).flat_map(|_| rotation.next_batch(&engines)).collect();
     asked.sort_unstable();
     asked.dedup();
     assert_eq!(asked, engines);
-    assert!(turns.next_batch::<u32>(&[]).is_empty());
-    assert_eq!(turns.next_batch(&[7]), [7]);
+    assert!(rotation.next_batch::<u32>(&[]).is_empty());
+    assert_eq!(rotation.next_batch(&[7]), [7]);
 }
 
+/// Guards against asking 3,000 engines in one round, which would delay the leader's heartbeats.
+/// Each engine is still asked.
 #[test]
-fn turns_bounded() {
-    // 3,000 engines at work: asked all in one round, they would take the leader's
-    // processor away from heartbeats. Each still has its turn.
+fn next_batch_bounded() {
     let engines: Vec<u32> = (0..3000).collect();
-    let mut turns = Rotation::default();
+    let mut rotation = Rotation::default();
     let mut asked = vec![0; 3000];
     for _ in 0..63 {
-        let round = turns.next_batch(&engines);
+        let round = rotation.next_batch(&engines);
         assert!(round.len() <= 48);
         round.iter().for_each(|e| asked[*e as usize] += 1);
     }
@@ -105,10 +105,10 @@
     }
 }
 
+/// The reported pace outlasts heartbeats, but not a restart: a restarted engine is as fast as its
+/// kind.
 #[test]
 fn paced_until_new_start() {
-    // An engine stays slow over its heartbeats, and is told so; one that starts
-    // again is as fast as its kind.
     let mut roster = Roster::new(std::time::Duration::from_millis(1200));
     roster.hear(at(0), announcement(1, 1));
     assert!(roster.paced("i-1", 1, 4.5));
@@ -116,7 +116,7 @@
     roster.hear(at(1200), announcement(1, 2));
     let told = UpstreamRecord::new(roster.get("i-1").unwrap(), None);
     assert!((Upstream::from(&told).pace - 4.5).abs() < 1e-6);
-    // A report that was on its way says nothing of the next start.
+    // A delayed report doesn't apply to the next start.
     roster.hear(at(2400), announcement(2, 1));
     assert!(!roster.paced("i-1", 1, 9.0));
     let told = UpstreamRecord::new(roster.get("i-1").unwrap(), None);
--- a/src/tests/decide/path.rs
+++ b/src/tests/decide/path.rs
@@ -1,4 +1,4 @@
-//! Tests of the choice of paths, and of what bounds them.
+//! Tests of the choice of paths and of the limits on them.
 
 use super::{at, model};
 use crate::decide::link::LinkShare;
@@ -60,10 +60,10 @@
     assert_eq!(choose(&[candidate(0, 40), full]), Err(NoPath::Full));
 }
 
+/// Guards against overfilling an engine in a burst while another one with the same layers has room;
+/// the full engine would interrupt its newest request.
 #[test]
 fn choose_copy_with_room() {
-    // A burst fills one of two engines with the same layers. Requests must go
-    // through the other; the engine would interrupt the newest otherwise.
     let mut full = candidate(40, 80);
     full.room_mb = 1.0;
     let parts = choose(&[candidate(0, 40), full, candidate(40, 80)]).unwrap();
@@ -76,7 +76,7 @@
     far.domain = 1;
     far.step_ms = 0.09;
     let parts = choose(&[far, candidate(0, 40), candidate(40, 80)]);
-    // The whole path elsewhere crosses no boundary between domains.
+    // A whole path in another domain crosses no boundary between domains.
     assert_eq!(parts.unwrap(), [(0, 0, 80)]);
     let mut far = candidate(40, 80);
     far.domain = 1;
@@ -85,10 +85,10 @@
     assert_eq!(parts.unwrap(), [(1, 0, 40), (2, 40, 80)]);
 }
 
+/// The only local engine with some layers dies. Until others have loaded them, requests use a copy
+/// in another domain.
 #[test]
-fn choose_far_copy() {
-    // The only engine with some layers dies. Until others have loaded them,
-    // requests go through a copy in another domain.
+fn choose_remote_copy() {
     let mut far = candidate(0, 80);
     far.domain = 1;
     far.step_ms = 5.0;
@@ -96,11 +96,10 @@
     assert_eq!(parts[1], (0, 30, 50));
 }
 
+/// The caller's domain has lost layers 50 to 60, and the other domain is loaded. Crossing there and
+/// back would occupy the shared link; the whole path in the other domain doesn't use it.
 #[test]
 fn choose_other_domain_whole() {
-    // The caller's domain has lost layers 50 to 60, and the other is loaded.
-    // Crossing there and back would occupy the link that all share; the whole
-    // path in the other domain uses none of it.
     let mut far = candidate(0, 80);
     far.domain = 1;
     far.step_ms = 0.2;
@@ -123,10 +122,10 @@
     assert_eq!(path::crossings(&candidates, &hops.unwrap()), 1);
 }
 
+/// An engine on the path of a running request dies. The first engine stays, since it has the
+/// caller's connection; only the rest of the path is chosen again.
 #[test]
-fn choose_behind_engine() {
-    // An engine of a running request's path dies. The first engine stays, as
-    // it has the caller's connection; only the rest is chosen anew.
+fn choose_after_engine() {
     let candidates = [candidate(40, 80), candidate(20, 60)];
     let start = Start::After {
         layer: 30,
@@ -137,15 +136,15 @@
     assert_eq!(hops[0].engine, 1);
 }
 
+/// Guards against a full link when many requests cross at once: all instances together must leave
+/// half of it free, or every token on it is delayed.
 #[test]
-fn take_link_bounded() {
-    // Many requests would cross at once. All instances together must leave
-    // half of the link free, or every token on it waits.
+fn try_acquire_link_bounded() {
     let mut used = 0.0;
     for _ in 0..9 {
-        let mut part = LinkShare::new(at(0));
+        let mut share = LinkShare::new(at(0));
         for i in 0..1000 {
-            if part.try_acquire(at(i * 10), 9, 20.8) {
+            if share.try_acquire(at(i * 10), 9, 20.8) {
                 used += 20.8;
             }
         }
@@ -157,7 +156,7 @@
 }
 
 #[test]
-fn choose_first_entered() {
+fn choose_may_enter() {
     let mut full = candidate(0, 40);
     full.may_enter = false;
     let other = candidate(0, 40);
@@ -165,10 +164,10 @@
     assert_eq!(parts[0].0, 1);
 }
 
+/// Guards against naming an engine twice, which engines refuse. A slow engine holds all layers, a
+/// fast one a part in the middle.
 #[test]
 fn choose_engine_once() {
-    // A slow engine holds all, a fast one a part in the middle: there and
-    // back would name the slow one twice, which engines refuse.
     let mut slow = candidate(0, 80);
     slow.step_ms = 0.2;
     let mut fast = candidate(30, 50);
@@ -178,7 +177,7 @@
 }
 
 #[test]
-fn leave_frees_all() {
+fn release_frees_all() {
     let mut loads = Loads::default();
     let hop = Hop {
         engine: 0,
@@ -203,13 +202,13 @@
 }
 
 #[test]
-fn speed_of_brimful() {
+fn speed_of_full_engine() {
     let model = model();
     let t4 = model.accelerator("t4").unwrap();
     let loads = Loads::default();
     let seven = Speed::new(&model, t4, Range::new(0, 7), loads.at(1));
     let eight = Speed::new(&model, t4, Range::new(0, 8), loads.at(1));
-    // Some 41,000 tokens of room with seven layers, 6,800 with eight.
+    // The room is about 41,000 tokens with seven layers and 6,800 with eight.
     assert!(seven.room_mb > 4.0 * eight.room_mb);
     assert!(eight.room_mb > 0.0);
 }
--- a/src/tests/decide/placement.rs
+++ b/src/tests/decide/placement.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// Engines as a users' domain has them.
+/// Engines of a typical domain of the users.
 fn domain(name: &str) -> Vec<Worker> {
     let kinds = [(2, 36_000.0, 3.1), (4, 21_600.0, 16.0), (7, 14_400.0, 15.0)];
     let engines = kinds.into_iter().flat_map(|(count, size, step)| {
@@ -34,7 +34,7 @@
     worker.loaded = Some(range);
 }
 
-fn carry_out(model: &Model, workers: &mut [Worker]) -> usize {
+fn apply_plan(model: &Model, workers: &mut [Worker]) -> usize {
     let moves = placement::plan(model, workers);
     for m in &moves {
         hold(&mut workers[m.worker], m.range);
@@ -42,7 +42,7 @@
     moves.len()
 }
 
-fn depths(workers: &[Worker], domain: &str) -> Vec<usize> {
+fn holder_counts(workers: &[Worker], domain: &str) -> Vec<usize> {
     let members = || workers.iter().filter(|w| w.domain == domain);
     (0..80)
         .map(|l| {
@@ -54,56 +54,62 @@
 }
 
 #[test]
-fn plan_domain_whole() {
+fn plan_whole_domains() {
     let model = model();
     let mut workers: Vec<Worker> = [domain("a"), domain("b")].concat();
-    assert_eq!(carry_out(&model, &mut workers), workers.len());
+    assert_eq!(apply_plan(&model, &mut workers), workers.len());
     for name in ["a", "b"] {
-        assert!(depths(&workers, name).iter().all(|&d| d >= 1));
+        assert!(holder_counts(&workers, name).iter().all(|&d| d >= 1));
     }
     for w in &workers {
         let held = f64::from(w.held.unwrap().len());
         assert!(held * model.layer_mb < w.size_mb, "more layers than fit");
     }
-    assert_eq!(carry_out(&model, &mut workers), 0, "the plan is stable");
+    assert_eq!(apply_plan(&model, &mut workers), 0, "the plan is stable");
 }
 
+/// Guards against missing layers after the loss of an engine whose layers nobody else holds. They
+/// must be loaded by an engine whose own layers have another holder.
 #[test]
 fn plan_lost_engine() {
-    // An engine with layers that nobody else holds is lost. Its layers must
-    // come back on an engine whose own are held twice.
     let model = model();
     for lost in 0..13 {
         let mut workers = domain("a");
-        carry_out(&model, &mut workers);
+        apply_plan(&model, &mut workers);
         workers.remove(lost);
         for _ in 0..3 {
-            carry_out(&model, &mut workers);
+            apply_plan(&model, &mut workers);
         }
-        let thin = depths(&workers, "a").iter().filter(|&&d| d == 0).count();
-        assert_eq!(thin, 0, "layers are missing after engine {lost} was lost");
+        let missing = holder_counts(&workers, "a")
+            .iter()
+            .filter(|&&d| d == 0)
+            .count();
+        assert_eq!(
+            missing, 0,
+            "layers are missing after engine {lost} was lost"
+        );
     }
 }
 
+/// Guards against copies of the layers of the fastest engine, which would be idle while the slow
+/// engines delay every token.
 #[test]
 fn plan_copies_slow_layers() {
-    // A domain has engines to spare. Copies of the layers on the fastest one
-    // would idle while the slow engines delay every token.
     let model = model();
     let fast = worker("a", 72_000.0, 1.4);
     let slow = std::iter::repeat_with(|| worker("a", 21_600.0, 16.0)).take(9);
     let mut workers: Vec<Worker> = std::iter::once(fast).chain(slow).collect();
-    carry_out(&model, &mut workers);
+    apply_plan(&model, &mut workers);
     let fast = workers[0].held.unwrap();
-    let depth = depths(&workers, "a");
+    let depth = holder_counts(&workers, "a");
     assert!((fast.first..fast.end).all(|l| depth[l as usize] == 1));
     assert!(depth.contains(&2));
 }
 
+/// Guards against giving up layers while a spare engine still loads them; they would be missing
+/// until it has.
 #[test]
 fn plan_keeps_until_loaded() {
-    // A spare engine was ordered to take layers of a tight one and still loads
-    // them. Given up now, they would be missing for the whole time of the load.
     let model = model();
     let mut workers: Vec<Worker> = (0..3).map(|_| worker("a", 72_000.0, 1.4)).collect();
     hold(&mut workers[0], Range::new(0, 40));
@@ -117,11 +123,10 @@
     assert_eq!(moves[0].range, Range::new(20, 40));
 }
 
+/// Guards against loading the layers of a lost engine into memory that running requests of its
+/// neighbours need; the newest would be interrupted in the middle of their responses.
 #[test]
 fn plan_stretch_spares_running() {
-    // The neighbours of a lost engine are full of running requests. Loading
-    // its layers would take their memory, and the newest would be interrupted
-    // in the middle of their answers.
     let model = model();
     let mut workers: Vec<Worker> = (0..3).map(|_| worker("a", 72_000.0, 1.4)).collect();
     for (w, first) in workers.iter_mut().zip([0, 40, 60]) {
@@ -133,11 +138,10 @@
     }
 }
 
+/// Guards against a pipeline that waits for an engine with memory for six requests, since it was
+/// stretched over a gap. A spare engine must take some of its layers before it gives them up.
 #[test]
-fn plan_relieves_brimful() {
-    // An engine stretched over a gap has memory for six requests left, and the
-    // whole pipeline waits for it. A spare engine must take some of its layers
-    // first, and then it gives them up.
+fn plan_relieves_full_engine() {
     let model = model();
     let mut workers = vec![
         worker("a", 72_000.0, 1.4),
@@ -150,23 +154,23 @@
     workers.push(worker("a", 36_000.0, 3.1));
     hold(&mut workers[3], Range::new(0, 15));
     for _ in 0..3 {
-        carry_out(&model, &mut workers);
+        apply_plan(&model, &mut workers);
     }
     assert!(
         workers[1].held.unwrap().len() <= 30,
         "{:?}",
         workers[1].held
     );
-    assert!(depths(&workers, "a").iter().all(|&d| d >= 1));
-    assert_eq!(carry_out(&model, &mut workers), 0, "the plan is stable");
+    assert!(holder_counts(&workers, "a").iter().all(|&d| d >= 1));
+    assert_eq!(apply_plan(&model, &mut workers), 0, "the plan is stable");
 }
 
+/// Guards against missing layers while a spare engine finishes its requests. One layer of a lost
+/// engine is missing, and both neighbours are comfortably full. The domain served nothing for the
+/// six seconds until the spare engine was free; a neighbour must take the layer at once, even if it
+/// has hardly any room left.
 #[test]
 fn plan_bridges_gap() {
-    // One layer is left of a lost engine's, and both neighbours are as full as
-    // is comfortable. The engine that is moved there must first finish its
-    // requests; for those six seconds the domain served nothing. A neighbour
-    // must take the layer at once, to the brim if need be.
     let model = model();
     let mut workers: Vec<Worker> = Vec::new();
     for (first, end) in [(0, 7), (8, 15), (0, 7), (8, 15)] {
@@ -189,14 +193,14 @@
     assert!(moves.iter().any(bridges), "{moves:?}");
 }
 
+/// Guards against filling each domain from its first layer on if none can hold the model alone;
+/// nobody would hold the last layers.
 #[test]
 fn plan_small_domains_together() {
-    // Neither domain can hold the model alone. Were each filled from its
-    // first layer on, nobody would hold the last ones.
     let model = model();
     let half = |name: &str| domain(name).into_iter().take(6).collect::<Vec<_>>();
     let mut workers: Vec<Worker> = [half("a"), half("b")].concat();
-    carry_out(&model, &mut workers);
+    apply_plan(&model, &mut workers);
     let both = |l| workers.iter().any(|w| w.held.is_some_and(|h| h.holds(l)));
     assert!((0..80).all(both));
 }
@@ -205,7 +209,7 @@
 fn plan_returned_engine() {
     let model = model();
     let mut workers = domain("a");
-    carry_out(&model, &mut workers);
+    apply_plan(&model, &mut workers);
     let before = workers[0].held.take();
     let moves = placement::plan(&model, &workers);
     assert_eq!(
@@ -214,11 +218,11 @@
     );
 }
 
+/// Guards against moving an engine that must first finish its running requests. The neighbours of a
+/// lost engine take its layers and keep their own: their running requests continue, and the load is
+/// short.
 #[test]
 fn plan_stretch_keeps_held() {
-    // An engine between two others is lost. Its neighbours take its layers and
-    // keep their own: requests that pass through them go on, and the load is
-    // short. Moving another engine would first wait for all that runs there.
     let model = model();
     let mut workers: Vec<Worker> = (0..4).map(|_| worker("a", 72_000.0, 1.4)).collect();
     for (i, w) in workers.iter_mut().enumerate() {
@@ -232,26 +236,29 @@
         assert!(m.range.first <= held.first && held.end <= m.range.end);
         hold(&mut workers[m.worker], m.range);
     }
-    assert!(depths(&workers, "a").iter().all(|&d| d == 1));
+    assert!(holder_counts(&workers, "a").iter().all(|&d| d == 1));
 }
 
+/// Guards against gaps after the loss of any engine, and against a neighbour that stays full after
+/// it has closed the gap: with room for six requests the domain would serve two per second. The
+/// engines are those of a users' domain.
 #[test]
 fn plan_stretch_both() {
-    // Engines as in a domain of the users; any one is lost. One plan must close
-    // the gap. A neighbour that is filled to the brim for it must not stay so:
-    // with room for six requests the domain would serve two a second.
     let model = model();
     let mut whole = domain("a");
-    carry_out(&model, &mut whole);
+    apply_plan(&model, &mut whole);
     for lost in 0..whole.len() {
         let mut workers = whole.clone();
         workers.remove(lost);
-        carry_out(&model, &mut workers);
+        apply_plan(&model, &mut workers);
         for _ in 0..30 {
-            assert!(depths(&workers, "a").iter().all(|&d| d >= 1), "lost {lost}");
-            carry_out(&model, &mut workers);
+            assert!(
+                holder_counts(&workers, "a").iter().all(|&d| d >= 1),
+                "lost {lost}"
+            );
+            apply_plan(&model, &mut workers);
         }
-        let room = tightest(&model, &workers);
+        let room = min_layer_room(&model, &workers);
         let held: Vec<_> = workers.iter().map(|w| (w.size_mb as u64, w.held)).collect();
         assert!(
             room >= 24.0,
@@ -260,8 +267,8 @@
     }
 }
 
-/// Requests for which the tightest layer has memory.
-fn tightest(model: &Model, workers: &[Worker]) -> f64 {
+/// Number of usual requests for which the layer with the least room has memory.
+fn min_layer_room(model: &Model, workers: &[Worker]) -> f64 {
     let tokens = model.usual_prompt + model.usual_answer;
     let room = |w: &Worker, held: Range| {
         let layers = f64::from(held.len());
@@ -275,11 +282,11 @@
     (0..model.layers).map(at).fold(f64::INFINITY, f64::min)
 }
 
+/// Guards against a layout with room for only a few requests per second after the largest engine is
+/// lost for good. The others have memory for the whole model and for many requests, but those that
+/// take its layers are full.
 #[test]
 fn plan_lost_largest() {
-    // A domain's largest engine leaves for good. The others have memory for
-    // the whole model and for many requests; filled to the brim where the
-    // large one was, they would let only a few requests a second through.
     let model = model();
     let sizes = [
         (1, 72_000.0, 1.4),
@@ -291,24 +298,23 @@
         std::iter::repeat_with(move || worker("a", size, step)).take(count)
     });
     let mut workers: Vec<Worker> = engines.collect();
-    carry_out(&model, &mut workers);
+    apply_plan(&model, &mut workers);
     workers.remove(0);
     for _ in 0..40 {
-        if carry_out(&model, &mut workers) == 0 {
+        if apply_plan(&model, &mut workers) == 0 {
             break;
         }
-        assert!(depths(&workers, "a").iter().all(|&d| d >= 1));
+        assert!(holder_counts(&workers, "a").iter().all(|&d| d >= 1));
     }
-    let room = tightest(&model, &workers);
+    let room = min_layer_room(&model, &workers);
     let held: Vec<_> = workers.iter().map(|w| w.held).collect();
     assert!(room >= 60.0, "room for {room} requests: {held:?}");
 }
 
+/// Guards against ordering several spare engines to take the same layers of a stretched engine,
+/// which would relieve it of eight layers instead of all that are too many.
 #[test]
 fn plan_relief_spreads() {
-    // A large engine was stretched and some small ones can be spared. Ordered
-    // to the same layers one after the other, they would relieve it of eight
-    // layers instead of all that are too many.
     let model = model();
     let mut workers = vec![worker("a", 72_000.0, 1.4), worker("a", 72_000.0, 1.4)];
     hold(&mut workers[0], Range::new(0, 40));
@@ -334,12 +340,11 @@
     );
 }
 
+/// Guards against too little room at the largest engine of a domain of 33, which gets 75 streams
+/// per second and has 250 at once. Its layers had no second holder, since no other engine runs them
+/// as fast; it had room for 100 streams and refused the rest, while other layers had eight holders.
 #[test]
 fn plan_large_domain_room() {
-    // A domain of 33 engines gets 75 streams a second, 250 at once. The layers
-    // of its largest engine had no second holder, as no other runs them as
-    // fast; it had room for 100 of them, and refused the rest, while other
-    // layers were held eight times.
     let model = model();
     let kinds = [
         (1, 72_000.0, 1.4),
@@ -351,13 +356,13 @@
         std::iter::repeat_with(move || worker("a", size, step)).take(count)
     });
     let mut workers: Vec<Worker> = engines.collect();
-    carry_out(&model, &mut workers);
-    let room = tightest(&model, &workers);
+    apply_plan(&model, &mut workers);
+    let room = min_layer_room(&model, &workers);
     assert!(room >= 200.0, "room for {room} requests");
 }
 
-/// Shortest time of a first plan for `count` domains' worth of engines in each of
-/// three domains.
+/// Returns the shortest of five durations of a first plan for three domains, each with `count`
+/// times the engines of [`domain`].
 fn plan_time(model: &Model, count: usize) -> Duration {
     let names = ["a", "b", "c"].iter();
     let domains = names.flat_map(|name| std::iter::repeat_n(domain(name), count));
@@ -370,23 +375,22 @@
     timed.min().unwrap()
 }
 
+/// Guards against a plan whose time grows with the square of the number of engines. 2,925 engines
+/// announce themselves to a new leader, whose first plan took 0.6 s of a core, two seconds of the
+/// controller's share of it. It was deposed because its heartbeats were late, and so was the next
+/// leader, four times in 16 s, while callers were refused.
 #[test]
 fn plan_grows_with_engines() {
-    // 2,925 engines announce themselves to a new leader. Its first plan summed up
-    // all engines for each that it placed: 0.6 s of a core, two seconds of the
-    // controller's share of it. The others heard nothing, elected another leader
-    // (502 right where 306 should begin), which planned and was deposed in turn,
-    // four times in 16 s; callers were refused until the fourth.
     let model = model();
     let (few, many) = (plan_time(&model, 8), plan_time(&model, 75));
-    // 9.4 times the engines; with the square of them it is 88.
+    // The ratio of the engines is 9.4, its square 88.
     assert!(many < few * 30, "{few:?}, then {many:?}");
 }
 
+/// Engines still hold and report the layers of an old model when a new configuration has a model
+/// with fewer layers.
 #[test]
 fn plan_layers_beyond_model() {
-    // A new configuration brings a model with fewer layers while engines still
-    // hold, and report, those of the old one.
     let model = model();
     let mut workers = domain("a");
     for (at, worker) in workers.iter_mut().enumerate() {
--- a/src/tests/decide/suspicion.rs
+++ b/src/tests/decide/suspicion.rs
@@ -1,5 +1,5 @@
-//! Dead engines at hundreds of instances, from the first refusal until the leader
-//! gives them up.
+//! Tests of how hundreds of instances treat a dead engine, from the first refusal until the leader
+//! drops it.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
 
 const BEAT: Duration = Duration::from_millis(1200);
 
+/// Guards against many refusals on behalf of a dead engine. The engine before it refuses for it as
+/// quickly as a full one would, so each instance excluded it for only 0.2 s and tried again after
+/// 0.2, 0.6 and 1.4 s: 550 refusals by four dead engines in 2 s left 350 callers without a retry,
+/// although the engine was half empty.
 #[test]
-fn refused_with_room() {
-    // An engine in the middle of many paths dies. The engine before it refuses in
-    // its name at once, as one that is full does, so each instance left it out for
-    // 0.2 s only, and asked again after 0.2, 0.6 and 1.4 s: 550 refusals by four
-    // dead engines in 2 s, 350 callers without a retry left. It was half empty.
+fn refused_with_room_is_dead() {
     assert!(!may_be_full(Some(0.5)));
     assert!(may_be_full(Some(0.9)));
     assert!(may_be_full(None));
@@ -33,41 +33,41 @@
     board::news(1, sequence, Some((0, 9)))
 }
 
-fn told(roster: &Roster) -> bool {
+fn is_suspected(roster: &Roster) -> bool {
     let entry = roster.get("i-1").unwrap();
     Upstream::from(&UpstreamRecord::new(entry, None)).suspected
 }
 
+/// Guards against each of 295 instances having to detect a dead engine by a failed request of its
+/// own in the 2.4 s until its missing heartbeats are noticed. What several instances detect is sent
+/// to the others.
 #[test]
-fn suspected_told_at_once() {
-    // Each of 295 instances had to find out by a request of its own that an engine
-    // is dead, for the 2.4 s until its heartbeats were missed. What several of them
-    // found is told to the others.
+fn suspicion_reaches_all() {
     let mut roster = Roster::new(BEAT);
     roster.hear(at(0), announcement(1));
     let witnesses = |count: usize| -> HashMap<_, _> {
         [(announcement(1).address, count)].into_iter().collect()
     };
     roster.tick(at(400), &witnesses(3));
-    assert!(!told(&roster));
+    assert!(!is_suspected(&roster));
     let before = roster.changes().revision();
     roster.tick(at(500), &witnesses(4));
-    assert!(told(&roster));
+    assert!(is_suspected(&roster));
     assert!(roster.changes().revision() > before);
-    // It lives: its next heartbeat speaks for it.
+    // Its next heartbeat clears the suspicion.
     roster.hear(at(1200), announcement(2));
     roster.tick(at(1250), &witnesses(4));
-    assert!(!told(&roster));
-    // What nobody suspects any more may be tried again.
+    assert!(!is_suspected(&roster));
+    // An engine that no instance suspects any longer may be tried again.
     roster.tick(at(1800), &witnesses(4));
-    assert!(told(&roster));
+    assert!(is_suspected(&roster));
     roster.tick(at(2000), &witnesses(0));
-    assert!(!told(&roster));
+    assert!(!is_suspected(&roster));
 }
 
+/// An engine that others suspect is still used if no other holds a layer.
 #[test]
-fn standing_told() {
-    // Where nothing else holds a layer, an engine that others suspect is used.
+fn status_with_suspicion() {
     assert_eq!(
         HealthStatus::Healthy.with_suspicion(true),
         HealthStatus::Failing
@@ -79,53 +79,55 @@
     assert_eq!(HealthStatus::Dead.with_suspicion(true), HealthStatus::Dead);
 }
 
-/// Steps of an attempt that stays silent, with the milliseconds of each.
-fn steps(mut patience: StallTimer, known_at: Option<u64>) -> Vec<(u64, Step)> {
+/// Returns the steps of an attempt that sends nothing, each with its time in milliseconds. From
+/// `known_at` on, a dead engine is known and the reroute is tried.
+fn steps(mut timer: StallTimer, known_at: Option<u64>) -> Vec<(u64, Step)> {
     let mut waited = Duration::ZERO;
     let mut steps = Vec::new();
-    while let Some(wait) = patience.next_wait(waited) {
+    while let Some(wait) = timer.next_wait(waited) {
         waited += wait;
         let now = waited.as_millis() as u64;
-        let step = patience.step(waited);
+        let step = timer.step(waited);
         if step == Step::Avoid && known_at.is_some_and(|at| at <= now) {
-            patience.record_reroute();
+            timer.record_reroute();
         }
         steps.push((now, step));
     }
     steps
 }
 
+/// Guards against a late reroute around a dead engine. 120 ms after the engine died a new request
+/// is refused on its behalf, but the stream waited until 260 ms, and its caller saw a pause of over
+/// 300 where 200 are allowed.
 #[test]
-fn patience_known_dead() {
-    // An engine dies under a stream. 120 ms later a new request is refused in its
-    // name. The stream went on waiting until 260 ms, and its caller saw a pause of
-    // over 300 where 200 are allowed.
-    let patience = StallTimer::new(Duration::from_millis(1000), true);
-    let led = steps(patience, Some(120));
-    assert_eq!(led[..2], [(100, Step::Avoid), (140, Step::Avoid)]);
-    assert_eq!(led[2], (260, Step::Ask));
-    assert_eq!(led.last(), Some(&(1000, Step::Ask)));
+fn stall_timer_known_dead() {
+    let timer = StallTimer::new(Duration::from_millis(1000), true);
+    let rerouted = steps(timer, Some(120));
+    assert_eq!(rerouted[..2], [(100, Step::Avoid), (140, Step::Avoid)]);
+    assert_eq!(rerouted[2], (260, Step::Ask));
+    assert_eq!(rerouted.last(), Some(&(1000, Step::Ask)));
 }
 
+/// The first engine is queried as soon as its report can contain the cause.
 #[test]
-fn patience_nothing_known() {
-    // Its first engine is asked as soon as its report can tell.
-    let patience = StallTimer::new(Duration::from_millis(500), true);
-    let asked: Vec<_> = steps(patience, None);
-    let first = asked.iter().find(|s| s.1 == Step::Ask);
-    assert_eq!(first, Some(&(260, Step::Ask)));
+fn stall_timer_nothing_known() {
+    let timer = StallTimer::new(Duration::from_millis(500), true);
+    let steps: Vec<_> = steps(timer, None);
+    let first_query = steps.iter().find(|s| s.1 == Step::Ask);
+    assert_eq!(first_query, Some(&(260, Step::Ask)));
 }
 
 #[test]
-fn patience_not_helped() {
-    let patience = StallTimer::new(Duration::from_millis(240), false);
-    assert_eq!(steps(patience, None), [(240, Step::Wait)]);
+fn stall_timer_not_reroutable() {
+    let timer = StallTimer::new(Duration::from_millis(240), false);
+    assert_eq!(steps(timer, None), [(240, Step::Wait)]);
 }
 
+/// The first engine is queried even if the timeout is shorter than the time that it needs to detect
+/// the cause.
 #[test]
-fn patience_short() {
-    // What is awaited for less than the first engine needs to tell is still asked.
-    let patience = StallTimer::new(Duration::from_millis(150), true);
-    let steps = steps(patience, None);
+fn stall_timer_short() {
+    let timer = StallTimer::new(Duration::from_millis(150), true);
+    let steps = steps(timer, None);
     assert_eq!(steps.last(), Some(&(150, Step::Ask)));
 }
