--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -27,7 +27,7 @@
 /// engines' room among all layers.
 ///
 /// Below that, the layer gets the next copy however fast its holder is, since the layer with the
-/// min_reserved room limits how many requests run at once. Further copies go to slow layers, which
+/// least room limits how many requests run at once. Further copies go to slow layers, which
 /// keeps batches small. In a domain of thirteen engines, which has room for some 120 requests
 /// per layer and needs sixty, speed takes precedence; one of 33 engines has room for 340 and
 /// needs 250.
@@ -51,8 +51,8 @@
 const BALANCE_STEP: f64 = 8.0;
 const BALANCE_STEPS: u32 = 20;
 
-/// Ratio of a balanced layout's room to that of the current one from which it is worth the many
-/// loads.
+/// Ratio of a balanced layout's room to that of the current one from which the gain justifies its
+/// many loads.
 const BALANCE_GAIN: f64 = 1.5;
 
 /// An engine that can hold layers.
--- a/src/decide/placement/relief.rs
+++ b/src/decide/placement/relief.rs
@@ -5,13 +5,13 @@
 use crate::roster::Range;
 
 impl Group<'_> {
-    /// Relieves the tightest engine: it gives up layers for which others have room, or else a
+    /// Relieves the engine that limits the pipeline: it gives up layers for which others have room, or else a
     /// spare engine takes some of them first.
     ///
     /// Each plan contains one such order, since several at once would take engines away from
     /// requests faster than they add room.
     pub(super) fn relieve(&mut self) {
-        let Some((worker, held)) = self.tightest() else {
+        let Some((worker, held)) = self.most_constrained() else {
             return;
         };
         if !self.is_free(worker) {
@@ -21,7 +21,7 @@
             return self.assign(worker, range);
         }
         let spare = self.members.iter().copied();
-        let spare = spare.filter(|&i| i != worker && self.is_roomy_spare(i));
+        let spare = spare.filter(|&i| i != worker && self.is_spare_with_room(i));
         let helper = spare.max_by_key(|&i| self.max_layers(i, self.requests));
         // Skips layers that others already hold or load with enough room.
         let least = self.tokens(MIN_LAYER_ROOM);
@@ -123,11 +123,11 @@
 
     /// Returns the engine with the least room among the holders of the layer with the least room,
     /// and its range, if that layer has too little room.
-    pub(super) fn tightest(&self) -> Option<(usize, Range)> {
+    pub(super) fn most_constrained(&self) -> Option<(usize, Range)> {
         let least = self.tokens(MIN_LAYER_ROOM);
         let rooms = (0..self.model.layers).zip(self.rooms().iter().copied());
-        let tight = rooms.filter(|&(_, room)| room > 0.0 && room < least);
-        let (layer, _) = tight.min_by(|a, b| a.1.total_cmp(&b.1))?;
+        let constrained = rooms.filter(|&(_, room)| room > 0.0 && room < least);
+        let (layer, _) = constrained.min_by(|a, b| a.1.total_cmp(&b.1))?;
         let holders = self.holders(layer).filter_map(|i| Some((i, self.held[i]?)));
         holders.min_by(|a, b| self.room(a.0, a.1).total_cmp(&self.room(b.0, b.1)))
     }
@@ -151,7 +151,7 @@
     }
 
     /// Whether an engine is free and others have loaded all its layers with enough room.
-    fn is_roomy_spare(&self, worker: usize) -> bool {
+    fn is_spare_with_room(&self, worker: usize) -> bool {
         let least = self.tokens(MIN_LAYER_ROOM);
         self.is_free(worker) && self.others_hold(worker, |room| room >= least)
     }
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -43,14 +43,14 @@
 
 /// Maximum number of retained crashes, and of requests per crash. The oldest crash is
 /// evicted first.
-const MOST_ENGINES: usize = 256;
-const MOST_REQUESTS: usize = 256;
+const MAX_ENGINES: usize = 256;
+const MAX_REQUESTS: usize = 256;
 
 /// A suspect request may enter one in this many engines.
 const ENGINES_PER_ALLOWED: u64 = 3;
 
 /// Maximum number of suspect requests sent to instances.
-const MOST_SUSPECTS: usize = 64;
+const MAX_SUSPECTS: usize = 64;
 
 /// An engine crash, with the requests that the engine had just begun to run.
 #[derive(Debug)]
@@ -105,10 +105,10 @@
         let requests = HashMap::default();
         let crash = self.engines.entry(engine).or_insert(Crash { at, requests });
         crash.at = crash.at.min(at);
-        if crash.requests.len() < MOST_REQUESTS {
+        if crash.requests.len() < MAX_REQUESTS {
             crash.requests.insert(fingerprint, organisation);
         }
-        if self.engines.len() > MOST_ENGINES {
+        if self.engines.len() > MAX_ENGINES {
             let oldest = self.engines.iter().min_by_key(|(_, e)| e.at);
             if let Some(oldest) = oldest.map(|(start, _)| start.clone()) {
                 self.engines.remove(&oldest);
@@ -180,7 +180,7 @@
             .filter(|(_, e)| e.len() >= MIN_SUSPECT_CRASHES)
             .collect();
         suspects.sort_by_key(|(f, e)| (std::cmp::Reverse(e.len()), **f));
-        suspects.truncate(MOST_SUSPECTS);
+        suspects.truncate(MAX_SUSPECTS);
         let suspect_since = suspects.iter().map(|(f, _)| {
             let since = self.suspect_since.get(*f).copied().unwrap_or(now);
             (**f, since)
--- a/src/decide/rate.rs
+++ b/src/decide/rate.rs
@@ -30,11 +30,11 @@
 const LIFTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Maximum number of retained updates. The oldest update is evicted first.
-const MOST_UPDATES: usize = 256;
+const MAX_UPDATES: usize = 256;
 
 /// Maximum number of updates in one message. With hundreds of limited upstreams and
 /// instances, sending every update in each message would use much of the leader's bandwidth.
-const MOST_PER_MESSAGE: usize = 32;
+const MAX_PER_MESSAGE: usize = 32;
 
 /// An announced change or end of an upstream's rate limit.
 #[derive(Clone, Debug, PartialEq)]
@@ -126,7 +126,7 @@
 
     fn evict(&mut self, now: Time) {
         self.updates.retain(|_, u| !u.is_expired(now));
-        while self.updates.len() > MOST_UPDATES {
+        while self.updates.len() > MAX_UPDATES {
             let oldest = self.updates.iter().min_by_key(|(_, u)| u.at);
             let Some(oldest) = oldest.map(|(address, _)| *address) else {
                 break;
@@ -177,7 +177,7 @@
         let first = (draw * count as f64) as usize;
         let rotated = self.updates.iter().cycle().skip(first);
         rotated
-            .take(count.min(MOST_PER_MESSAGE))
+            .take(count.min(MAX_PER_MESSAGE))
             .map(|(address, update)| (*address, update))
     }
 
--- a/src/decide/run_history.rs
+++ b/src/decide/run_history.rs
@@ -20,13 +20,13 @@
 pub(crate) const RETENTION: Duration = Duration::from_secs(600);
 
 /// Maximum number of retained cut runs. The oldest are evicted first.
-const MOST_CUT: usize = 1024;
+const MAX_CUT: usize = 1024;
 
 /// Maximum number of retained requests with harmless runs. The oldest are evicted first.
-const MOST_HARMLESS: usize = 4096;
+const MAX_HARMLESS: usize = 4096;
 
 /// Maximum number of cut runs in one report.
-const MOST_PER_REPORT: usize = 128;
+const MAX_PER_REPORT: usize = 128;
 
 /// Identifies one start of an engine process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -98,7 +98,7 @@
                 sequence: self.last_sequence,
                 ..run.clone()
             });
-            if self.cut.len() > MOST_CUT {
+            if self.cut.len() > MAX_CUT {
                 self.cut.pop_front();
             }
         }
@@ -110,7 +110,7 @@
         self.harmless.insert(fingerprint, now);
         self.harmless_order.push_back((now, fingerprint));
         while let Some(&(at, oldest)) = self.harmless_order.front()
-            && (self.harmless_order.len() > MOST_HARMLESS || now.since(at) >= RETENTION)
+            && (self.harmless_order.len() > MAX_HARMLESS || now.since(at) >= RETENTION)
         {
             self.harmless_order.pop_front();
             if self.harmless.get(&oldest) == Some(&at) {
@@ -134,7 +134,7 @@
             self.cut.pop_front();
         }
         let new = self.cut.iter().filter(|c| c.sequence > self.acknowledged);
-        let new: Vec<CutRun> = new.take(MOST_PER_REPORT).cloned().collect();
+        let new: Vec<CutRun> = new.take(MAX_PER_REPORT).cloned().collect();
         let last = new.last().map_or(self.acknowledged, |c| c.sequence);
         (last, new)
     }
--- a/src/tests/decide.rs
+++ b/src/tests/decide.rs
@@ -191,8 +191,8 @@
         if now == 500 {
             health.record_unresponsive(at(now), key);
         }
-        let told = health.suspects(at(now), beat).contains(&key);
-        let suspects = told.then_some((address, 2)).into_iter().collect();
+        let reported = health.suspects(at(now), beat).contains(&key);
+        let suspects = reported.then_some((address, 2)).into_iter().collect();
         if roster.tick(at(now), &suspects).contains(&id) {
             lost = Some(now);
             break;
--- a/src/tests/decide/migration.rs
+++ b/src/tests/decide/migration.rs
@@ -14,8 +14,8 @@
         let mut migration = Migration::default();
         let draw = f64::from(stream) / 50.0;
         let mut when = (0..4_000).step_by(50);
-        let turn = when.find(|&t| migration.is_due(at(t), (1, 9), || true, draw));
-        due[(turn.unwrap().saturating_sub(1) / 250) as usize] += 1;
+        let scheduled = when.find(|&t| migration.is_due(at(t), (1, 9), || true, draw));
+        due[(scheduled.unwrap().saturating_sub(1) / 250) as usize] += 1;
     }
     assert!(due.iter().all(|&n| (10..=16).contains(&n)), "{due:?}");
 }
@@ -41,8 +41,8 @@
 fn is_due_keeps_schedule() {
     let mut migration = Migration::default();
     let mut due = |t: u64, draw| migration.is_due(at(t), (1, t + 1), || true, draw);
-    let turns = [due(0, 0.5), due(250, 0.9), due(499, 0.9), due(500, 0.9)];
-    assert_eq!(turns, [false, false, false, true]);
+    let is_due = [due(0, 0.5), due(250, 0.9), due(499, 0.9), due(500, 0.9)];
+    assert_eq!(is_due, [false, false, false, true]);
 }
 
 /// Guards against endless attempts when no other engine has room.
--- a/src/tests/decide/overload.rs
+++ b/src/tests/decide/overload.rs
@@ -210,20 +210,20 @@
 /// instances share an engine with room for forty.
 #[test]
 fn quota_of_many_instances() {
-    let mut turns = [0; 73];
+    let mut granted = [0; 73];
     for draw in 0..100 {
         let mut open = 0;
-        for (i, turns) in turns.iter_mut().enumerate() {
+        for (i, granted) in granted.iter_mut().enumerate() {
             let mut loads = Loads::default();
             let own = (f64::from(draw) * 0.37 + i as f64 / 73.0).fract();
             loads.update(&[], own);
             let may = loads.may_add(ENGINE, 40.0 * USUAL, USUAL, one_replica(73));
             open += usize::from(may);
-            *turns += usize::from(may);
+            *granted += usize::from(may);
         }
         assert!((40..=80).contains(&open), "{open} of 73");
     }
-    assert!(turns.iter().all(|&t| t > 30), "{turns:?}");
+    assert!(granted.iter().all(|&t| t > 30), "{granted:?}");
 }
 
 /// A waiting request needs less and less headroom, and a very long request no more than one of
--- a/src/tests/decide/pace.rs
+++ b/src/tests/decide/pace.rs
@@ -114,11 +114,11 @@
     assert!(roster.paced("i-1", 1, 4.5));
     assert!(!roster.paced("i-1", 1, 4.6));
     roster.hear(at(1200), announcement(1, 2));
-    let told = UpstreamRecord::new(roster.get("i-1").unwrap(), None);
-    assert!((Upstream::from(&told).pace - 4.5).abs() < 1e-6);
+    let record = UpstreamRecord::new(roster.get("i-1").unwrap(), None);
+    assert!((Upstream::from(&record).pace - 4.5).abs() < 1e-6);
     // A delayed report doesn't apply to the next start.
     roster.hear(at(2400), announcement(2, 1));
     assert!(!roster.paced("i-1", 1, 9.0));
-    let told = UpstreamRecord::new(roster.get("i-1").unwrap(), None);
-    assert!((Upstream::from(&told).pace - 1.0).abs() < 1e-6);
+    let record = UpstreamRecord::new(roster.get("i-1").unwrap(), None);
+    assert!((Upstream::from(&record).pace - 1.0).abs() < 1e-6);
 }
--- a/src/tests/decide/path.rs
+++ b/src/tests/decide/path.rs
@@ -186,13 +186,13 @@
     let booked = [(5, hop)];
     loads.book(&booked, &WORK);
     loads.book(&booked, &WORK);
-    let told = Load {
+    let reported = Load {
         engine: 5,
         memory: 10,
         requests: 3,
         entered: 1,
     };
-    loads.update(&[told], 0.0);
+    loads.update(&[reported], 0.0);
     assert!((loads.at(5).requests - 5.0).abs() < 1e-9);
     assert!((loads.at(5).entered - 3.0).abs() < 1e-9);
     loads.release(&booked, &WORK);
--- a/src/tests/decide/quarantine.rs
+++ b/src/tests/decide/quarantine.rs
@@ -32,9 +32,9 @@
 
 /// Builds the crashes of one engine per second. Each word is a crash, each digit a request
 /// that the engine had just begun to run.
-fn crashes(ended: &str) -> Crashes {
+fn crashes(crashed: &str) -> Crashes {
     let mut crashes = Crashes::default();
-    for (second, requests) in (0..).zip(ended.split(' ')) {
+    for (second, requests) in (0..).zip(crashed.split(' ')) {
         for number in digits(requests) {
             let start = engine(0, second);
             crashes.record_crash(at(second * 1000), start, number, "one".into());
@@ -66,8 +66,8 @@
 #[case::always_together("12 12 12 12 12", "")]
 #[case::always_together_for_long("12 12 12 12 12 12", "12")]
 #[case::shared_two_crashing_requests("19 19 29 2 1 2 1 2 1 1 2 2", "12")]
-fn tick_blames(#[case] ended: &str, #[case] expected: &str) {
-    let mut found = crashing_requests(&mut crashes(ended), 20_000);
+fn tick_identifies(#[case] crashed: &str, #[case] expected: &str) {
+    let mut found = crashing_requests(&mut crashes(crashed), 20_000);
     found.sort_unstable();
     let mut expected: Vec<_> = digits(expected).collect();
     expected.sort_unstable();
@@ -77,7 +77,7 @@
 /// Guards against quarantining a frequent request that is running on many engines when
 /// these crash for another reason.
 #[test]
-fn tick_spares_harmless() {
+fn tick_ignores_harmless() {
     let mut crashes = crashes("1 1 1 1");
     crashes.tick(at(4_000), |_| false);
     assert!(crashes.suspects().any(|f| *f == request(1)));
@@ -91,7 +91,7 @@
 
 /// Guards against quarantining requests that shared engines with a quarantined one.
 #[test]
-fn tick_spares_companions_of_refused() {
+fn tick_ignores_companions_of_refused() {
     let mut crashes = crashes("12 12 12 2");
     crashes.tick(at(4_000), |f| *f == request(1));
     let found = crashes.tick(at(5_000), |f| *f == request(1));
@@ -101,7 +101,7 @@
 
 /// Guards against losing reported runs when a leader is frozen or killed.
 #[test]
-fn unreported_told_to_each_leader() {
+fn unreported_repeated_for_each_leader() {
     let mut history = RunHistory::default();
     let organisation: Arc<str> = "one".into();
     assert!(history.record_cut(at(0), &engine(1, 0), request(1), &organisation));
@@ -255,20 +255,20 @@
             }
             runs.push(run);
         }
-        let mut ended: HashSet<usize> = HashSet::default();
+        let mut crashed: HashSet<usize> = HashSet::default();
         if rng.random_bool(load.independent_crashes * 0.005) {
-            ended.insert(rng.random_range(0..load.engines));
+            crashed.insert(rng.random_range(0..load.engines));
         }
         for run in runs.iter().filter(|r| r.number < load.crashing) {
-            if now >= run.began + run.rest && !ended.contains(&run.engine) {
-                ended.insert(run.engine);
+            if now >= run.began + run.rest && !crashed.contains(&run.engine) {
+                crashed.insert(run.engine);
                 outcome.crashed.entry(run.number).or_default().push(now);
             }
         }
-        ended.retain(|e| down[*e] <= now);
+        crashed.retain(|e| down[*e] <= now);
         let (cut, going) = runs
             .drain(..)
-            .partition(|r: &Run| ended.contains(&r.engine));
+            .partition(|r: &Run| crashed.contains(&r.engine));
         runs = going;
         for mut run in cut {
             let events = now.saturating_sub(run.began) / EVENT_INTERVAL_MS;
@@ -296,7 +296,7 @@
                 waiting.push((now + pause, run));
             }
         }
-        for engine in ended {
+        for engine in crashed {
             down[engine] = now + 3_000;
         }
         runs.retain(|run| {
@@ -346,9 +346,9 @@
 #[case::alone(Load { engines: 9, arrivals: 70.0, crashing: 1, independent_crashes: 0.0 })]
 #[case::three_at_once(Load { engines: 9, arrivals: 70.0, crashing: 3, independent_crashes: 0.0 })]
 #[case::full_engines(Load { engines: 6, arrivals: 180.0, crashing: 2, independent_crashes: 0.0 })]
-#[case::engines_end_too(Load { engines: 9, arrivals: 70.0, crashing: 2, independent_crashes: 0.5 })]
-#[case::engines_end_only(Load { engines: 9, arrivals: 180.0, crashing: 0, independent_crashes: 1.0 })]
-fn replay_blames_crashing_only(#[case] load: Load) {
+#[case::independent_crashes_too(Load { engines: 9, arrivals: 70.0, crashing: 2, independent_crashes: 0.5 })]
+#[case::independent_crashes_only(Load { engines: 9, arrivals: 180.0, crashing: 0, independent_crashes: 1.0 })]
+fn replay_identifies_crashing_only(#[case] load: Load) {
     const PROPAGATION_MS: u64 = 3_000;
     const MAX_LATE: usize = 3;
     for seed in 0..seeds() {
@@ -370,7 +370,7 @@
 
 /// Guards against unbounded memory use of the leader under many crashing requests.
 #[test]
-fn ended_bounded() {
+fn record_crash_bounded() {
     let mut crashes = Crashes::default();
     for number in 0..2_000 {
         let second = u64::try_from(number).unwrap() * 100;
