--- a/src/tests/decide/demand.rs
+++ b/src/tests/decide/demand.rs
@@ -143,8 +143,8 @@
         ..usual()
     };
     let room_mb = room * USUAL - loads.at(ENGINE).memory;
-    let open = loads.may_add(ENGINE, room_mb, USUAL, one_replica(instances));
-    let candidate = candidate(room * USUAL, room_mb, open);
+    let has_quota = loads.may_add(ENGINE, room_mb, USUAL, one_replica(instances));
+    let candidate = candidate(room * USUAL, room_mb, has_quota);
     let found = choose(LAYERS, Start::Caller, &[candidate], &work, |_| 1.0).is_ok();
     if found {
         loads.book(&[(ENGINE, HOP)], &work);
--- a/src/tests/decide/overload.rs
+++ b/src/tests/decide/overload.rs
@@ -129,8 +129,8 @@
     tally
 }
 
-/// The engine, with `room_mb` left of its memory.
-pub(super) fn candidate(memory_mb: f64, room_mb: f64, open: bool) -> Candidate {
+/// Returns the engine with `room_mb` of free memory.
+pub(super) fn candidate(memory_mb: f64, room_mb: f64, has_quota: bool) -> Candidate {
     Candidate {
         range: Range::new(0, LAYERS),
         domain: 0,
@@ -138,7 +138,7 @@
         read_ms: 0.1,
         memory_mb,
         room_mb,
-        has_quota: open,
+        has_quota,
         utilisation: 0.0,
         may_enter: true,
         cost_factor: 1.0,
@@ -147,8 +147,8 @@
 
 /// Whether an instance admits a fresh request.
 fn is_admitted(loads: &Loads, room_mb: f64, work: &Work, refused: &RefusalRates) -> bool {
-    let open = loads.may_add(ENGINE, room_mb, USUAL, one_replica(INSTANCES as u32));
-    let candidate = candidate(MEMORY, room_mb, open);
+    let has_quota = loads.may_add(ENGINE, room_mb, USUAL, one_replica(INSTANCES as u32));
+    let candidate = candidate(MEMORY, room_mb, has_quota);
     let takes_precedence = work.tokens() > USUAL_TOKENS && refused.starves_long();
     let work = Work {
         headroom: if takes_precedence {
