--- a/src/controller/board.rs
+++ b/src/controller/board.rs
@@ -22,7 +22,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::register::{Quarantined, Register, Versioned};
 use crate::relay::Pulse;
-use crate::roster::{Announcement, Entry, Heard, LOST_BEATS, Range, Roster};
+use crate::roster::{Announcement, Entry, Heard, LOST_BEATS, LayerRange, Roster};
 use crate::sync::{LimitRecord, RosterRecord, State, Sync, UpstreamRecord, address_key};
 
 /// Heartbeat periods after which a new leader has heard every upstream that
@@ -57,7 +57,7 @@
     pub(crate) engine: Arc<str>,
     pub(crate) born: u64,
     pub(crate) address: SocketAddrV4,
-    pub(crate) range: Range,
+    pub(crate) range: LayerRange,
     /// Term of the leadership that gives it.
     pub(crate) fence: u64,
 }
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     born: u64,
-    range: Range,
+    range: LayerRange,
     until: Time,
     /// Whether the engine is taken to obey.
     sure: bool,
@@ -311,9 +311,9 @@
 
     /// The layers of a start without those that it was ordered to give up. It
     /// takes nothing new for them.
-    fn kept(&self, start: &Announcement) -> Option<Range> {
+    fn kept(&self, start: &Announcement) -> Option<LayerRange> {
         match self.pending_of(start) {
-            Some(pending) => start.layers?.common(pending.range),
+            Some(pending) => start.layers?.intersection(pending.range),
             None => start.layers,
         }
     }
@@ -411,13 +411,17 @@
 
     /// For each domain with engines of `service`, the layers of its model that
     /// no engine there holds.
-    pub(crate) fn missing(&self, service: &str, model: &Model) -> BTreeMap<String, Vec<Range>> {
-        let mut held: BTreeMap<String, Vec<Range>> = BTreeMap::new();
+    pub(crate) fn missing(
+        &self,
+        service: &str,
+        model: &Model,
+    ) -> BTreeMap<String, Vec<LayerRange>> {
+        let mut held: BTreeMap<String, Vec<LayerRange>> = BTreeMap::new();
         for entry in self.members(service) {
             let ranges = held.entry(entry.last.domain.clone()).or_default();
             ranges.extend(entry.last.layers);
         }
-        let gaps = |ranges: Vec<Range>| uncovered(model.layers, ranges);
+        let gaps = |ranges: Vec<LayerRange>| uncovered(model.layers, ranges);
         held.into_iter().map(|(d, r)| (d, gaps(r))).collect()
     }
 
@@ -499,18 +503,18 @@
 }
 
 /// The runs of layers that none of `ranges` holds.
-fn uncovered(layers: u32, mut ranges: Vec<Range>) -> Vec<Range> {
+fn uncovered(layers: u32, mut ranges: Vec<LayerRange>) -> Vec<LayerRange> {
     ranges.sort_unstable();
     let mut gaps = Vec::new();
     let mut at = 0;
     for range in ranges {
         if range.first > at {
-            gaps.push(Range::new(at, range.first));
+            gaps.push(LayerRange::new(at, range.first));
         }
         at = at.max(range.end);
     }
     if at < layers {
-        gaps.push(Range::new(at, layers));
+        gaps.push(LayerRange::new(at, layers));
     }
     gaps
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -29,7 +29,7 @@
 use crate::relay::Relay;
 use crate::replica::{Message, Role};
 use crate::role::{self, Ended, RoleSettings};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 use crate::startup;
 use crate::store::StoreError;
 use crate::sync::{self, State, Sync};
@@ -103,7 +103,7 @@
     /// The configuration in force as entry instances get it.
     packed: Mutex<Option<Versioned>>,
     /// Layers that no engine of a domain holds, by model, as last logged.
-    coverage: Mutex<Vec<BTreeMap<String, Vec<Range>>>>,
+    coverage: Mutex<Vec<BTreeMap<String, Vec<LayerRange>>>>,
     calls: place::Calls,
     ending: AtomicBool,
 }
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -10,7 +10,7 @@
 use crate::configuration::{Accelerator, Model};
 use crate::decide::demand::Demand;
 use crate::decide::path::{Hop, Work};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 use crate::sync::Load;
 
 /// Equal parts of an engine's room that an instance may fill between two
@@ -201,7 +201,12 @@
 
 impl Speed {
     /// Of an engine that holds `range` of `model` on `accelerator`.
-    pub(crate) fn new(model: &Model, accelerator: &Accelerator, range: Range, load: Use) -> Self {
+    pub(crate) fn new(
+        model: &Model,
+        accelerator: &Accelerator,
+        range: LayerRange,
+        load: Use,
+    ) -> Self {
         let layers = f64::from(model.layers);
         let held = f64::from(range.len());
         let memory = (accelerator.size_mb - held * model.layer_mb).max(0.0);
--- a/src/decide/path.rs
+++ b/src/decide/path.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 /// Cost of a millisecond for which a request occupies the link between two
 /// domains, in milliseconds. All requests share the link, so each of the some
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Candidate {
     /// Layers that it holds.
-    pub(crate) range: Range,
+    pub(crate) range: LayerRange,
     /// Number of its failure domain.
     pub(crate) domain: usize,
     /// Milliseconds of a step for one layer under the present load.
@@ -117,7 +117,7 @@
 pub(crate) struct Hop {
     /// Index of the candidate.
     pub(crate) engine: usize,
-    pub(crate) range: Range,
+    pub(crate) range: LayerRange,
 }
 
 /// Why there is no path.
@@ -175,7 +175,7 @@
     for at in (0..last).rev() {
         let from_caller = at == 0 && start == Start::Caller;
         for (i, candidate) in candidates.iter().enumerate() {
-            if !candidate.range.holds(cuts[at]) || (from_caller && !candidate.enters) {
+            if !candidate.range.contains(cuts[at]) || (from_caller && !candidate.enters) {
                 continue;
             }
             let Some(way) = way_on(i, candidate, at, &cuts, &best, work, noise(i)) else {
@@ -271,7 +271,7 @@
     let mut at = 0;
     let mut next = Some(first);
     while let Some(way) = next {
-        let range = Range::new(cuts[at], cuts[way.to]);
+        let range = LayerRange::new(cuts[at], cuts[way.to]);
         hops.push(Hop {
             engine: way.engine,
             range,
@@ -302,7 +302,7 @@
 }
 
 fn missing(first: u32, layers: u32, candidates: &[Candidate]) -> NoPath {
-    let held = |layer| candidates.iter().any(|c| c.range.holds(layer));
+    let held = |layer| candidates.iter().any(|c| c.range.contains(layer));
     match (first..layers).find(|&l| !held(l)) {
         Some(layer) => NoPath::Missing(layer),
         None => NoPath::Full,
@@ -320,7 +320,7 @@
 }
 
 /// Whether `parts` cover every layer from `first` on once and in order.
-pub(crate) fn is_gapless(first: u32, layers: u32, parts: impl Iterator<Item = Range>) -> bool {
+pub(crate) fn is_gapless(first: u32, layers: u32, parts: impl Iterator<Item = LayerRange>) -> bool {
     let mut at = Some(first);
     for part in parts {
         at = at.filter(|&a| a == part.first).map(|_| part.end);
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -10,7 +10,7 @@
 
 use self::layout::Group;
 use crate::configuration::Model;
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 mod layout;
 mod relief;
@@ -72,9 +72,9 @@
     /// Memory that running requests take, in megabytes.
     pub(crate) used_mb: f64,
     /// Layers that it holds, or is loading.
-    pub(crate) held: Option<Range>,
+    pub(crate) held: Option<LayerRange>,
     /// Those of them that it has loaded.
-    pub(crate) loaded: Option<Range>,
+    pub(crate) loaded: Option<LayerRange>,
     /// Whether an order for it is under way: it isn't given another.
     pub(crate) busy: bool,
 }
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Move {
     pub(crate) worker: usize,
-    pub(crate) range: Range,
+    pub(crate) range: LayerRange,
 }
 
 /// The orders that bring the engines nearer to a whole pipeline in each group
--- a/src/decide/placement/layout.rs
+++ b/src/decide/placement/layout.rs
@@ -2,7 +2,7 @@
 
 use super::{BRIMFUL, GROWTH, LEAST_ROOM, Move, ROOMS, STRETCHED, UNFAIR, Worker, capacity, total};
 use crate::configuration::Model;
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 pub(super) struct Group<'a> {
     pub(super) model: &'a Model,
@@ -11,7 +11,7 @@
     /// Requests for which engines keep memory.
     pub(super) requests: f64,
     /// What each worker holds after the moves so far.
-    pub(super) held: Vec<Option<Range>>,
+    pub(super) held: Vec<Option<LayerRange>>,
     /// Members that hold each layer, in the order of their indices.
     holders: Vec<Vec<usize>>,
     /// Tokens for which the holders of each layer together have memory.
@@ -28,7 +28,7 @@
         let enough = |&&r: &&f64| total(model, workers, members, r) >= model.layers;
         let least = ROOMS[ROOMS.len() - 1];
         let requests = ROOMS.iter().find(enough).copied().unwrap_or(least);
-        let held: Vec<Option<Range>> = workers.iter().map(|w| w.held).collect();
+        let held: Vec<Option<LayerRange>> = workers.iter().map(|w| w.held).collect();
         let layers = 0..model.layers;
         let mut group = Self {
             model,
@@ -51,7 +51,7 @@
     }
 
     /// Adds a member to the holders of some layers.
-    fn hold(&mut self, member: usize, range: Range) {
+    fn hold(&mut self, member: usize, range: LayerRange) {
         for layer in range.first..range.end.min(self.model.layers) {
             let holders = &mut self.holders[layer as usize];
             if let Err(at) = holders.binary_search(&member) {
@@ -114,7 +114,7 @@
             return;
         }
         let gap = self.gap();
-        let range = gap.map(|g| Range::new(g.first, g.end.min(g.first + most)));
+        let range = gap.map(|g| LayerRange::new(g.first, g.end.min(g.first + most)));
         let range = range.or_else(|| self.scarce(most));
         let range = range.unwrap_or_else(|| self.slowest(most));
         self.order(worker, range);
@@ -122,7 +122,7 @@
 
     /// The `length` layers around that with the least room, if that is far below
     /// what the engines together could give each layer.
-    fn scarce(&self, length: u32) -> Option<Range> {
+    fn scarce(&self, length: u32) -> Option<LayerRange> {
         let fair = self.requests * f64::from(self.borne) / f64::from(self.model.layers);
         let wanted = self.tokens(LEAST_ROOM.max(fair - UNFAIR));
         let rooms = self.rooms();
@@ -161,11 +161,11 @@
 
     /// The engine beside a gap that has the most room after it took what it
     /// can of the gap, and its new range.
-    fn stretch(&self, gap: Range, rungs: &[f64]) -> Option<(usize, Range)> {
+    fn stretch(&self, gap: LayerRange, rungs: &[f64]) -> Option<(usize, LayerRange)> {
         // One that this plan stretches already may take some more.
         let idle = |&i: &usize| !self.workers[i].busy && self.keeps_held(i);
         let free = || self.members.iter().copied().filter(idle);
-        let room = |(i, range): &(usize, Range)| self.room(*i, *range);
+        let room = |(i, range): &(usize, LayerRange)| self.room(*i, *range);
         rungs.iter().find_map(|&requests| {
             free()
                 .filter_map(|i| Some((i, self.stretched(i, gap, requests)?)))
@@ -175,7 +175,7 @@
 
     /// The range of an engine that takes what it can of the gap beside it and
     /// keeps memory for `requests`.
-    fn stretched(&self, worker: usize, gap: Range, requests: f64) -> Option<Range> {
+    fn stretched(&self, worker: usize, gap: LayerRange, requests: f64) -> Option<LayerRange> {
         let held = self.held[worker]?;
         let most = self.most(worker, requests).min(self.fits(worker));
         let more = most.saturating_sub(held.len()).min(gap.len());
@@ -183,9 +183,9 @@
             return None;
         }
         if held.end == gap.first {
-            return Some(Range::new(held.first, gap.first + more));
+            return Some(LayerRange::new(held.first, gap.first + more));
         }
-        (held.first == gap.end).then(|| Range::new(gap.end - more, held.end))
+        (held.first == gap.end).then(|| LayerRange::new(gap.end - more, held.end))
     }
 
     /// Most layers that leave the running requests their memory.
@@ -197,7 +197,7 @@
 
     /// The engine that can best be spared for a gap: one that fills it, else
     /// the one that fills most of it.
-    fn spare(&self, gap: Range) -> Option<(usize, Range)> {
+    fn spare(&self, gap: LayerRange) -> Option<(usize, LayerRange)> {
         let least = ROOMS[ROOMS.len() - 1];
         let fits = |i: &usize| self.most(*i, least).min(gap.len());
         let spare = self.members.iter().copied().filter(|&i| self.is_spare(i));
@@ -205,7 +205,7 @@
         let used = |i: &usize| std::cmp::Reverse(self.workers[*i].used_mb as u64);
         let worker = spare.max_by_key(|i| (fits(i), used(i)))?;
         let most = fits(&worker);
-        (most > 0).then(|| (worker, Range::new(gap.first, gap.first + most)))
+        (most > 0).then(|| (worker, LayerRange::new(gap.first, gap.first + most)))
     }
 
     /// Whether an engine keeps all that it holds under the moves so far.
@@ -237,7 +237,7 @@
         layers.all(|layer| enough(self.loaded_room_at(layer, worker)))
     }
 
-    pub(super) fn order(&mut self, worker: usize, range: Range) {
+    pub(super) fn order(&mut self, worker: usize, range: LayerRange) {
         let before = self.held[worker].replace(range);
         let held = range.first..range.end.min(self.model.layers);
         let Some(before) = before else {
@@ -276,32 +276,32 @@
     }
 
     /// Tokens for which an engine with `range` has memory.
-    pub(super) fn room(&self, worker: usize, range: Range) -> f64 {
+    pub(super) fn room(&self, worker: usize, range: LayerRange) -> f64 {
         let layers = f64::from(range.len());
         let memory = self.workers[worker].size_mb - layers * self.model.layer_mb;
         memory.max(0.0) / (layers * self.model.token_mb)
     }
 
     /// The lowest run of layers that nobody holds.
-    fn gap(&self) -> Option<Range> {
+    fn gap(&self) -> Option<LayerRange> {
         let held = |layer: &u32| !self.holders[*layer as usize].is_empty();
         let first = (0..self.model.layers).find(|l| !held(l))?;
         let end = (first..self.model.layers).find(held);
-        Some(Range::new(first, end.unwrap_or(self.model.layers)))
+        Some(LayerRange::new(first, end.unwrap_or(self.model.layers)))
     }
 
     /// The `length` layers that their holders together run the slowest.
-    fn slowest(&self, length: u32) -> Range {
+    fn slowest(&self, length: u32) -> LayerRange {
         lowest(&self.speeds, length)
     }
 }
 
 /// The `length` layers with the least sum of `values`, which has one for each
 /// layer; where many are alike, the first of them.
-fn lowest(values: &[f64], length: u32) -> Range {
+fn lowest(values: &[f64], length: u32) -> LayerRange {
     let sum = |window: &[f64]| window.iter().sum::<f64>();
     let windows = values.windows(length as usize).map(sum).enumerate();
     let first = windows.min_by(|a, b| a.1.total_cmp(&b.1));
     let first = first.map_or(0, |(at, _)| at as u32);
-    Range::new(first, first + length)
+    LayerRange::new(first, first + length)
 }
--- a/src/decide/placement/relief.rs
+++ b/src/decide/placement/relief.rs
@@ -2,7 +2,7 @@
 
 use super::layout::Group;
 use super::{BALANCE_GAIN, BALANCE_STEP, BALANCE_STEPS, LEAST_ROOM, total};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 impl Group<'_> {
     /// Relieves the tightest engine: it gives up layers for which others have
@@ -32,7 +32,7 @@
         let first = first.unwrap_or(held.first);
         let most = helper.map_or(0, |h| self.most(h, self.requests).min(held.end - first));
         match helper {
-            Some(helper) if most > 0 => self.order(helper, Range::new(first, first + most)),
+            Some(helper) if most > 0 => self.order(helper, LayerRange::new(first, first + most)),
             _ => self.balance(),
         }
     }
@@ -65,7 +65,7 @@
 
     /// The ranges of a balanced layout in the present order of the engines, if
     /// it has much more room than the present one.
-    fn targets(&self) -> Option<Vec<(usize, Range)>> {
+    fn targets(&self) -> Option<Vec<(usize, LayerRange)>> {
         let present = self.rooms().iter().copied().fold(f64::INFINITY, f64::min);
         let most = |requests| total(self.model, self.workers, self.members, requests);
         let steps = (1..=BALANCE_STEPS)
@@ -83,7 +83,7 @@
         for worker in order {
             let end = self.model.layers.min(at + self.most(worker, requests));
             if at < end {
-                targets.push((worker, Range::new(at, end)));
+                targets.push((worker, LayerRange::new(at, end)));
             }
             at = end;
         }
@@ -92,20 +92,20 @@
 
     /// What an engine holds without the ends beyond its target that others
     /// have loaded.
-    fn without_copies(&self, worker: usize, held: Range, target: Range) -> Range {
+    fn without_copies(&self, worker: usize, held: LayerRange, target: LayerRange) -> LayerRange {
         let copied = |layer: u32| self.loaded_room_at(layer, worker) > 0.0;
-        let outside = |layer: u32| !target.holds(layer) && copied(layer);
+        let outside = |layer: u32| !target.contains(layer) && copied(layer);
         let (low, high) = ends(held, outside);
         if low == held.len() {
             // All of it is held elsewhere, and none of it is wanted here.
             return target;
         }
-        Range::new(held.first + low, held.end - high)
+        LayerRange::new(held.first + low, held.end - high)
     }
 
     /// A range grown towards its target, as far as the memory allows beside
     /// the running requests.
-    fn grown(&self, worker: usize, kept: Range, target: Range) -> Range {
+    fn grown(&self, worker: usize, kept: LayerRange, target: LayerRange) -> LayerRange {
         let mut left = self.fits(worker).saturating_sub(kept.len());
         let low = kept.first.saturating_sub(target.first).min(left);
         left -= low;
@@ -114,12 +114,12 @@
             // Growing reaches it only over layers that it doesn't need.
             return kept;
         }
-        Range::new(kept.first - low, kept.end + high)
+        LayerRange::new(kept.first - low, kept.end + high)
     }
 
     /// The engine with the least room among the holders of a layer for which
     /// all together have too little, and what it holds.
-    pub(super) fn tightest(&self) -> Option<(usize, Range)> {
+    pub(super) fn tightest(&self) -> Option<(usize, LayerRange)> {
         let least = self.tokens(LEAST_ROOM);
         let rooms = (0..self.model.layers).zip(self.rooms().iter().copied());
         let tight = rooms.filter(|&(_, room)| room > 0.0 && room < least);
@@ -130,7 +130,7 @@
 
     /// What an engine should keep of its layers when others have room for
     /// some at an end.
-    fn trimmed(&self, worker: usize, held: Range) -> Option<Range> {
+    fn trimmed(&self, worker: usize, held: LayerRange) -> Option<LayerRange> {
         let least = self.tokens(LEAST_ROOM);
         let others = |layer: u32| self.loaded_room_at(layer, worker) >= least;
         let (low, high) = ends(held, others);
@@ -140,9 +140,9 @@
             return None;
         }
         Some(if low >= high {
-            Range::new(held.first + low.min(most), held.end)
+            LayerRange::new(held.first + low.min(most), held.end)
         } else {
-            Range::new(held.first, held.end - high.min(most))
+            LayerRange::new(held.first, held.end - high.min(most))
         })
     }
 
@@ -156,7 +156,7 @@
     /// together have memory, but for one of them. What is still being loaded
     /// doesn't count: given up on its account, the layer would be missing.
     pub(super) fn loaded_room_at(&self, layer: u32, without: usize) -> f64 {
-        let loaded = |i: usize| self.workers[i].loaded.is_some_and(|l| l.holds(layer));
+        let loaded = |i: usize| self.workers[i].loaded.is_some_and(|l| l.contains(layer));
         let others = self.holders(layer).filter(|&i| i != without && loaded(i));
         let rooms = others.filter_map(|i| Some(self.room(i, self.held[i]?)));
         rooms.sum()
@@ -168,7 +168,7 @@
 }
 
 /// How many layers at the low and at the high end of a range `are` all so.
-fn ends(range: Range, are: impl Fn(u32) -> bool) -> (u32, u32) {
+fn ends(range: LayerRange, are: impl Fn(u32) -> bool) -> (u32, u32) {
     let low = (range.first..range.end).take_while(|&l| are(l)).count();
     let high = (range.first..range.end).rev().take_while(|&l| are(l));
     (low as u32, high.count() as u32)
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -5,7 +5,7 @@
 use crate::decide::health::Standing;
 use crate::decide::load::{Loads, Share, Speed};
 use crate::decide::path::{self, Candidate, Hop, Start, Work};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 /// Factor on the cost of an engine whose heartbeats are late.
 const LATE: f64 = 4.0;
@@ -142,7 +142,7 @@
 /// connection and can't be replaced, and refuses a path in which it is named
 /// with layers that it gives up.
 pub(crate) fn given_up(upstreams: &[Upstream], booked: &[(u64, Hop)]) -> Vec<u64> {
-    let stays = |key: u64, part: Range| {
+    let stays = |key: u64, part: LayerRange| {
         let mut same = upstreams.iter().filter(|u| u.key == key);
         same.any(|u| u.layers.is_some_and(|held| held.covers(part)))
     };
--- a/src/entry/select.rs
+++ b/src/entry/select.rs
@@ -14,7 +14,7 @@
 use crate::decide::quarantine::suspect_may_enter;
 use crate::decide::refusal::Reason;
 use crate::fingerprint::Fingerprint;
-use crate::roster::Range;
+use crate::roster::LayerRange;
 use crate::sync::key_address;
 
 /// Restrictions on the upstreams of an attempt.
@@ -217,7 +217,7 @@
         };
         let hop = Hop {
             engine: 0,
-            range: Range::new(0, 1),
+            range: LayerRange::new(0, 1),
         };
         Ok(self.book(upstream.clone(), None, vec![(upstream.key, hop)], PLAIN))
     }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -11,7 +11,7 @@
 use crate::decide::run_history::EngineStart;
 use crate::fingerprint::Fingerprint;
 use crate::platform::configuration;
-use crate::roster::Range;
+use crate::roster::LayerRange;
 use crate::sync::{
     QuarantineRecord, RefusedRecord, RosterRecord, State, UpstreamRecord, key_address, unpack,
 };
@@ -27,7 +27,7 @@
     pub(crate) domain: String,
     pub(crate) slots: u32,
     pub(crate) kind: Option<String>,
-    pub(crate) layers: Option<Range>,
+    pub(crate) layers: Option<LayerRange>,
     /// Whether its heartbeats are late.
     pub(crate) late: bool,
     /// How many times as long as usual it takes for its work.
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -42,12 +42,12 @@
 
 /// Layers `first` (inclusive) to `end` (exclusive). Never empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) struct Range {
+pub(crate) struct LayerRange {
     pub(crate) first: u32,
     pub(crate) end: u32,
 }
 
-impl Range {
+impl LayerRange {
     pub(crate) fn new(first: u32, end: u32) -> Self {
         debug_assert!(first < end, "an empty range of layers");
         Self { first, end }
@@ -64,13 +64,13 @@
     }
 
     /// What two ranges have in common.
-    pub(crate) fn common(self, other: Self) -> Option<Self> {
+    pub(crate) fn intersection(self, other: Self) -> Option<Self> {
         let (first, end) = (self.first.max(other.first), self.end.min(other.end));
         (first < end).then(|| Self::new(first, end))
     }
 
     /// Whether `layer` is in the range.
-    pub(crate) fn holds(self, layer: u32) -> bool {
+    pub(crate) fn contains(self, layer: u32) -> bool {
         self.first <= layer && layer < self.end
     }
 }
@@ -94,7 +94,7 @@
     /// Kind of its accelerator.
     pub(crate) kind: Option<String>,
     /// Layers that it holds.
-    pub(crate) layers: Option<Range>,
+    pub(crate) layers: Option<LayerRange>,
 }
 
 /// One upstream in the roster.
@@ -245,7 +245,7 @@
     }
 
     /// Notes what a start holds, from another source than its heartbeats.
-    pub(crate) fn holds(&mut self, id: &str, born: u64, range: Range) {
+    pub(crate) fn holds(&mut self, id: &str, born: u64, range: LayerRange) {
         let entry = self.entries.get_mut(id).filter(|e| e.last.born == born);
         let Some(entry) = entry else { return };
         if entry.last.layers != Some(range) {
--- a/src/sync.rs
+++ b/src/sync.rs
@@ -13,7 +13,7 @@
 use crate::clock::{Time, micros};
 use crate::decide::rate::LimitUpdate;
 use crate::decide::run_history::EngineStart;
-use crate::roster::{Announcement, Entry, Range};
+use crate::roster::{Announcement, Entry, LayerRange};
 
 /// Asks for what the sender misses, and tells what it has at work.
 #[derive(Clone, PartialEq, Message)]
@@ -299,7 +299,7 @@
 
 impl UpstreamRecord {
     /// An upstream that is to be seen with `layers`.
-    pub(crate) fn new(entry: &Entry, layers: Option<Range>) -> Self {
+    pub(crate) fn new(entry: &Entry, layers: Option<LayerRange>) -> Self {
         let (first, end) = layers.map_or((0, 0), |l| (l.first, l.end));
         Self {
             first,
@@ -316,8 +316,8 @@
     }
 
     /// Layers that it holds.
-    pub(crate) fn range(&self) -> Option<Range> {
-        (self.first < self.end).then(|| Range::new(self.first, self.end))
+    pub(crate) fn range(&self) -> Option<LayerRange> {
+        (self.first < self.end).then(|| LayerRange::new(self.first, self.end))
     }
 }
 
--- a/src/tests/board.rs
+++ b/src/tests/board.rs
@@ -8,7 +8,7 @@
 use crate::controller::board::{Board, Placement};
 use crate::platform::configuration::decode;
 use crate::register::{self, Register};
-use crate::roster::{Announcement, Range};
+use crate::roster::{Announcement, LayerRange};
 use crate::voter::Machine;
 
 const BEAT: Duration = Duration::from_millis(1200);
@@ -28,7 +28,7 @@
         slots: 192,
         leaving: false,
         kind: Some("h100".to_owned()),
-        layers: layers.map(|(first, end)| Range::new(first, end)),
+        layers: layers.map(|(first, end)| LayerRange::new(first, end)),
     }
 }
 
@@ -115,13 +115,13 @@
     let next = board.orders(at(12_800), &configuration());
     let again = |o: &&Placement| orders.iter().any(|before| before.engine == o.engine);
     assert_eq!(next.iter().find(again), None);
-    assert!(next.iter().any(|o| o.range.holds(54)), "{next:?}");
+    assert!(next.iter().any(|o| o.range.contains(54)), "{next:?}");
     // It may obey late. What it would give up must stay on another.
     let held = |l: u32| {
         HELD.iter().any(|(host, (first, end))| {
             let moved = orders.iter().chain(&next);
             let mut moved = moved.filter(|o| *o.engine == *format!("i-{host}"));
-            let kept = moved.all(|o| o.range.holds(l));
+            let kept = moved.all(|o| o.range.contains(l));
             kept && *first <= l && l < *end
         })
     };
--- a/src/tests/decide/demand.rs
+++ b/src/tests/decide/demand.rs
@@ -6,13 +6,13 @@
 use super::overload::{ENGINE, LAYERS, USUAL, USUAL_TOKENS, candidate, few, work};
 use crate::decide::load::{Loads, begun_takes_turns};
 use crate::decide::path::{Hop, Start, Work, choose};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 const INSTANCES: u32 = 295;
 
 const HOP: Hop = Hop {
     engine: 0,
-    range: Range {
+    range: LayerRange {
         first: 0,
         end: LAYERS,
     },
--- a/src/tests/decide/overload.rs
+++ b/src/tests/decide/overload.rs
@@ -11,7 +11,7 @@
 use crate::decide::path::{Candidate, Hop, Start, Work, choose};
 use crate::decide::refusal::Refused;
 use crate::decide::waiting::{self, Pace};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 use crate::sync::Load;
 
 pub(super) const ENGINE: u64 = 77;
@@ -78,7 +78,7 @@
     let mut running: Vec<Running> = Vec::new();
     let hop = Hop {
         engine: 0,
-        range: Range::new(0, LAYERS),
+        range: LayerRange::new(0, LAYERS),
     };
     for now in 0..seconds * 1000 {
         for r in running.iter().filter(|r| r.ends == now) {
@@ -133,7 +133,7 @@
 /// The engine, with `room_mb` left of its memory.
 pub(super) fn candidate(memory_mb: f64, room_mb: f64, open: bool) -> Candidate {
     Candidate {
-        range: Range::new(0, LAYERS),
+        range: LayerRange::new(0, LAYERS),
         domain: 0,
         step_ms: 1.0,
         read_ms: 0.1,
@@ -193,7 +193,7 @@
         loads.learn(&[], (i as f64 + 0.5) / INSTANCES as f64);
         let hop = Hop {
             engine: 0,
-            range: Range::new(0, LAYERS),
+            range: LayerRange::new(0, LAYERS),
         };
         for _ in 0..60 {
             let room = MEMORY - loads.at(ENGINE).memory;
--- a/src/tests/decide/pace.rs
+++ b/src/tests/decide/pace.rs
@@ -9,11 +9,11 @@
 use crate::entry::pool::Pool;
 use crate::entry::view::{Services, Upstream};
 use crate::platform::engine::reported_pace;
-use crate::roster::{Announcement, Range, Roster};
+use crate::roster::{Announcement, LayerRange, Roster};
 use crate::sync::UpstreamRecord;
 
 /// Layers that each engine holds, and that a request passes through.
-const LAYERS: Range = Range { first: 0, end: 6 };
+const LAYERS: LayerRange = LayerRange { first: 0, end: 6 };
 
 fn engine(host: u8, kind: &str, pace: f64) -> Upstream {
     Upstream {
--- a/src/tests/decide/path.rs
+++ b/src/tests/decide/path.rs
@@ -4,7 +4,7 @@
 use crate::decide::link::LinkPart;
 use crate::decide::load::{Loads, Speed};
 use crate::decide::path::{self, Candidate, Hop, NoPath, Start, Work};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 use crate::sync::Load;
 
 const WORK: Work = Work {
@@ -20,7 +20,7 @@
 
 fn candidate(first: u32, end: u32) -> Candidate {
     Candidate {
-        range: Range::new(first, end),
+        range: LayerRange::new(first, end),
         domain: 0,
         step_ms: 0.1,
         read_ms: 0.001,
@@ -182,7 +182,7 @@
     let mut loads = Loads::default();
     let hop = Hop {
         engine: 0,
-        range: Range::new(0, 7),
+        range: LayerRange::new(0, 7),
     };
     let booked = [(5, hop)];
     loads.enter(&booked, &WORK);
@@ -207,8 +207,8 @@
     let model = model();
     let t4 = model.accelerator("t4").unwrap();
     let loads = Loads::default();
-    let seven = Speed::new(&model, t4, Range::new(0, 7), loads.at(1));
-    let eight = Speed::new(&model, t4, Range::new(0, 8), loads.at(1));
+    let seven = Speed::new(&model, t4, LayerRange::new(0, 7), loads.at(1));
+    let eight = Speed::new(&model, t4, LayerRange::new(0, 8), loads.at(1));
     // Some 41,000 tokens of room with seven layers, 6,800 with eight.
     assert!(seven.room_mb > 4.0 * eight.room_mb);
     assert!(eight.room_mb > 0.0);
--- a/src/tests/decide/placement.rs
+++ b/src/tests/decide/placement.rs
@@ -5,7 +5,7 @@
 use super::model;
 use crate::configuration::Model;
 use crate::decide::placement::{self, Worker};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 fn worker(domain: &str, size_mb: f64, step_factor: f64) -> Worker {
     Worker {
@@ -29,7 +29,7 @@
     engines.collect()
 }
 
-fn hold(worker: &mut Worker, range: Range) {
+fn hold(worker: &mut Worker, range: LayerRange) {
     worker.held = Some(range);
     worker.loaded = Some(range);
 }
@@ -47,7 +47,7 @@
     (0..80)
         .map(|l| {
             members()
-                .filter(|w| w.held.is_some_and(|h| h.holds(l)))
+                .filter(|w| w.held.is_some_and(|h| h.contains(l)))
                 .count()
         })
         .collect()
@@ -106,15 +106,15 @@
     // them. Given up now, they would be missing for the whole time of the load.
     let model = model();
     let mut workers: Vec<Worker> = (0..3).map(|_| worker("a", 72_000.0, 1.4)).collect();
-    hold(&mut workers[0], Range::new(0, 40));
-    hold(&mut workers[1], Range::new(40, 80));
-    workers[2].held = Some(Range::new(0, 20));
+    hold(&mut workers[0], LayerRange::new(0, 40));
+    hold(&mut workers[1], LayerRange::new(40, 80));
+    workers[2].held = Some(LayerRange::new(0, 20));
     workers[2].busy = true;
     assert_eq!(placement::plan(&model, &workers), []);
-    hold(&mut workers[2], Range::new(0, 20));
+    hold(&mut workers[2], LayerRange::new(0, 20));
     workers[2].busy = false;
     let moves = placement::plan(&model, &workers);
-    assert_eq!(moves[0].range, Range::new(20, 40));
+    assert_eq!(moves[0].range, LayerRange::new(20, 40));
 }
 
 #[test]
@@ -125,7 +125,7 @@
     let model = model();
     let mut workers: Vec<Worker> = (0..3).map(|_| worker("a", 72_000.0, 1.4)).collect();
     for (w, first) in workers.iter_mut().zip([0, 40, 60]) {
-        hold(w, Range::new(first, first + 20));
+        hold(w, LayerRange::new(first, first + 20));
         w.used_mb = 26_000.0;
     }
     for m in placement::plan(&model, &workers) {
@@ -144,11 +144,11 @@
         worker("a", 72_000.0, 1.4),
         worker("a", 72_000.0, 1.4),
     ];
-    hold(&mut workers[0], Range::new(0, 30));
-    hold(&mut workers[1], Range::new(30, 70));
-    hold(&mut workers[2], Range::new(60, 80));
+    hold(&mut workers[0], LayerRange::new(0, 30));
+    hold(&mut workers[1], LayerRange::new(30, 70));
+    hold(&mut workers[2], LayerRange::new(60, 80));
     workers.push(worker("a", 36_000.0, 3.1));
-    hold(&mut workers[3], Range::new(0, 15));
+    hold(&mut workers[3], LayerRange::new(0, 15));
     for _ in 0..3 {
         carry_out(&model, &mut workers);
     }
@@ -171,12 +171,12 @@
     let mut workers: Vec<Worker> = Vec::new();
     for (first, end) in [(0, 7), (8, 15), (0, 7), (8, 15)] {
         let mut small = worker("a", 14_400.0, 15.0);
-        hold(&mut small, Range::new(first, end));
+        hold(&mut small, LayerRange::new(first, end));
         workers.push(small);
     }
     for first in [15, 47] {
         let mut large = worker("a", 72_000.0, 1.4);
-        hold(&mut large, Range::new(first, (first + 33).min(80)));
+        hold(&mut large, LayerRange::new(first, (first + 33).min(80)));
         workers.push(large);
     }
     workers[0].used_mb = 300.0;
@@ -184,7 +184,7 @@
     let moves = placement::plan(&model, &workers);
     let bridges = |m: &placement::Move| {
         let held = workers[m.worker].held.unwrap();
-        m.range.holds(7) && m.range.first <= held.first && held.end <= m.range.end
+        m.range.contains(7) && m.range.first <= held.first && held.end <= m.range.end
     };
     assert!(moves.iter().any(bridges), "{moves:?}");
 }
@@ -197,7 +197,11 @@
     let half = |name: &str| domain(name).into_iter().take(6).collect::<Vec<_>>();
     let mut workers: Vec<Worker> = [half("a"), half("b")].concat();
     carry_out(&model, &mut workers);
-    let both = |l| workers.iter().any(|w| w.held.is_some_and(|h| h.holds(l)));
+    let both = |l| {
+        workers
+            .iter()
+            .any(|w| w.held.is_some_and(|h| h.contains(l)))
+    };
     assert!((0..80).all(both));
 }
 
@@ -223,7 +227,7 @@
     let mut workers: Vec<Worker> = (0..4).map(|_| worker("a", 72_000.0, 1.4)).collect();
     for (i, w) in workers.iter_mut().enumerate() {
         let first = 20 * i as u32;
-        hold(w, Range::new(first, first + 20));
+        hold(w, LayerRange::new(first, first + 20));
     }
     workers.remove(1);
     let moves = placement::plan(&model, &workers);
@@ -263,13 +267,13 @@
 /// Requests for which the tightest layer has memory.
 fn tightest(model: &Model, workers: &[Worker]) -> f64 {
     let tokens = model.usual_prompt + model.usual_answer;
-    let room = |w: &Worker, held: Range| {
+    let room = |w: &Worker, held: LayerRange| {
         let layers = f64::from(held.len());
         (w.size_mb - layers * model.layer_mb) / (layers * model.token_mb * tokens)
     };
     let at = |layer: u32| -> f64 {
         let holders = workers.iter().filter_map(|w| Some((w, w.held?)));
-        let holders = holders.filter(|(_, h)| h.holds(layer));
+        let holders = holders.filter(|(_, h)| h.contains(layer));
         holders.map(|(w, h)| room(w, h)).sum()
     };
     (0..model.layers).map(at).fold(f64::INFINITY, f64::min)
@@ -311,11 +315,11 @@
     // layers instead of all that are too many.
     let model = model();
     let mut workers = vec![worker("a", 72_000.0, 1.4), worker("a", 72_000.0, 1.4)];
-    hold(&mut workers[0], Range::new(0, 40));
-    hold(&mut workers[1], Range::new(40, 60));
+    hold(&mut workers[0], LayerRange::new(0, 40));
+    hold(&mut workers[1], LayerRange::new(40, 60));
     for first in [60, 65, 70, 75, 60, 65, 70, 75] {
         let mut small = worker("a", 14_400.0, 15.0);
-        hold(&mut small, Range::new(first, first + 5));
+        hold(&mut small, LayerRange::new(first, first + 5));
         workers.push(small);
     }
     let mut ordered = Vec::new();
@@ -391,7 +395,7 @@
     let mut workers = domain("a");
     for (at, worker) in workers.iter_mut().enumerate() {
         let first = model.layers - 4 + at as u32;
-        hold(worker, Range::new(first, first + 8));
+        hold(worker, LayerRange::new(first, first + 8));
     }
     assert!(!placement::plan(&model, &workers).is_empty());
 }
--- a/src/tests/platform.rs
+++ b/src/tests/platform.rs
@@ -9,7 +9,7 @@
 use crate::platform::boot::Boot;
 use crate::platform::call::Call;
 use crate::platform::{configuration, engine, heartbeat};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 const BOOT: &str = r#"
 node = "core-a-1"
@@ -128,7 +128,7 @@
 #[test]
 fn decode_heartbeat() {
     let news = heartbeat::decode("i-1", HEARTBEAT.as_bytes()).unwrap();
-    assert_eq!(news.layers, Some(Range::new(20, 31)));
+    assert_eq!(news.layers, Some(LayerRange::new(20, 31)));
     assert_eq!((news.sequence, news.born, news.leaving), (3, 0, false));
 }
 
@@ -169,7 +169,7 @@
 fn encode_path_parts() {
     let hop = |first, end| Hop {
         engine: 0,
-        range: Range::new(first, end),
+        range: LayerRange::new(first, end),
     };
     let hops = [
         ("10.1.64.9:8080".parse().unwrap(), hop(0, 20)),
--- a/src/tests/pool.rs
+++ b/src/tests/pool.rs
@@ -7,7 +7,7 @@
 use crate::decide::path::{Hop, Work};
 use crate::entry::pool::{Pool, given_up};
 use crate::entry::view::{Services, Upstream};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 use crate::sync::address_key;
 
 pub(super) const WORK: Work = Work {
@@ -31,7 +31,7 @@
         domain: domain.to_owned(),
         slots: 8,
         kind: Some(model().accelerators[0].name.clone()),
-        layers: Some(Range::new(first, end)),
+        layers: Some(LayerRange::new(first, end)),
         late: false,
         pace: 1.0,
         suspected: false,
--- a/src/tests/relay.rs
+++ b/src/tests/relay.rs
@@ -6,7 +6,7 @@
 use crate::clock::Time;
 use crate::collections::HashMap;
 use crate::relay::{Heartbeats, News, Pulse, Relay, Taken, digest};
-use crate::roster::{Announcement, Heard, Range, Roster};
+use crate::roster::{Announcement, Heard, LayerRange, Roster};
 
 const BEAT: Duration = Duration::from_millis(1200);
 
@@ -99,7 +99,7 @@
     let mut roster = Roster::new(BEAT);
     roster.hear(at(0), news(1, 1));
     let mut changed = news(1, 2);
-    changed.layers = Some(Range::new(3, 5));
+    changed.layers = Some(LayerRange::new(3, 5));
     assert!(!roster.pulse(at(100), &Pulse::from(&changed)));
     assert_eq!(roster.get("i-1").unwrap().heard, at(0));
     assert_eq!(roster.hear(at(100), changed), Heard::Known);
--- a/src/tests/roster.rs
+++ b/src/tests/roster.rs
@@ -16,7 +16,7 @@
 use crate::controller::reports::Reports;
 use crate::entry::view::View;
 use crate::register::{self, Register};
-use crate::roster::{Announcement, Heard, Range, Roster};
+use crate::roster::{Announcement, Heard, LayerRange, Roster};
 use crate::sync::{Load, Sync};
 use crate::voter::Machine;
 
@@ -61,7 +61,7 @@
     let mut roster = Roster::new(BEAT);
     let mut old = news("i-1", 40);
     old.born = 1000;
-    old.layers = Some(Range::new(0, 7));
+    old.layers = Some(LayerRange::new(0, 7));
     roster.hear(at(0), old.clone());
     let mut new = news("i-1", 1);
     new.born = 2000;
@@ -219,7 +219,7 @@
         let mut news = news(&format!("i-{i}"), 1);
         news.address.set_port(8000 + i);
         // All hold the same few layers, so some must take others.
-        news.layers = Some(Range::new(0, 7));
+        news.layers = Some(LayerRange::new(0, 7));
         board.hear(at(1), news);
     }
     let orders = board.orders(at(4000), &configuration);
