--- a/src/controller/board.rs
+++ b/src/controller/board.rs
@@ -21,9 +21,9 @@
 use crate::decide::run_history::EngineStart;
 use crate::fingerprint::Fingerprint;
 use crate::register::{Quarantined, Register, Versioned};
-use crate::relay::Pulse;
+use crate::relay::HeartbeatDigest;
 use crate::roster::{Announcement, Entry, Heard, LOST_BEATS, LayerRange, Roster};
-use crate::sync::{LimitRecord, RosterRecord, State, Sync, UpstreamRecord, address_key};
+use crate::sync::{LimitRecord, RosterDelta, SyncReply, SyncRequest, UpstreamRecord, address_key};
 
 /// Heartbeat periods after which a new leader has heard every upstream that
 /// lives: an upstream whose call fails asks the next instance within a second.
@@ -153,7 +153,7 @@
     }
 
     /// Takes in a proof of life; see [`Roster::pulse`].
-    pub(crate) fn pulse(&mut self, now: Time, pulse: &Pulse) -> bool {
+    pub(crate) fn pulse(&mut self, now: Time, pulse: &HeartbeatDigest) -> bool {
         self.roster.pulse(now, pulse)
     }
 
@@ -189,11 +189,11 @@
     pub(crate) fn sync(
         &mut self,
         now: Time,
-        ask: Sync,
+        ask: SyncRequest,
         age: Duration,
         current: Option<Versioned>,
         register: &Register,
-    ) -> State {
+    ) -> SyncReply {
         let current_version = current.as_ref().map_or(0, |c| c.version);
         let newer = current.filter(|c| c.version != ask.version);
         let known = ask.term == self.term
@@ -209,7 +209,7 @@
                 .apply(now, address, update, instances, 0.0);
         }
         self.reports.take(now, ask);
-        State {
+        SyncReply {
             age: micros(age),
             version: current_version,
             body: newer.map(|c| c.body),
@@ -217,7 +217,7 @@
             work: self.reports.tell(now, instance),
             entries: self.reports.len() as u32,
             voters: Vec::new(),
-            counted: now.since(self.since) >= COUNTED,
+            entries_known: now.since(self.since) >= COUNTED,
             term: self.term,
             suspects: self.crashes.suspects().map(Fingerprint::bytes).collect(),
             quarantine: None,
@@ -234,7 +234,7 @@
     }
 
     /// Records the cut and harmless runs that an instance reports.
-    fn record_runs(&mut self, now: Time, ask: &Sync) {
+    fn record_runs(&mut self, now: Time, ask: &SyncRequest) {
         let at = |age| now - Duration::from_micros(age);
         for cut in &ask.cut {
             let Ok(fingerprint) = Fingerprint::try_from(&*cut.fingerprint) else {
@@ -275,7 +275,7 @@
     }
 
     /// The next part of the roster that the asker misses.
-    fn record(&self, now: Time, ask: &Sync, register: &Register) -> RosterRecord {
+    fn record(&self, now: Time, ask: &SyncRequest, register: &Register) -> RosterDelta {
         let changes = self.roster.changes();
         let known = if ask.term == self.term {
             ask.revision
@@ -284,26 +284,26 @@
         };
         let since = changes.base(known);
         let page = changes.after(since).take(PAGE);
-        let (mut upstreams, mut gone) = (Vec::new(), Vec::new());
+        let (mut upstreams, mut removed) = (Vec::new(), Vec::new());
         let mut revision = since;
         for (changed, id) in page {
             revision = changed;
             match self.roster.get(id) {
                 Some(e) => upstreams.push(UpstreamRecord::new(e, self.kept(&e.last))),
-                None => gone.push(id.to_string()),
+                None => removed.push(id.to_string()),
             }
         }
         let more = changes.after(revision).next().is_some();
         let complete = !more && self.is_complete(now);
         let departed = if complete { 0 } else { TOLD_DEPARTED };
-        RosterRecord {
+        RosterDelta {
             term: self.term,
             since,
             // Of changes that were overtaken by later ones, nothing is left.
             revision: if more { revision } else { changes.revision() },
             complete,
             upstreams,
-            gone,
+            removed,
             more,
             departed: register.latest_departed(departed),
         }
--- a/src/controller/heartbeat.rs
+++ b/src/controller/heartbeat.rs
@@ -12,7 +12,7 @@
 use crate::event;
 use crate::message::{Answer, Ask, Request};
 use crate::metric;
-use crate::relay::{Heartbeats, Taken};
+use crate::relay::{Heartbeats, HeartbeatsReply};
 use crate::roster::{Announcement, Heard};
 
 /// Time for which heartbeats are gathered before they are passed on. At 3,000
@@ -101,7 +101,7 @@
 
     async fn pass_batch(&self) {
         let batch = self.relay().batch();
-        let count = batch.pulses.len() + batch.news.len();
+        let count = batch.digests.len() + batch.full.len();
         let taken = self.ask_leader(batch).await;
         let done = match &taken {
             Some(taken) => self.relay().taken(count, taken),
@@ -113,13 +113,13 @@
         }
     }
 
-    async fn ask_leader(&self, batch: Heartbeats) -> Option<Taken> {
+    async fn ask_leader(&self, batch: Heartbeats) -> Option<HeartbeatsReply> {
         let leader = self.lead().leader.filter(|l| *l != self.id())?;
         let request = Request {
             ask: Some(Ask::Heartbeats(batch)),
         };
         match self.peers.call(leader, request, TAKE).await.ok()?.answer {
-            Some(Answer::Taken(taken)) => Some(taken),
+            Some(Answer::Heartbeats(taken)) => Some(taken),
             _ => None,
         }
     }
@@ -130,14 +130,14 @@
             return Answer::NotLeader(self.lead().leader.map_or(0, |l| l.0));
         };
         let now = self.now();
-        let unknown = batch.pulses.iter().filter(|p| !board.pulse(now, p));
+        let unknown = batch.digests.iter().filter(|p| !board.pulse(now, p));
         let unknown = unknown.map(|p| p.id.clone()).collect();
-        for news in batch.news {
+        for news in batch.full {
             // What lacks a part is of another release and can't be used.
             if let Some(news) = news.announcement() {
                 self.note(&mut board, news);
             }
         }
-        Answer::Taken(Taken { unknown })
+        Answer::Heartbeats(HeartbeatsReply { unknown })
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -32,7 +32,7 @@
 use crate::roster::LayerRange;
 use crate::startup;
 use crate::store::StoreError;
-use crate::sync::{self, State, Sync};
+use crate::sync::{self, SyncReply, SyncRequest};
 use crate::voter::{GroupStatus, Lead, Voter, VoterSettings};
 
 pub(crate) mod board;
@@ -454,7 +454,7 @@
     }
 
     /// Answers an entry instance, or names the leader.
-    fn sync(&self, ask: Sync) -> Answer {
+    fn sync(&self, ask: SyncRequest) -> Answer {
         let (Some(age), Some(mut board)) = (self.age(), self.leading()) else {
             return Answer::NotLeader(self.lead().leader.map_or(0, |l| l.0));
         };
@@ -463,7 +463,7 @@
         let state = board.sync(self.now(), ask, age, current, &self.register);
         drop(board);
         let members = self.status().into_iter().flat_map(|s| s.members);
-        Answer::State(Box::new(State {
+        Answer::Sync(Box::new(SyncReply {
             voters: members.map(|m| m.id).collect(),
             quarantine: self.quarantine(known_quarantine),
             ..state
--- a/src/controller/quarantine.rs
+++ b/src/controller/quarantine.rs
@@ -10,7 +10,7 @@
 use crate::event;
 use crate::fingerprint::Fingerprint;
 use crate::register::{self, Quarantined};
-use crate::sync::{QuarantineRecord, RefusedRecord};
+use crate::sync::{QuarantineRecord, QuarantinedRecord};
 
 /// Duration of a quarantine. It ends since the request may be harmless to a later engine
 /// release; otherwise it is quarantined again after a few more crashes.
@@ -75,8 +75,8 @@
         }
         let now = wall_millis();
         let requests = self.register.quarantined().into_iter();
-        let requests = requests.map(|q| RefusedRecord {
-            left: q.until.saturating_sub(now),
+        let requests = requests.map(|q| QuarantinedRecord {
+            remaining_ms: q.until.saturating_sub(now),
             fingerprint: q.fingerprint,
         });
         Some(QuarantineRecord {
--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::Time;
 use crate::collections::HashMap;
-use crate::sync::{Load, Sync, Work, key_address};
+use crate::sync::{FleetLoad, Load, SyncRequest, address_from_key};
 
 /// Time for which an entry instance's report counts. It reports several times
 /// in that time, so one that is silent for longer has lost its requests too.
@@ -29,7 +29,7 @@
     /// Addresses of upstreams at which requests failed.
     suspects: Vec<u64>,
     /// Requests that asked it for room.
-    asking: u32,
+    room_requests: u32,
     /// When it was last told of the others' work.
     told: Option<Time>,
 }
@@ -41,8 +41,8 @@
     /// Sum of the loads in `latest`, by engine. Kept up with each report:
     /// summed up for each answer, it takes the square of the instances.
     sums: HashMap<u64, Load>,
-    /// Sum of `asking` in `latest`, kept up likewise.
-    asking: u32,
+    /// Sum of `room_requests` in `latest`, kept up likewise.
+    room_requests: u32,
 }
 
 impl Reports {
@@ -52,7 +52,7 @@
     }
 
     /// Takes in the report of an instance.
-    pub(crate) fn take(&mut self, now: Time, ask: Sync) {
+    pub(crate) fn take(&mut self, now: Time, ask: SyncRequest) {
         let mut loads = ask.loads;
         // An engine without requests has no sum.
         loads.retain(|l| l.requests > 0);
@@ -65,7 +65,7 @@
             sum.requests += load.requests;
             sum.entered += load.entered;
         }
-        self.asking += ask.asking;
+        self.room_requests += ask.room_requests;
         let before = self.latest.remove(&ask.instance);
         if let Some(before) = &before {
             self.subtract(before);
@@ -74,14 +74,14 @@
             at: now,
             loads,
             suspects: ask.suspects,
-            asking: ask.asking,
+            room_requests: ask.room_requests,
             told: before.and_then(|b| b.told),
         };
         self.latest.insert(ask.instance, report);
     }
 
     fn subtract(&mut self, report: &Report) {
-        self.asking -= report.asking;
+        self.room_requests -= report.room_requests;
         for load in &report.loads {
             let Some(sum) = self.sums.get_mut(&load.engine) else {
                 continue;
@@ -115,14 +115,14 @@
     pub(crate) fn suspects(&self) -> HashMap<SocketAddrV4, usize> {
         let mut suspects = HashMap::default();
         for suspect in self.latest.values().flat_map(|r| &r.suspects) {
-            *suspects.entry(key_address(*suspect)).or_default() += 1;
+            *suspects.entry(address_from_key(*suspect)).or_default() += 1;
         }
         suspects
     }
 
     /// What the others than `instance` have at work, if it is time to tell it
     /// again.
-    pub(crate) fn tell(&mut self, now: Time, instance: u64) -> Option<Work> {
+    pub(crate) fn tell(&mut self, now: Time, instance: u64) -> Option<FleetLoad> {
         let period = self.period();
         let report = self.latest.get_mut(&instance)?;
         if report.told.is_some_and(|at| now.since(at) < period) {
@@ -140,9 +140,9 @@
             };
             (rest.requests > 0).then_some(rest)
         });
-        Some(Work {
+        Some(FleetLoad {
             loads: others.collect(),
-            asking: self.asking,
+            room_requests: self.room_requests,
         })
     }
 
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -30,7 +30,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::metric;
 use crate::platform::headers;
-use crate::sync::key_address;
+use crate::sync::address_from_key;
 
 /// Longest time to connect to an upstream. A connection takes one to two
 /// milliseconds; a lost packet would be sent again after a second, and another
@@ -302,7 +302,7 @@
         tracing::info!(
             event = event::UPSTREAM_SUSPECTED.id,
             attempt = self.call.attempt,
-            address = %key_address(culprit),
+            address = %address_from_key(culprit),
             cause,
             left_ms = millis(self.left()),
             "left out"
--- a/src/entry/crash.rs
+++ b/src/entry/crash.rs
@@ -16,7 +16,7 @@
 use crate::event;
 use crate::fingerprint::Fingerprint;
 use crate::metric;
-use crate::sync::{CutRecord, HarmlessRecord, State, Sync};
+use crate::sync::{CutRecord, HarmlessRecord, SyncReply, SyncRequest};
 
 /// Delay before probing an engine that cut off a run, since its listener may be closed
 /// slightly later than its connections.
@@ -102,7 +102,7 @@
 
     /// Adds the cut and harmless runs of this instance to a sync request. Returns the
     /// sequence number of the last cut run, for [`Self::acknowledge_runs`].
-    pub(super) fn add_run_reports(&self, question: &mut Sync) -> u64 {
+    pub(super) fn add_run_reports(&self, question: &mut SyncRequest) -> u64 {
         let (now, view) = (self.now(), self.view());
         let age = |at| micros(now.since(at));
         let mut shared = self.shared();
@@ -128,7 +128,7 @@
     }
 
     /// Records that a leader received the cut runs up to a sequence number.
-    pub(super) fn acknowledge_runs(&self, state: &State, last: u64) {
+    pub(super) fn acknowledge_runs(&self, state: &SyncReply, last: u64) {
         self.shared().run_history.acknowledge(state.term, last);
     }
 
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -13,7 +13,7 @@
 use crate::id::InstanceId;
 use crate::message::{Answer, Ask, Request};
 use crate::role;
-use crate::sync::{Sync, Work};
+use crate::sync::{FleetLoad, SyncRequest};
 
 /// Longest wait for an answer. A lost packet is sent again after 200 ms.
 const ANSWER: Duration = Duration::from_millis(500);
@@ -111,11 +111,11 @@
         };
         let answer = self.peers.call(target, request, ANSWER).await;
         match answer.map(|r| r.answer) {
-            Ok(Some(Answer::State(state))) => {
+            Ok(Some(Answer::Sync(state))) => {
                 targets.learn(state.voters.iter().copied().map(InstanceId));
                 targets.leader = Some(target);
                 if let Some(work) = &state.work {
-                    self.take_in(work, state.counted);
+                    self.take_in(work, state.entries_known);
                 }
                 self.acknowledge_runs(&state, last_cut);
                 self.learn_limits(sent, &state.limits);
@@ -151,31 +151,31 @@
     }
 
     /// Takes in what the other instances have at work. It is a part of it until the
-    /// leader has `counted` them.
-    fn take_in(&self, work: &Work, counted: bool) {
+    /// leader has counted them.
+    fn take_in(&self, work: &FleetLoad, entries_known: bool) {
         let waiting = self.waiters.load(Ordering::Relaxed);
         let loads = &mut self.shared().loads;
         loads.learn(&work.loads, rand::rng().random());
         loads
             .demand
-            .learn(counted.then_some(work.asking), waiting as u32);
+            .learn(entries_known.then_some(work.room_requests), waiting as u32);
     }
 
-    fn question(&self) -> Sync {
+    fn question(&self) -> SyncRequest {
         let view = self.view();
         let (term, revision) = view.roster();
         let now = self.now();
         let shared = self.shared();
-        Sync {
+        SyncRequest {
             instance: self.id.0,
             version: view.version(),
             term,
             revision,
             complete: view.is_complete(),
             loads: shared.loads.report(),
-            asking: shared.loads.demand.own(),
+            room_requests: shared.loads.demand.own(),
             suspects: shared.health.suspects(now, self.boot.heartbeat),
-            ..Sync::default()
+            ..SyncRequest::default()
         }
     }
 }
--- a/src/entry/limit.rs
+++ b/src/entry/limit.rs
@@ -8,7 +8,7 @@
 use crate::clock::Time;
 use crate::decide::rate::{self, LimitUpdate};
 use crate::event;
-use crate::sync::{LimitRecord, key_address};
+use crate::sync::{LimitRecord, address_from_key};
 
 impl Run {
     /// Applies the limit header `text` of a response. A response without the header lifts
@@ -68,7 +68,7 @@
             tracing::info!(
                 event = event::LIMIT_CHANGED.id,
                 upstream = %id,
-                address = %key_address(address),
+                address = %address_from_key(address),
                 limit,
                 instances,
                 source,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -29,7 +29,7 @@
 use crate::platform::boot::Boot;
 use crate::role::{self, RoleSettings};
 use crate::startup;
-use crate::sync::State;
+use crate::sync::SyncReply;
 
 mod attempt;
 mod body;
@@ -210,7 +210,7 @@
     }
 
     /// Takes in a leader's answer. Only the follower calls it.
-    fn learn(&self, sent: Time, state: State) -> bool {
+    fn learn(&self, sent: Time, state: SyncReply) -> bool {
         let before = self.view();
         let mut view = View::clone(&before);
         let learnt = view.learn(sent, state, self.lease);
--- a/src/entry/reroute.rs
+++ b/src/entry/reroute.rs
@@ -22,7 +22,7 @@
 use crate::event;
 use crate::metric;
 use crate::platform::engine as order;
-use crate::sync::{address_key, key_address};
+use crate::sync::{address_from_key, address_key};
 
 /// Longest wait for a report or an order.
 const ANSWER: Duration = Duration::from_millis(300);
@@ -117,7 +117,7 @@
         tracing::info!(
             event = event::REQUEST_REROUTED.id,
             attempt = self.call.attempt,
-            around = ?engines.iter().map(|e| key_address(*e)).collect::<Vec<_>>(),
+            around = ?engines.iter().map(|e| address_from_key(*e)).collect::<Vec<_>>(),
             cause,
             path = path.text,
             status = status.map(|s| s.as_u16()),
--- a/src/entry/select.rs
+++ b/src/entry/select.rs
@@ -15,7 +15,7 @@
 use crate::decide::refusal::Reason;
 use crate::fingerprint::Fingerprint;
 use crate::roster::LayerRange;
-use crate::sync::key_address;
+use crate::sync::address_from_key;
 
 /// Restrictions on the upstreams of an attempt.
 #[derive(Clone, Copy)]
@@ -315,6 +315,9 @@
 
 /// A booked path in the form that engines get.
 fn encode(booked: &[(u64, Hop)]) -> String {
-    let named: Vec<_> = booked.iter().map(|(k, h)| (key_address(*k), *h)).collect();
+    let named: Vec<_> = booked
+        .iter()
+        .map(|(k, h)| (address_from_key(*k), *h))
+        .collect();
     crate::platform::engine::encode_path(&named)
 }
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -13,7 +13,8 @@
 use crate::platform::configuration;
 use crate::roster::LayerRange;
 use crate::sync::{
-    QuarantineRecord, RefusedRecord, RosterRecord, State, UpstreamRecord, key_address, unpack,
+    QuarantineRecord, QuarantinedRecord, RosterDelta, SyncReply, UpstreamRecord, address_from_key,
+    unpack,
 };
 
 /// One upstream as the leader tells of it.
@@ -172,7 +173,7 @@
 
     /// Takes in the answer to a question that was sent at `sent`. Returns
     /// whether it could be used.
-    pub(crate) fn learn(&mut self, sent: Time, state: State, lease: Duration) -> bool {
+    pub(crate) fn learn(&mut self, sent: Time, state: SyncReply, lease: Duration) -> bool {
         // A deposed leader that doesn't know yet may answer late. Nothing ever
         // goes back.
         if state.version < self.version() || self.is_unfit(&state) {
@@ -193,7 +194,7 @@
         if let Some(record) = state.roster {
             self.merge(record);
         }
-        if state.counted {
+        if state.entries_known {
             self.counted = Some(state.entries.max(1));
         }
         let fingerprints = state.suspects.iter();
@@ -213,9 +214,9 @@
     /// Replaces the quarantine. Remaining times count from when the sync request was sent,
     /// so a quarantine may end slightly early, never late.
     fn set_quarantine(&mut self, sent: Time, record: &QuarantineRecord) {
-        let request = |r: &RefusedRecord| {
+        let request = |r: &QuarantinedRecord| {
             let fingerprint = Fingerprint::try_from(&*r.fingerprint).ok()?;
-            Some((fingerprint, sent + Duration::from_millis(r.left)))
+            Some((fingerprint, sent + Duration::from_millis(r.remaining_ms)))
         };
         self.quarantine = Arc::new(record.requests.iter().filter_map(request).collect());
         self.quarantine_checksum = record.checksum;
@@ -223,7 +224,7 @@
 
     /// Whether the roster comes from a deposed leader, or goes on after
     /// another part than this view has.
-    fn is_unfit(&self, state: &State) -> bool {
+    fn is_unfit(&self, state: &SyncReply) -> bool {
         let Some(roster) = &state.roster else {
             return false;
         };
@@ -234,14 +235,14 @@
     /// Takes in a part of the roster. Until the leader has told of all that it
     /// heard, and has heard all, those of which it hasn't told stay, but for
     /// the ones that have left.
-    fn merge(&mut self, record: RosterRecord) {
+    fn merge(&mut self, record: RosterDelta) {
         let mut services = Services::clone(&self.services);
         let mut unheard = HashSet::clone(&self.unheard);
         if record.since == 0 {
             let known = services.values().flatten();
             unheard = known.map(|u| u.id.clone()).collect();
         }
-        let mut dropped: HashSet<&str> = record.gone.iter().map(String::as_str).collect();
+        let mut dropped: HashSet<&str> = record.removed.iter().map(String::as_str).collect();
         dropped.extend(record.upstreams.iter().map(|u| u.id.as_str()));
         let departed = record.departed.iter().map(|d| (d.id.as_str(), d.born));
         let departed: HashMap<&str, u64> = departed.collect();
@@ -278,7 +279,7 @@
             id: record.id.as_str().into(),
             born: record.born,
             key: record.address,
-            address: key_address(record.address),
+            address: address_from_key(record.address),
             domain: record.domain.clone(),
             slots: record.slots,
             kind: record.kind.clone(),
--- a/src/message.rs
+++ b/src/message.rs
@@ -61,7 +61,7 @@
     Group(AskGroup),
     /// For what an entry instance misses.
     #[prost(message, tag = "6")]
-    Sync(crate::sync::Sync),
+    Sync(crate::sync::SyncRequest),
     /// For heartbeats to be taken in.
     #[prost(message, tag = "7")]
     Heartbeats(crate::relay::Heartbeats),
@@ -179,10 +179,10 @@
     Group(GroupReply),
     /// What an entry instance missed.
     #[prost(message, tag = "9")]
-    State(Box<crate::sync::State>),
+    Sync(Box<crate::sync::SyncReply>),
     /// What became of heartbeats.
     #[prost(message, tag = "10")]
-    Taken(crate::relay::Taken),
+    Heartbeats(crate::relay::HeartbeatsReply),
 }
 
 /// What a follower misses of the catalogue.
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -12,21 +12,21 @@
 
 use crate::collections::HashSet;
 use crate::roster::Announcement;
-use crate::sync::{UpstreamRecord, address_key, key_address};
+use crate::sync::{UpstreamRecord, address_from_key, address_key};
 
 /// Heartbeats of some upstreams.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Heartbeats {
     #[prost(message, repeated, tag = "1")]
-    pub(crate) pulses: Vec<Pulse>,
+    pub(crate) digests: Vec<HeartbeatDigest>,
     /// Those that the leader asked for in full.
     #[prost(message, repeated, tag = "2")]
-    pub(crate) news: Vec<News>,
+    pub(crate) full: Vec<FullHeartbeat>,
 }
 
 /// Proof of life of an upstream about which nothing is new.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Pulse {
+pub(crate) struct HeartbeatDigest {
     #[prost(string, tag = "1")]
     pub(crate) id: String,
     /// See [`Announcement::born`].
@@ -42,7 +42,7 @@
 
 /// An announcement in full.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct News {
+pub(crate) struct FullHeartbeat {
     #[prost(message, optional, tag = "1")]
     pub(crate) upstream: Option<UpstreamRecord>,
     /// See [`Announcement::sequence`].
@@ -52,14 +52,14 @@
 
 /// What the leader made of [`Heartbeats`].
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Taken {
+pub(crate) struct HeartbeatsReply {
     /// Ids whose announcement the leader needs in full: of upstreams that it
     /// doesn't know, or knows otherwise. All others are taken in.
     #[prost(string, repeated, tag = "1")]
     pub(crate) unknown: Vec<String>,
 }
 
-impl From<&Announcement> for Pulse {
+impl From<&Announcement> for HeartbeatDigest {
     fn from(announcement: &Announcement) -> Self {
         Self {
             id: announcement.id.to_string(),
@@ -70,7 +70,7 @@
     }
 }
 
-impl From<&Announcement> for News {
+impl From<&Announcement> for FullHeartbeat {
     fn from(announcement: &Announcement) -> Self {
         Self {
             upstream: Some(announcement.into()),
@@ -79,7 +79,7 @@
     }
 }
 
-impl News {
+impl FullHeartbeat {
     /// The announcement; none where a part is missing.
     pub(crate) fn announcement(self) -> Option<Announcement> {
         let upstream = self.upstream?;
@@ -89,7 +89,7 @@
             born: upstream.born,
             sequence: self.sequence,
             service: upstream.service,
-            address: key_address(upstream.address),
+            address: address_from_key(upstream.address),
             domain: upstream.domain,
             slots: upstream.slots,
             leaving: false,
@@ -166,15 +166,15 @@
             waiting.map(|w| &w.announcement)
         };
         Heartbeats {
-            pulses: of(false).map(Pulse::from).collect(),
-            news: of(true).map(News::from).collect(),
+            digests: of(false).map(HeartbeatDigest::from).collect(),
+            full: of(true).map(FullHeartbeat::from).collect(),
         }
     }
 
     /// Takes in the leader's answer to the latest batch, which held the first
     /// `count`; returns those whose heartbeats it has. The others go into the next
     /// batch in full.
-    pub(crate) fn taken(&mut self, count: usize, taken: &Taken) -> Vec<W> {
+    pub(crate) fn taken(&mut self, count: usize, taken: &HeartbeatsReply) -> Vec<W> {
         let unknown: HashSet<&str> = taken.unknown.iter().map(String::as_str).collect();
         let later = self.waiting.split_off(count.min(self.waiting.len()));
         // What was told in full is done with, also where it came to nothing.
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -9,7 +9,7 @@
 use crate::clock::Time;
 use crate::collections::HashMap;
 use crate::decide::pace;
-use crate::relay::{self, Pulse};
+use crate::relay::{self, HeartbeatDigest};
 
 mod changes;
 
@@ -190,7 +190,7 @@
 
     /// Takes in a proof of life. Returns whether the announcement of this `digest`
     /// is what is known of the start; if not, it is needed in full.
-    pub(crate) fn pulse(&mut self, now: Time, pulse: &Pulse) -> bool {
+    pub(crate) fn pulse(&mut self, now: Time, pulse: &HeartbeatDigest) -> bool {
         if self.has_ended(&pulse.id, pulse.born) {
             return true;
         }
--- a/src/sync.rs
+++ b/src/sync.rs
@@ -17,7 +17,7 @@
 
 /// Asks for what the sender misses, and tells what it has at work.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Sync {
+pub(crate) struct SyncRequest {
     /// The sender.
     #[prost(uint64, tag = "1")]
     pub(crate) instance: u64,
@@ -41,7 +41,7 @@
     /// Requests that asked it for room on engines between two reports; 1 while it
     /// doesn't know.
     #[prost(uint32, tag = "8")]
-    pub(crate) asking: u32,
+    pub(crate) room_requests: u32,
     /// Runs that an engine crash cut off and that the leader hasn't acknowledged.
     #[prost(message, repeated, tag = "9")]
     pub(crate) cut: Vec<CutRecord>,
@@ -145,7 +145,7 @@
 
 /// What the leader knows that the asker misses.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct State {
+pub(crate) struct SyncReply {
     /// Microseconds since a quorum confirmed what follows.
     #[prost(uint64, tag = "1")]
     pub(crate) age: u64,
@@ -156,10 +156,10 @@
     #[prost(bytes = "bytes", optional, tag = "3")]
     pub(crate) body: Option<Bytes>,
     #[prost(message, optional, tag = "4")]
-    pub(crate) roster: Option<RosterRecord>,
+    pub(crate) roster: Option<RosterDelta>,
     /// What the other instances have at work; not in each answer.
     #[prost(message, optional, tag = "5")]
-    pub(crate) work: Option<Work>,
+    pub(crate) work: Option<FleetLoad>,
     /// Entry instances that asked lately.
     #[prost(uint32, tag = "6")]
     pub(crate) entries: u32,
@@ -169,7 +169,7 @@
     /// Whether each entry instance has had the time to ask this leader, so that
     /// `entries` and the sums of the work are whole.
     #[prost(bool, tag = "8")]
-    pub(crate) counted: bool,
+    pub(crate) entries_known: bool,
     /// Term of the leader.
     #[prost(uint64, tag = "9")]
     pub(crate) term: u64,
@@ -190,32 +190,32 @@
     #[prost(fixed64, tag = "1")]
     pub(crate) checksum: u64,
     #[prost(message, repeated, tag = "2")]
-    pub(crate) requests: Vec<RefusedRecord>,
+    pub(crate) requests: Vec<QuarantinedRecord>,
 }
 
 /// A quarantined request.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct RefusedRecord {
+pub(crate) struct QuarantinedRecord {
     #[prost(bytes = "vec", tag = "1")]
     pub(crate) fingerprint: Vec<u8>,
     /// Remaining milliseconds of the quarantine.
     #[prost(uint64, tag = "2")]
-    pub(crate) left: u64,
+    pub(crate) remaining_ms: u64,
 }
 
 /// Work on all engines.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Work {
+pub(crate) struct FleetLoad {
     #[prost(message, repeated, tag = "1")]
     pub(crate) loads: Vec<Load>,
     /// Requests that asked for room between two reports, at all instances.
     #[prost(uint32, tag = "2")]
-    pub(crate) asking: u32,
+    pub(crate) room_requests: u32,
 }
 
 /// A part of the roster as the leader has it: what changed after a revision.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct RosterRecord {
+pub(crate) struct RosterDelta {
     #[prost(uint64, tag = "1")]
     pub(crate) term: u64,
     /// Revision that the asker has once it took this in.
@@ -236,7 +236,7 @@
     pub(crate) since: u64,
     /// Ids that aren't in the roster any more.
     #[prost(string, repeated, tag = "7")]
-    pub(crate) gone: Vec<String>,
+    pub(crate) removed: Vec<String>,
     /// Whether there is more to be told already.
     #[prost(bool, tag = "8")]
     pub(crate) more: bool,
@@ -349,7 +349,7 @@
 }
 
 /// The address of a key.
-pub(crate) fn key_address(key: u64) -> SocketAddrV4 {
+pub(crate) fn address_from_key(key: u64) -> SocketAddrV4 {
     let ip = u32::try_from(key >> 16 & 0xffff_ffff).unwrap_or(0);
     SocketAddrV4::new(ip.into(), (key & 0xffff) as u16)
 }
--- a/src/tests/peer.rs
+++ b/src/tests/peer.rs
@@ -15,7 +15,7 @@
 use crate::message::{Answer, Ask, Reply, Request};
 use crate::peer::{self, Handler, Peers, ReplySink};
 use crate::replica::Message;
-use crate::sync::Sync;
+use crate::sync::SyncRequest;
 
 const PEER: InstanceId = InstanceId(7);
 const LIMIT: Duration = Duration::from_millis(300);
@@ -76,7 +76,7 @@
 
 async fn is_answered(peers: &Peers) -> bool {
     let request = Request {
-        ask: Some(Ask::Sync(Sync::default())),
+        ask: Some(Ask::Sync(SyncRequest::default())),
     };
     let reply = peers.call(PEER, request, LIMIT).await;
     reply.is_ok_and(|r| r.answer == Some(Answer::NotLeader(9)))
--- a/src/tests/relay.rs
+++ b/src/tests/relay.rs
@@ -5,7 +5,7 @@
 use super::{at, board};
 use crate::clock::Time;
 use crate::collections::HashMap;
-use crate::relay::{Heartbeats, News, Pulse, Relay, Taken, digest};
+use crate::relay::{FullHeartbeat, HeartbeatDigest, Heartbeats, HeartbeatsReply, Relay, digest};
 use crate::roster::{Announcement, Heard, LayerRange, Roster};
 
 const BEAT: Duration = Duration::from_millis(1200);
@@ -15,14 +15,17 @@
 }
 
 /// As the leader takes a batch.
-fn take(roster: &mut Roster, now: Time, batch: Heartbeats) -> Taken {
-    let unknown = batch.pulses.iter().filter(|p| !roster.pulse(now, p));
+fn take(roster: &mut Roster, now: Time, batch: Heartbeats) -> HeartbeatsReply {
+    let unknown = batch.digests.iter().filter(|p| !roster.pulse(now, p));
     let unknown = unknown.map(|p| p.id.clone()).collect();
-    let news = batch.news.into_iter().filter_map(News::announcement);
+    let news = batch
+        .full
+        .into_iter()
+        .filter_map(FullHeartbeat::announcement);
     for news in news {
         roster.hear(now, news);
     }
-    Taken { unknown }
+    HeartbeatsReply { unknown }
 }
 
 /// Passes all on that waits; returns who was answered in each batch.
@@ -30,7 +33,7 @@
     let mut batches = Vec::new();
     while !relay.is_empty() {
         let batch = relay.batch();
-        let count = batch.pulses.len() + batch.news.len();
+        let count = batch.digests.len() + batch.full.len();
         let taken = take(roster, now, batch);
         batches.push(relay.taken(count, &taken));
     }
@@ -40,8 +43,8 @@
 #[test]
 fn news_whole() {
     let sent = news(1, 7);
-    assert_eq!(News::from(&sent).announcement(), Some(sent));
-    assert_eq!(News::default().announcement(), None);
+    assert_eq!(FullHeartbeat::from(&sent).announcement(), Some(sent));
+    assert_eq!(FullHeartbeat::default().announcement(), None);
 }
 
 #[test]
@@ -85,9 +88,9 @@
     relay.take(news(1, 1), 1);
     let first = relay.batch();
     relay.take(news(2, 1), 2);
-    assert_eq!(first.pulses.len(), 1);
-    assert_eq!(relay.taken(1, &Taken::default()), [1]);
-    assert_eq!(relay.batch().pulses, [Pulse::from(&news(2, 1))]);
+    assert_eq!(first.digests.len(), 1);
+    assert_eq!(relay.taken(1, &HeartbeatsReply::default()), [1]);
+    assert_eq!(relay.batch().digests, [HeartbeatDigest::from(&news(2, 1))]);
     assert_eq!(relay.give_up(), [2]);
     assert!(relay.is_empty());
 }
@@ -100,7 +103,7 @@
     roster.hear(at(0), news(1, 1));
     let mut changed = news(1, 2);
     changed.layers = Some(LayerRange::new(3, 5));
-    assert!(!roster.pulse(at(100), &Pulse::from(&changed)));
+    assert!(!roster.pulse(at(100), &HeartbeatDigest::from(&changed)));
     assert_eq!(roster.get("i-1").unwrap().heard, at(0));
     assert_eq!(roster.hear(at(100), changed), Heard::Known);
 }
@@ -110,11 +113,11 @@
     let mut roster = Roster::new(BEAT);
     roster.hear(at(0), news(1, 4));
     // One that was late on its way proves nothing now.
-    assert!(roster.pulse(at(900), &Pulse::from(&news(1, 3))));
+    assert!(roster.pulse(at(900), &HeartbeatDigest::from(&news(1, 3))));
     assert_eq!(roster.get("i-1").unwrap().heard, at(0));
     // One that has left doesn't come back.
     roster.end(&"i-1".into(), 0);
-    assert!(roster.pulse(at(1000), &Pulse::from(&news(1, 5))));
+    assert!(roster.pulse(at(1000), &HeartbeatDigest::from(&news(1, 5))));
     assert!(roster.get("i-1").is_none());
 }
 
@@ -125,7 +128,7 @@
     roster.tick(at(3_000), &HashMap::default());
     assert!(roster.get("i-1").unwrap().late);
     let before = roster.changes().revision();
-    assert!(roster.pulse(at(3_100), &Pulse::from(&news(1, 2))));
+    assert!(roster.pulse(at(3_100), &HeartbeatDigest::from(&news(1, 2))));
     assert!(!roster.get("i-1").unwrap().late);
     assert!(roster.changes().revision() > before);
 }
--- a/src/tests/roster.rs
+++ b/src/tests/roster.rs
@@ -17,7 +17,7 @@
 use crate::entry::view::View;
 use crate::register::{self, Register};
 use crate::roster::{Announcement, Heard, LayerRange, Roster};
-use crate::sync::{Load, Sync};
+use crate::sync::{Load, SyncRequest};
 use crate::voter::Machine;
 
 const BEAT: Duration = Duration::from_millis(1200);
@@ -149,11 +149,11 @@
     assert_eq!(board.hear(at(10), news("i-1", 12)), Heard::Stale);
 }
 
-fn question(instance: u64, loads: Vec<Load>) -> Sync {
-    Sync {
+fn question(instance: u64, loads: Vec<Load>) -> SyncRequest {
+    SyncRequest {
         instance,
         loads,
-        ..Sync::default()
+        ..SyncRequest::default()
     }
 }
 
@@ -261,12 +261,12 @@
     let mut most = 0;
     loop {
         let (term, revision) = view.roster();
-        let ask = Sync {
+        let ask = SyncRequest {
             instance: 1,
             term,
             revision,
             complete: view.is_complete(),
-            ..Sync::default()
+            ..SyncRequest::default()
         };
         let state = board.sync(now, ask, Duration::ZERO, None, register);
         most = most.max(state.encoded_len());
@@ -415,17 +415,17 @@
 fn reports_sum_asking() {
     // The room is divided among the requests that ask for it at all instances.
     let mut reports = Reports::default();
-    for (instance, asking) in [(1, 4), (2, 3), (1, 2)] {
-        let ask = Sync {
-            asking,
+    for (instance, room_requests) in [(1, 4), (2, 3), (1, 2)] {
+        let ask = SyncRequest {
+            room_requests,
             ..question(instance, Vec::new())
         };
         reports.take(at(0), ask);
     }
-    assert_eq!(reports.tell(at(1), 1).unwrap().asking, 5);
+    assert_eq!(reports.tell(at(1), 1).unwrap().room_requests, 5);
     reports.take(at(2_500), question(3, Vec::new()));
     reports.tick(at(2_600));
-    assert_eq!(reports.tell(at(2_600), 3).unwrap().asking, 0);
+    assert_eq!(reports.tell(at(2_600), 3).unwrap().room_requests, 0);
 }
 
 #[test]
--- a/src/tests/view.rs
+++ b/src/tests/view.rs
@@ -7,38 +7,38 @@
 use crate::controller::board::Board;
 use crate::entry::view::View;
 use crate::register::{Departed, Register};
-use crate::sync::{RosterRecord, State, Sync, UpstreamRecord, pack, unpack};
+use crate::sync::{RosterDelta, SyncReply, SyncRequest, UpstreamRecord, pack, unpack};
 
 const LEASE: Duration = Duration::from_millis(3500);
 
-fn state(version: u64) -> State {
+fn state(version: u64) -> SyncReply {
     let text = CONFIGURATION.replace("\"version\":7", &format!("\"version\":{version}"));
-    State {
+    SyncReply {
         version,
         body: Some(pack(text.as_bytes())),
         entries: 3,
-        ..State::default()
+        ..SyncReply::default()
     }
 }
 
-fn roster(term: u64, revision: u64, complete: bool, ids: &[&str]) -> RosterRecord {
+fn roster(term: u64, revision: u64, complete: bool, ids: &[&str]) -> RosterDelta {
     let upstream = |(i, id): (usize, &&str)| UpstreamRecord {
         id: (*id).to_owned(),
         service: "models".to_owned(),
         address: i as u64 + 1 + 100 * u64::from(id.as_bytes()[0]),
         ..UpstreamRecord::default()
     };
-    RosterRecord {
+    RosterDelta {
         term,
         revision,
         complete,
         upstreams: ids.iter().enumerate().map(upstream).collect(),
-        ..RosterRecord::default()
+        ..RosterDelta::default()
     }
 }
 
-fn with(roster: RosterRecord) -> State {
-    State {
+fn with(roster: RosterDelta) -> SyncReply {
+    SyncReply {
         roster: Some(roster),
         ..state(7)
     }
@@ -56,7 +56,7 @@
     // The answer comes late, and the leader's confirmation was old already. A
     // key may be taken away meanwhile: the lease counts from the confirmation.
     let mut view = View::new();
-    let state = State {
+    let state = SyncReply {
         age: 500_000,
         ..state(7)
     };
@@ -81,7 +81,7 @@
 fn learn_undecodable() {
     let mut view = View::new();
     view.learn(at(0), state(7), LEASE);
-    let broken = State {
+    let broken = SyncReply {
         body: Some("{".into()),
         ..state(8)
     };
@@ -135,7 +135,7 @@
     view.learn(at(0), with(roster(1, 3, true, &["a", "b"])), LEASE);
     let mut change = roster(1, 5, true, &["c"]);
     change.since = 3;
-    change.gone.push("a".to_owned());
+    change.removed.push("a".to_owned());
     view.learn(at(100), with(change), LEASE);
     assert_eq!(ids(&view), ["b", "c"]);
 }
@@ -189,9 +189,9 @@
     let mut board = Board::new(LEASE);
     board.lead(at(0), 1, &register);
     let ask = |board: &mut Board, now, instance| {
-        let ask = Sync {
+        let ask = SyncRequest {
             instance,
-            ..Sync::default()
+            ..SyncRequest::default()
         };
         board.sync(at(now), ask, Duration::ZERO, None, &register)
     };
