--- a/src/controller/call.rs
+++ b/src/controller/call.rs
@@ -142,10 +142,10 @@
 
     async fn leave(&self, path: &str, id: &str) -> Response<Reply> {
         let born = {
-            let Some(board) = self.leading() else {
+            let Some(state) = self.leading() else {
                 return self.elsewhere(path);
             };
-            board.upstream(id).map(|e| e.last.born)
+            state.upstream(id).map(|e| e.last.born)
         };
         // An upstream that this leader hasn't heard has left in every start
         // before now; a later start is born later.
@@ -156,7 +156,7 @@
     /// Notes on the log that a start gets no more work, then acknowledges.
     async fn depart(&self, path: &str, id: &str, born: u64) -> Response<Reply> {
         let known = match self.leading() {
-            Some(board) => board.has_left(id, born),
+            Some(state) => state.has_left(id, born),
             None => return self.elsewhere(path),
         };
         if !known {
@@ -176,8 +176,8 @@
         if let Err(refusal) = self.commit(register::lift(&fingerprint), path).await {
             return refusal;
         }
-        if let Some(mut board) = self.leading() {
-            board.forget_crashes(&fingerprint);
+        if let Some(mut state) = self.leading() {
+            state.forget_crashes(&fingerprint);
         }
         tracing::info!(
             event = event::QUARANTINE_LIFTED.id,
--- a/src/controller/heartbeat.rs
+++ b/src/controller/heartbeat.rs
@@ -7,13 +7,13 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-use super::board::Board;
+use super::leader::LeaderState;
 use super::{Controller, TICK};
 use crate::event;
 use crate::message::{Answer, Ask, Request};
 use crate::metric;
 use crate::relay::{Heartbeats, HeartbeatsReply};
-use crate::roster::{Announcement, Heard};
+use crate::roster::{AnnounceOutcome, Announcement};
 
 /// Time for which heartbeats are gathered before they are passed on. At 3,000
 /// engines a follower takes five in it; what is new waits no longer on its way to
@@ -56,8 +56,8 @@
     /// An upstream is acknowledged only then: one that stayed with a controller
     /// that is cut off from the leader would be dropped for its silence.
     pub(super) async fn hear(&self, news: Announcement) -> bool {
-        let way = if let Some(mut board) = self.leading() {
-            self.note(&mut board, news);
+        let way = if let Some(mut state) = self.leading() {
+            self.record_heartbeat(&mut state, news);
             Way::Led
         } else {
             let (sender, taken) = oneshot::channel();
@@ -72,9 +72,9 @@
         way != Way::Refused
     }
 
-    fn note(&self, board: &mut Board, news: Announcement) {
+    fn record_heartbeat(&self, state: &mut LeaderState, news: Announcement) {
         let (id, address, layers) = (news.id.clone(), news.address, news.layers);
-        if board.hear(self.now(), news) == Heard::New {
+        if state.announce(self.now(), news) == AnnounceOutcome::New {
             tracing::info!(
                 event = event::UPSTREAM_JOINED.id,
                 upstream = %id,
@@ -126,16 +126,16 @@
 
     /// Takes in what another controller passes on, or names the leader.
     pub(super) fn take_heartbeats(&self, batch: Heartbeats) -> Answer {
-        let Some(mut board) = self.leading() else {
+        let Some(mut state) = self.leading() else {
             return Answer::NotLeader(self.lead().leader.map_or(0, |l| l.0));
         };
         let now = self.now();
-        let unknown = batch.digests.iter().filter(|p| !board.pulse(now, p));
+        let unknown = batch.digests.iter().filter(|p| !state.refresh(now, p));
         let unknown = unknown.map(|p| p.id.clone()).collect();
         for news in batch.full {
             // What lacks a part is of another release and can't be used.
             if let Some(news) = news.announcement() {
-                self.note(&mut board, news);
+                self.record_heartbeat(&mut state, news);
             }
         }
         Answer::Heartbeats(HeartbeatsReply { unknown })
--- a/src/controller/board.rs
+++ b/src/controller/leader.rs
@@ -22,7 +22,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::register::{Quarantined, Register, Versioned};
 use crate::relay::HeartbeatDigest;
-use crate::roster::{Announcement, Entry, Heard, LOST_BEATS, LayerRange, Roster};
+use crate::roster::{AnnounceOutcome, Announcement, Entry, LOST_BEATS, LayerRange, Roster};
 use crate::sync::{LimitRecord, RosterDelta, SyncReply, SyncRequest, UpstreamRecord, address_key};
 
 /// Heartbeat periods after which a new leader has heard every upstream that
@@ -93,7 +93,7 @@
 }
 
 /// State of one term of leadership.
-pub(crate) struct Board {
+pub(crate) struct LeaderState {
     beat: Duration,
     term: u64,
     since: Time,
@@ -109,7 +109,7 @@
     pending: HashMap<Arc<str>, Pending>,
 }
 
-impl Board {
+impl LeaderState {
     /// An empty board for upstreams that call every `beat`.
     pub(crate) fn new(beat: Duration) -> Self {
         Self {
@@ -136,25 +136,25 @@
         }
         let (departed, count) = register.departed_after(self.departed);
         for start in departed {
-            self.roster.end(&start.id.as_str().into(), start.born);
+            self.roster.retire(&start.id.as_str().into(), start.born);
         }
         self.departed = count;
     }
 
     /// Takes in an announcement of an upstream that isn't leaving.
-    pub(crate) fn hear(&mut self, now: Time, news: Announcement) -> Heard {
+    pub(crate) fn announce(&mut self, now: Time, news: Announcement) -> AnnounceOutcome {
         let pending = self.pending.get(&news.id);
         let done = |p: &Pending| p.born != news.born || news.layers == Some(p.range);
         if pending.is_some_and(done) {
             self.pending.remove(&news.id);
             self.roster.touch(&news.id);
         }
-        self.roster.hear(now, news)
+        self.roster.announce(now, news)
     }
 
-    /// Takes in a proof of life; see [`Roster::pulse`].
-    pub(crate) fn pulse(&mut self, now: Time, pulse: &HeartbeatDigest) -> bool {
-        self.roster.pulse(now, pulse)
+    /// Takes in a proof of life; see [`Roster::refresh`].
+    pub(crate) fn refresh(&mut self, now: Time, pulse: &HeartbeatDigest) -> bool {
+        self.roster.refresh(now, pulse)
     }
 
     /// The upstream of this id.
@@ -164,7 +164,7 @@
 
     /// Whether this start has left.
     pub(crate) fn has_left(&self, id: &str, born: u64) -> bool {
-        self.roster.has_ended(id, born)
+        self.roster.is_retired(id, born)
     }
 
     /// Lets time pass; returns the upstreams that were dropped.
@@ -444,8 +444,8 @@
     }
 
     /// Notes how fast an engine works. Returns whether instances hear of it.
-    pub(crate) fn paced(&mut self, asked: &Asked, reported: f64) -> bool {
-        self.roster.paced(&asked.engine, asked.born, reported)
+    pub(crate) fn set_pace(&mut self, asked: &Asked, reported: f64) -> bool {
+        self.roster.set_pace(&asked.engine, asked.born, reported)
     }
 
     /// What the metrics show.
@@ -475,7 +475,8 @@
         }
         self.pending.remove(&order.engine);
         self.roster.touch(&order.engine);
-        self.roster.holds(&order.engine, order.born, order.range);
+        self.roster
+            .set_layers(&order.engine, order.born, order.range);
     }
 
     /// Whether an order is still taken to be under way.
--- a/src/controller/measure.rs
+++ b/src/controller/measure.rs
@@ -16,11 +16,11 @@
         metrics::gauge!(metric::VOTERS.name).set(voters as f64);
         metrics::gauge!(metric::COMMITTED.name).set(self.register.version() as f64);
         let table = self.table();
-        let board = self.board();
+        let state = self.leader_state();
         // A deposed leader has the board of its last term still; without this
         // it would go on showing what it knew then.
         let valid = f64::from(u8::from(leads));
-        let counts = board.counts();
+        let counts = state.counts();
         for ((service, state), count) in counts.upstreams {
             metrics::gauge!(metric::KNOWN.name, "service" => service, "state" => state)
                 .set(valid * f64::from(count));
@@ -31,7 +31,7 @@
         metrics::gauge!(metric::ENTRIES.name).set(valid * counts.entries as f64);
         let models = table.iter().flat_map(|t| t.configuration.models());
         for (service, model) in models {
-            for (domain, ranges) in board.missing(service, model) {
+            for (domain, ranges) in state.missing(service, model) {
                 let layers: u32 = ranges.iter().map(|r| r.len()).sum();
                 let labels = [("service", service.to_owned()), ("domain", domain)];
                 metrics::gauge!(metric::MISSING.name, &labels).set(valid * f64::from(layers));
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::sleep;
 
-use self::board::Board;
+use self::leader::LeaderState;
 use crate::auth::FleetKey;
 use crate::clock::{Clock, SystemClock, Time};
 use crate::configuration::Table;
@@ -35,9 +35,9 @@
 use crate::sync::{self, SyncReply, SyncRequest};
 use crate::voter::{GroupStatus, Lead, Voter, VoterSettings};
 
-pub(crate) mod board;
 mod call;
 mod heartbeat;
+pub(crate) mod leader;
 mod measure;
 mod pace;
 mod place;
@@ -92,7 +92,7 @@
     voter: Voter,
     peers: Peers,
     register: Register,
-    board: Mutex<Board>,
+    leader_state: Mutex<LeaderState>,
     /// Heartbeats on their way to the leader.
     relay: Mutex<Relay<heartbeat::Waiter>>,
     /// Tells of heartbeats in `relay`.
@@ -213,7 +213,7 @@
         voter,
         peers: peers.clone(),
         register,
-        board: Mutex::new(Board::new(boot.heartbeat)),
+        leader_state: Mutex::new(LeaderState::new(boot.heartbeat)),
         relay: Mutex::default(),
         relayed: Notify::new(),
         confirmed: Mutex::default(),
@@ -299,16 +299,18 @@
         self.relay.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn board(&self) -> MutexGuard<'_, Board> {
-        self.board.lock().unwrap_or_else(PoisonError::into_inner)
+    fn leader_state(&self) -> MutexGuard<'_, LeaderState> {
+        self.leader_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The board of the current term, if this controller leads.
-    fn leading(&self) -> Option<MutexGuard<'_, Board>> {
+    fn leading(&self) -> Option<MutexGuard<'_, LeaderState>> {
         let term = self.lead().term?;
-        let mut board = self.board();
-        board.lead(self.now(), term, &self.register);
-        Some(board)
+        let mut state = self.leader_state();
+        state.lead(self.now(), term, &self.register);
+        Some(state)
     }
 
     /// Confirms over and over that all that is committed is known here.
@@ -388,11 +390,11 @@
     }
 
     fn tend_upstreams(self: &Arc<Self>) {
-        let Some(mut board) = self.leading() else {
+        let Some(mut state) = self.leading() else {
             return;
         };
         let now = self.now();
-        for id in board.tick(now) {
+        for id in state.tick(now) {
             tracing::warn!(event = event::UPSTREAM_LOST.id, upstream = %id, "no heartbeats");
         }
         let Some(table) = self.table() else { return };
@@ -400,10 +402,10 @@
         if self.age().is_none() {
             return;
         }
-        self.report_coverage(&board, &table);
-        let orders = board.orders(now, &table.configuration);
-        let asked = board.ask_next();
-        drop(board);
+        self.report_coverage(&state, &table);
+        let orders = state.orders(now, &table.configuration);
+        let asked = state.ask_next();
+        drop(state);
         for asked in asked {
             tokio::spawn(Arc::clone(self).ask_pace(asked));
         }
@@ -413,9 +415,9 @@
     }
 
     /// Logs which layers no engine of a domain holds, when that changes.
-    fn report_coverage(&self, board: &Board, table: &Table) {
+    fn report_coverage(&self, state: &LeaderState, table: &Table) {
         let models = table.configuration.models();
-        let coverage: Vec<_> = models.map(|(s, m)| board.missing(s, m)).collect();
+        let coverage: Vec<_> = models.map(|(s, m)| state.missing(s, m)).collect();
         let mut last = self.coverage.lock().unwrap_or_else(PoisonError::into_inner);
         if *last != coverage {
             tracing::info!(
@@ -455,18 +457,18 @@
 
     /// Answers an entry instance, or names the leader.
     fn sync(&self, ask: SyncRequest) -> Answer {
-        let (Some(age), Some(mut board)) = (self.age(), self.leading()) else {
+        let (Some(age), Some(mut state)) = (self.age(), self.leading()) else {
             return Answer::NotLeader(self.lead().leader.map_or(0, |l| l.0));
         };
         let current = self.packed();
         let known_quarantine = ask.quarantine_checksum;
-        let state = board.sync(self.now(), ask, age, current, &self.register);
-        drop(board);
+        let reply = state.sync(self.now(), ask, age, current, &self.register);
+        drop(state);
         let members = self.status().into_iter().flat_map(|s| s.members);
         Answer::Sync(Box::new(SyncReply {
             voters: members.map(|m| m.id).collect(),
             quarantine: self.quarantine(known_quarantine),
-            ..state
+            ..reply
         }))
     }
 }
--- a/src/controller/pace.rs
+++ b/src/controller/pace.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Controller;
-use super::board::Asked;
+use super::leader::Asked;
 use crate::engine::report;
 use crate::event;
 use crate::platform::engine;
@@ -24,7 +24,7 @@
             tracing::debug!(upstream = %asked.engine, "its report names no pace");
             return;
         };
-        if self.board().paced(&asked, pace) {
+        if self.leader_state().set_pace(&asked, pace) {
             tracing::info!(
                 event = event::PACE_CHANGED.id,
                 upstream = %asked.engine,
--- a/src/controller/place.rs
+++ b/src/controller/place.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::Controller;
-use super::board::Placement;
+use super::leader::Placement;
 use crate::engine::{call, report};
 use crate::event;
 use crate::metric;
@@ -58,7 +58,7 @@
         // While it waited, the time of the order may have passed, or the term: a
         // deposed leader would go on giving orders with an old fence.
         let leads = self.lead().term == Some(order.fence);
-        if !leads || !self.board().is_pending(&order) {
+        if !leads || !self.leader_state().is_pending(&order) {
             return;
         }
         let may_run = self.give(&order).await;
@@ -78,8 +78,8 @@
         let taken = engine::is_taken(status);
         match status {
             Some(_) if taken => {}
-            Some(_) => self.board().refused(self.now(), &order.engine),
-            None => self.board().unanswered(self.now(), &order.engine),
+            Some(_) => self.leader_state().refused(self.now(), &order.engine),
+            None => self.leader_state().unanswered(self.now(), &order.engine),
         }
         let label = status.map_or("none".to_owned(), |s| s.as_u16().to_string());
         metrics::counter!(metric::ORDERS.name, "status" => label).increment(1);
@@ -100,14 +100,14 @@
     async fn look(&self, order: &Placement) {
         loop {
             sleep(LOOK).await;
-            if !self.board().is_pending(order) {
+            if !self.leader_state().is_pending(order) {
                 return;
             }
             let Some(report) = report(order.address.into(), &order.engine, ANSWER).await else {
                 continue;
             };
             if engine::reported_layers(&report) == Some(order.range) {
-                self.board().carried_out(order);
+                self.leader_state().carried_out(order);
             }
         }
     }
--- a/src/controller/quarantine.rs
+++ b/src/controller/quarantine.rs
@@ -19,11 +19,11 @@
 impl Controller {
     /// Proposes new quarantines, and lifts those that have expired.
     pub(super) fn tend_quarantine(&self) {
-        let Some(mut board) = self.leading() else {
+        let Some(mut state) = self.leading() else {
             return;
         };
-        let requests = board.crashing_requests(self.now(), &self.register);
-        drop(board);
+        let requests = state.crashing_requests(self.now(), &self.register);
+        drop(state);
         let now = wall_millis();
         for request in requests {
             let engines: Vec<&str> = request.engines.iter().map(|e| &*e.id).collect();
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -112,7 +112,7 @@
 
 /// What became of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Heard {
+pub(crate) enum AnnounceOutcome {
     /// A new start of an upstream.
     New,
     /// News or proof of life of a known one.
@@ -151,15 +151,15 @@
     }
 
     /// Takes in an announcement of an upstream that isn't leaving.
-    pub(crate) fn hear(&mut self, now: Time, news: Announcement) -> Heard {
-        if self.has_ended(&news.id, news.born) || self.is_superseded(now, &news) {
-            return Heard::Stale;
+    pub(crate) fn announce(&mut self, now: Time, news: Announcement) -> AnnounceOutcome {
+        if self.is_retired(&news.id, news.born) || self.is_superseded(now, &news) {
+            return AnnounceOutcome::Stale;
         }
         let entry = self.entries.get(&news.id);
         let known = entry.map(|e| &e.last);
         let fresh = known.is_none_or(|k| k.born < news.born);
         if known.is_some_and(|k| (k.born, k.sequence) >= (news.born, news.sequence)) {
-            return Heard::Stale;
+            return AnnounceOutcome::Stale;
         }
         let changed = known.is_none_or(|k| differs(k, &news));
         let pace = entry.filter(|_| !fresh).map_or(1.0, |e| e.pace);
@@ -182,16 +182,16 @@
             self.changes.note(&id);
         }
         if !fresh {
-            return Heard::Known;
+            return AnnounceOutcome::Known;
         }
         self.joined = Some(now);
-        Heard::New
+        AnnounceOutcome::New
     }
 
     /// Takes in a proof of life. Returns whether the announcement of this `digest`
     /// is what is known of the start; if not, it is needed in full.
-    pub(crate) fn pulse(&mut self, now: Time, pulse: &HeartbeatDigest) -> bool {
-        if self.has_ended(&pulse.id, pulse.born) {
+    pub(crate) fn refresh(&mut self, now: Time, pulse: &HeartbeatDigest) -> bool {
+        if self.is_retired(&pulse.id, pulse.born) {
             return true;
         }
         let Some(entry) = self.entries.get_mut(&*pulse.id) else {
@@ -215,12 +215,12 @@
     }
 
     /// Whether this start has left or was replaced.
-    pub(crate) fn has_ended(&self, id: &str, born: u64) -> bool {
+    pub(crate) fn is_retired(&self, id: &str, born: u64) -> bool {
         self.ended.get(id).is_some_and(|&b| born <= b)
     }
 
     /// Notes that a start gets no more work and mustn't come back.
-    pub(crate) fn end(&mut self, id: &Arc<str>, born: u64) {
+    pub(crate) fn retire(&mut self, id: &Arc<str>, born: u64) {
         let latest = self.ended.entry(id.clone()).or_default();
         *latest = (*latest).max(born);
         let gone = self.entries.get(id).is_some_and(|e| e.last.born <= born);
@@ -245,7 +245,7 @@
     }
 
     /// Notes what a start holds, from another source than its heartbeats.
-    pub(crate) fn holds(&mut self, id: &str, born: u64, range: LayerRange) {
+    pub(crate) fn set_layers(&mut self, id: &str, born: u64, range: LayerRange) {
         let entry = self.entries.get_mut(id).filter(|e| e.last.born == born);
         let Some(entry) = entry else { return };
         if entry.last.layers != Some(range) {
@@ -256,7 +256,7 @@
     }
 
     /// Notes how fast a start works. Returns whether instances hear of it.
-    pub(crate) fn paced(&mut self, id: &str, born: u64, reported: f64) -> bool {
+    pub(crate) fn set_pace(&mut self, id: &str, born: u64, reported: f64) -> bool {
         let entry = self.entries.get_mut(id).filter(|e| e.last.born == born);
         let Some(entry) = entry else { return false };
         let Some(pace) = pace::news(entry.pace, reported) else {
@@ -347,7 +347,7 @@
     fn displace(&mut self, news: &Announcement) {
         let before = self.holder(news);
         if let Some((id, born)) = before.map(|e| (e.last.id.clone(), e.last.born)) {
-            self.end(&id, born);
+            self.retire(&id, born);
         }
     }
 
--- a/src/tests/decide.rs
+++ b/src/tests/decide.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 
 use super::platform::CONFIGURATION;
-use super::{at, board};
+use super::{at, leader};
 use crate::configuration::{Model, Repeat};
 use crate::decide::allowance::{Allowance, Bound};
 use crate::decide::health::{Health, Standing};
@@ -176,9 +176,9 @@
     // its layers were missing for 4.3 s (305, 307): a whole domain refused.
     let beat = Duration::from_millis(1200);
     let mut roster = Roster::new(beat);
-    let news = board::news(1, 1, Some((0, 9)));
+    let news = leader::announcement(1, 1, Some((0, 9)));
     let (id, address) = (news.id.clone(), news.address);
-    roster.hear(at(0), news);
+    roster.announce(at(0), news);
     let key = address_key(address);
     let mut health = Health::default();
     let mut lost = None;
--- a/src/tests/decide/pace.rs
+++ b/src/tests/decide/pace.rs
@@ -1,7 +1,7 @@
 //! Engines that turn slow, from their reports to the choice of a path.
 
 use super::super::pool::{self, WORK};
-use super::super::{at, board};
+use super::super::{at, leader};
 use super::model;
 use crate::decide::load::Loads;
 use crate::decide::pace::{Turns, news};
@@ -101,7 +101,7 @@
 fn announcement(born: u64, sequence: u64) -> Announcement {
     Announcement {
         born,
-        ..board::news(1, sequence, Some((0, 9)))
+        ..leader::announcement(1, sequence, Some((0, 9)))
     }
 }
 
@@ -110,15 +110,15 @@
     // An engine stays slow over its heartbeats, and is told so; one that starts
     // again is as fast as its kind.
     let mut roster = Roster::new(std::time::Duration::from_millis(1200));
-    roster.hear(at(0), announcement(1, 1));
-    assert!(roster.paced("i-1", 1, 4.5));
-    assert!(!roster.paced("i-1", 1, 4.6));
-    roster.hear(at(1200), announcement(1, 2));
+    roster.announce(at(0), announcement(1, 1));
+    assert!(roster.set_pace("i-1", 1, 4.5));
+    assert!(!roster.set_pace("i-1", 1, 4.6));
+    roster.announce(at(1200), announcement(1, 2));
     let told = UpstreamRecord::new(roster.get("i-1").unwrap(), None);
     assert!((Upstream::from(&told).pace - 4.5).abs() < 1e-6);
     // A report that was on its way says nothing of the next start.
-    roster.hear(at(2400), announcement(2, 1));
-    assert!(!roster.paced("i-1", 1, 9.0));
+    roster.announce(at(2400), announcement(2, 1));
+    assert!(!roster.set_pace("i-1", 1, 9.0));
     let told = UpstreamRecord::new(roster.get("i-1").unwrap(), None);
     assert!((Upstream::from(&told).pace - 1.0).abs() < 1e-6);
 }
--- a/src/tests/decide/suspicion.rs
+++ b/src/tests/decide/suspicion.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use super::super::{at, board};
+use super::super::{at, leader};
 use crate::collections::HashMap;
 use crate::decide::health::{Health, Standing, may_be_full};
 use crate::decide::silence::{Patience, Step};
@@ -30,7 +30,7 @@
 }
 
 fn announcement(sequence: u64) -> Announcement {
-    board::news(1, sequence, Some((0, 9)))
+    leader::announcement(1, sequence, Some((0, 9)))
 }
 
 fn told(roster: &Roster) -> bool {
@@ -44,7 +44,7 @@
     // is dead, for the 2.4 s until its heartbeats were missed. What several of them
     // found is told to the others.
     let mut roster = Roster::new(BEAT);
-    roster.hear(at(0), announcement(1));
+    roster.announce(at(0), announcement(1));
     let witnesses = |count: usize| -> HashMap<_, _> {
         [(announcement(1).address, count)].into_iter().collect()
     };
@@ -55,7 +55,7 @@
     assert!(told(&roster));
     assert!(roster.changes().revision() > before);
     // It lives: its next heartbeat speaks for it.
-    roster.hear(at(1200), announcement(2));
+    roster.announce(at(1200), announcement(2));
     roster.tick(at(1250), &witnesses(4));
     assert!(!told(&roster));
     // What nobody suspects any more may be tried again.
--- a/src/tests/board.rs
+++ b/src/tests/leader.rs
@@ -5,7 +5,7 @@
 use super::at;
 use super::platform::CONFIGURATION;
 use crate::configuration::Configuration;
-use crate::controller::board::{Board, Placement};
+use crate::controller::leader::{LeaderState, Placement};
 use crate::platform::configuration::decode;
 use crate::register::{self, Register};
 use crate::roster::{Announcement, LayerRange};
@@ -17,7 +17,7 @@
     decode(CONFIGURATION.as_bytes()).unwrap()
 }
 
-pub(super) fn news(host: u8, sequence: u64, layers: Option<(u32, u32)>) -> Announcement {
+pub(super) fn announcement(host: u8, sequence: u64, layers: Option<(u32, u32)>) -> Announcement {
     Announcement {
         id: format!("i-{host}").into(),
         born: 0,
@@ -43,18 +43,18 @@
 
 /// A board whose term began at 0, and which hears all of `hosts` each beat
 /// until `end`.
-fn board(register: &Register, hosts: &[u8], end: u64) -> Board {
-    let mut board = Board::new(BEAT);
-    board.lead(at(0), 1, register);
+fn leader(register: &Register, hosts: &[u8], end: u64) -> LeaderState {
+    let mut leader = LeaderState::new(BEAT);
+    leader.lead(at(0), 1, register);
     for (sequence, now) in (1..).zip((0..=end).step_by(1200)) {
-        board.lead(at(now), 1, register);
+        leader.lead(at(now), 1, register);
         let heard = HELD.iter().filter(|(host, _)| hosts.contains(host));
         for (host, layers) in heard {
-            board.hear(at(now), news(*host, sequence, Some(*layers)));
+            leader.announce(at(now), announcement(*host, sequence, Some(*layers)));
         }
-        board.tick(at(now));
+        leader.tick(at(now));
     }
-    board
+    leader
 }
 
 #[test]
@@ -63,12 +63,12 @@
     // leaves. Orders waited for a moment in which none had joined lately, and
     // for five seconds a layer was missing in each domain: all was refused.
     let (register, mut machine) = Register::new();
-    let mut board = board(&register, &[1, 2, 3, 4, 5], 12_000);
-    assert_eq!(board.orders(at(12_000), &configuration()), []);
-    board.hear(at(12_900), news(9, 1, None));
+    let mut leader = leader(&register, &[1, 2, 3, 4, 5], 12_000);
+    assert_eq!(leader.orders(at(12_000), &configuration()), []);
+    leader.announce(at(12_900), announcement(9, 1, None));
     machine.apply(1, &register::depart("i-3", 0));
-    board.lead(at(13_000), 1, &register);
-    let orders = board.orders(at(13_000), &configuration());
+    leader.lead(at(13_000), 1, &register);
+    let orders = leader.orders(at(13_000), &configuration());
     assert!(orders.iter().any(|o| o.range.first == 54), "{orders:?}");
 }
 
@@ -77,24 +77,24 @@
     // All engines start at once and announce themselves within a beat. The
     // fastest get their layers first, so all must be known before.
     let (register, _machine) = Register::new();
-    let mut board = Board::new(BEAT);
-    board.lead(at(0), 1, &register);
+    let mut leader = LeaderState::new(BEAT);
+    leader.lead(at(0), 1, &register);
     for host in 1..=9 {
         let now = 5_000 + 150 * u64::from(host);
-        board.hear(at(now), news(host, 1, None));
-        assert_eq!(board.orders(at(now), &configuration()), []);
+        leader.announce(at(now), announcement(host, 1, None));
+        assert_eq!(leader.orders(at(now), &configuration()), []);
     }
-    assert!(!board.orders(at(8_000), &configuration()).is_empty());
+    assert!(!leader.orders(at(8_000), &configuration()).is_empty());
 }
 
 #[test]
 fn orders_not_before_all_heard() {
     // A new leader hears one engine late. Its layers aren't missing.
     let (register, _machine) = Register::new();
-    let mut board = board(&register, &[1, 2, 4, 5], 2_400);
-    assert_eq!(board.orders(at(2_900), &configuration()), []);
-    board.hear(at(2_950), news(3, 1, Some((54, 80))));
-    assert_eq!(board.orders(at(3_100), &configuration()), []);
+    let mut leader = leader(&register, &[1, 2, 4, 5], 2_400);
+    assert_eq!(leader.orders(at(2_900), &configuration()), []);
+    leader.announce(at(2_950), announcement(3, 1, Some((54, 80))));
+    assert_eq!(leader.orders(at(3_100), &configuration()), []);
 }
 
 #[test]
@@ -103,16 +103,16 @@
     // answers nothing, and nobody knows whether it obeys. It was waited for for
     // six seconds, with a gap in the domain, while another was free.
     let (register, mut machine) = Register::new();
-    let mut board = board(&register, &[1, 2, 3, 4, 5], 12_000);
+    let mut leader = leader(&register, &[1, 2, 3, 4, 5], 12_000);
     machine.apply(1, &register::depart("i-3", 0));
-    board.lead(at(12_100), 1, &register);
-    let orders = board.orders(at(12_100), &configuration());
+    leader.lead(at(12_100), 1, &register);
+    let orders = leader.orders(at(12_100), &configuration());
     assert!(!orders.is_empty());
-    assert_eq!(board.orders(at(12_300), &configuration()), []);
+    assert_eq!(leader.orders(at(12_300), &configuration()), []);
     for order in &orders {
-        board.unanswered(at(12_700), &order.engine);
+        leader.unanswered(at(12_700), &order.engine);
     }
-    let next = board.orders(at(12_800), &configuration());
+    let next = leader.orders(at(12_800), &configuration());
     let again = |o: &&Placement| orders.iter().any(|before| before.engine == o.engine);
     assert_eq!(next.iter().find(again), None);
     assert!(next.iter().any(|o| o.range.contains(54)), "{next:?}");
--- a/src/tests/mod.rs
+++ b/src/tests/mod.rs
@@ -4,7 +4,6 @@
 
 mod answer;
 mod auth;
-mod board;
 mod budget;
 mod claim;
 mod cli;
@@ -19,6 +18,7 @@
 mod follow;
 mod generation;
 mod http;
+mod leader;
 mod life;
 mod limit;
 mod metric;
--- a/src/tests/relay.rs
+++ b/src/tests/relay.rs
@@ -2,28 +2,28 @@
 
 use std::time::Duration;
 
-use super::{at, board};
+use super::{at, leader};
 use crate::clock::Time;
 use crate::collections::HashMap;
 use crate::relay::{FullHeartbeat, HeartbeatDigest, Heartbeats, HeartbeatsReply, Relay, digest};
-use crate::roster::{Announcement, Heard, LayerRange, Roster};
+use crate::roster::{AnnounceOutcome, Announcement, LayerRange, Roster};
 
 const BEAT: Duration = Duration::from_millis(1200);
 
 fn news(host: u8, sequence: u64) -> Announcement {
-    board::news(host, sequence, Some((3, 9)))
+    leader::announcement(host, sequence, Some((3, 9)))
 }
 
 /// As the leader takes a batch.
 fn take(roster: &mut Roster, now: Time, batch: Heartbeats) -> HeartbeatsReply {
-    let unknown = batch.digests.iter().filter(|p| !roster.pulse(now, p));
+    let unknown = batch.digests.iter().filter(|p| !roster.refresh(now, p));
     let unknown = unknown.map(|p| p.id.clone()).collect();
     let news = batch
         .full
         .into_iter()
         .filter_map(FullHeartbeat::announcement);
     for news in news {
-        roster.hear(now, news);
+        roster.announce(now, news);
     }
     HeartbeatsReply { unknown }
 }
@@ -100,35 +100,35 @@
     // An engine gives up layers. Taken for the proof of life of what was known,
     // its heartbeat would leave requests going to layers that it refuses.
     let mut roster = Roster::new(BEAT);
-    roster.hear(at(0), news(1, 1));
+    roster.announce(at(0), news(1, 1));
     let mut changed = news(1, 2);
     changed.layers = Some(LayerRange::new(3, 5));
-    assert!(!roster.pulse(at(100), &HeartbeatDigest::from(&changed)));
+    assert!(!roster.refresh(at(100), &HeartbeatDigest::from(&changed)));
     assert_eq!(roster.get("i-1").unwrap().heard, at(0));
-    assert_eq!(roster.hear(at(100), changed), Heard::Known);
+    assert_eq!(roster.announce(at(100), changed), AnnounceOutcome::Known);
 }
 
 #[test]
 fn pulse_old_or_ended() {
     let mut roster = Roster::new(BEAT);
-    roster.hear(at(0), news(1, 4));
+    roster.announce(at(0), news(1, 4));
     // One that was late on its way proves nothing now.
-    assert!(roster.pulse(at(900), &HeartbeatDigest::from(&news(1, 3))));
+    assert!(roster.refresh(at(900), &HeartbeatDigest::from(&news(1, 3))));
     assert_eq!(roster.get("i-1").unwrap().heard, at(0));
     // One that has left doesn't come back.
-    roster.end(&"i-1".into(), 0);
-    assert!(roster.pulse(at(1000), &HeartbeatDigest::from(&news(1, 5))));
+    roster.retire(&"i-1".into(), 0);
+    assert!(roster.refresh(at(1000), &HeartbeatDigest::from(&news(1, 5))));
     assert!(roster.get("i-1").is_none());
 }
 
 #[test]
 fn pulse_ends_lateness() {
     let mut roster = Roster::new(BEAT);
-    roster.hear(at(0), news(1, 1));
+    roster.announce(at(0), news(1, 1));
     roster.tick(at(3_000), &HashMap::default());
     assert!(roster.get("i-1").unwrap().late);
     let before = roster.changes().revision();
-    assert!(roster.pulse(at(3_100), &HeartbeatDigest::from(&news(1, 2))));
+    assert!(roster.refresh(at(3_100), &HeartbeatDigest::from(&news(1, 2))));
     assert!(!roster.get("i-1").unwrap().late);
     assert!(roster.changes().revision() > before);
 }
--- a/src/tests/roster.rs
+++ b/src/tests/roster.rs
@@ -12,11 +12,11 @@
 use super::at;
 use crate::clock::Time;
 use crate::collections::HashMap;
-use crate::controller::board::Board;
+use crate::controller::leader::LeaderState;
 use crate::controller::reports::Reports;
 use crate::entry::view::View;
 use crate::register::{self, Register};
-use crate::roster::{Announcement, Heard, LayerRange, Roster};
+use crate::roster::{AnnounceOutcome, Announcement, LayerRange, Roster};
 use crate::sync::{Load, SyncRequest};
 use crate::voter::Machine;
 
@@ -48,9 +48,15 @@
 #[test]
 fn hear_old_sequence() {
     let mut roster = Roster::new(BEAT);
-    assert_eq!(roster.hear(at(0), news("i-1", 2)), Heard::New);
-    assert_eq!(roster.hear(at(1), news("i-1", 1)), Heard::Stale);
-    assert_eq!(roster.hear(at(2), news("i-1", 3)), Heard::Known);
+    assert_eq!(roster.announce(at(0), news("i-1", 2)), AnnounceOutcome::New);
+    assert_eq!(
+        roster.announce(at(1), news("i-1", 1)),
+        AnnounceOutcome::Stale
+    );
+    assert_eq!(
+        roster.announce(at(2), news("i-1", 3)),
+        AnnounceOutcome::Known
+    );
 }
 
 #[test]
@@ -62,13 +68,13 @@
     let mut old = news("i-1", 40);
     old.born = 1000;
     old.layers = Some(LayerRange::new(0, 7));
-    roster.hear(at(0), old.clone());
+    roster.announce(at(0), old.clone());
     let mut new = news("i-1", 1);
     new.born = 2000;
-    assert_eq!(roster.hear(at(10), new), Heard::New);
+    assert_eq!(roster.announce(at(10), new), AnnounceOutcome::New);
     assert_eq!(roster.get("i-1").unwrap().last.layers, None);
     old.sequence = 41;
-    assert_eq!(roster.hear(at(20), old), Heard::Stale);
+    assert_eq!(roster.announce(at(20), old), AnnounceOutcome::Stale);
 }
 
 #[test]
@@ -77,9 +83,15 @@
     // starts at its address and registers, then the old heartbeat arrives.
     // Believed, every request to the address would name the wrong engine.
     let mut roster = Roster::new(BEAT);
-    roster.hear(at(0), news("i-old", 9));
-    assert_eq!(roster.hear(at(1000), news("i-new", 1)), Heard::New);
-    assert_eq!(roster.hear(at(1500), news("i-old", 10)), Heard::Stale);
+    roster.announce(at(0), news("i-old", 9));
+    assert_eq!(
+        roster.announce(at(1000), news("i-new", 1)),
+        AnnounceOutcome::New
+    );
+    assert_eq!(
+        roster.announce(at(1500), news("i-old", 10)),
+        AnnounceOutcome::Stale
+    );
     assert_eq!(ids(&roster), ["i-new"]);
 }
 
@@ -87,20 +99,23 @@
 fn hear_delayed_unknown() {
     // The same, but a new leader has never heard of the old engine.
     let mut roster = Roster::new(BEAT);
-    roster.hear(at(1000), news("i-new", 1));
-    assert_eq!(roster.hear(at(1500), news("i-old", 10)), Heard::Stale);
+    roster.announce(at(1000), news("i-new", 1));
+    assert_eq!(
+        roster.announce(at(1500), news("i-old", 10)),
+        AnnounceOutcome::Stale
+    );
     assert_eq!(ids(&roster), ["i-new"]);
 }
 
 #[test]
 fn tick_silence() {
     let mut roster = Roster::new(BEAT);
-    roster.hear(at(0), news("i-1", 1));
+    roster.announce(at(0), news("i-1", 1));
     assert!(roster.tick(at(2600), &none()).is_empty());
     assert!(!roster.get("i-1").unwrap().late);
     roster.tick(at(2700), &none());
     assert!(roster.get("i-1").unwrap().late);
-    roster.hear(at(2800), news("i-1", 2));
+    roster.announce(at(2800), news("i-1", 2));
     assert!(!roster.get("i-1").unwrap().late);
     assert_eq!(roster.tick(at(7700), &none()).len(), 1);
     assert!(ids(&roster).is_empty());
@@ -144,9 +159,12 @@
     // hand the engine out again.
     let (register, mut machine) = Register::new();
     machine.apply(1, &register::depart("i-1", 0));
-    let mut board = Board::new(BEAT);
-    board.lead(at(0), 2, &register);
-    assert_eq!(board.hear(at(10), news("i-1", 12)), Heard::Stale);
+    let mut leader = LeaderState::new(BEAT);
+    leader.lead(at(0), 2, &register);
+    assert_eq!(
+        leader.announce(at(10), news("i-1", 12)),
+        AnnounceOutcome::Stale
+    );
 }
 
 fn question(instance: u64, loads: Vec<Load>) -> SyncRequest {
@@ -160,8 +178,8 @@
 #[test]
 fn sync_sums_others() {
     let (register, _) = Register::new();
-    let mut board = Board::new(BEAT);
-    board.lead(at(0), 1, &register);
+    let mut leader = LeaderState::new(BEAT);
+    leader.lead(at(0), 1, &register);
     let load = |memory| Load {
         engine: 7,
         memory,
@@ -169,9 +187,9 @@
         entered: 0,
     };
     let age = Duration::ZERO;
-    board.sync(at(1), question(1, vec![load(10)]), age, None, &register);
-    board.sync(at(2), question(2, vec![load(20)]), age, None, &register);
-    let state = board.sync(at(3), question(3, vec![load(40)]), age, None, &register);
+    leader.sync(at(1), question(1, vec![load(10)]), age, None, &register);
+    leader.sync(at(2), question(2, vec![load(20)]), age, None, &register);
+    let state = leader.sync(at(3), question(3, vec![load(40)]), age, None, &register);
     let loads = state.work.unwrap().loads;
     assert_eq!(loads.len(), 1);
     assert_eq!((loads[0].memory, loads[0].requests), (30, 2));
@@ -181,18 +199,18 @@
 #[test]
 fn sync_roster_once() {
     let (register, _) = Register::new();
-    let mut board = Board::new(BEAT);
-    board.lead(at(0), 1, &register);
-    board.hear(at(1), news("i-1", 1));
+    let mut leader = LeaderState::new(BEAT);
+    leader.lead(at(0), 1, &register);
+    leader.announce(at(1), news("i-1", 1));
     let mut ask = question(1, Vec::new());
-    let first = board.sync(at(2), ask.clone(), Duration::ZERO, None, &register);
+    let first = leader.sync(at(2), ask.clone(), Duration::ZERO, None, &register);
     let roster = first.roster.unwrap();
     assert!(!roster.complete);
     (ask.term, ask.revision) = (roster.term, roster.revision);
-    let again = board.sync(at(3), ask.clone(), Duration::ZERO, None, &register);
+    let again = leader.sync(at(3), ask.clone(), Duration::ZERO, None, &register);
     assert!(again.roster.is_none());
     // It is told again once every upstream has had time to call.
-    let later = board.sync(at(4000), ask, Duration::ZERO, None, &register);
+    let later = leader.sync(at(4000), ask, Duration::ZERO, None, &register);
     assert!(later.roster.unwrap().complete);
 }
 
@@ -200,19 +218,19 @@
 fn end_unknown_start() {
     let mut roster = Roster::new(BEAT);
     let id: Arc<str> = "i-1".into();
-    roster.end(&id, 5);
+    roster.retire(&id, 5);
     let mut again = news("i-1", 1);
     again.born = 6;
-    assert_eq!(roster.hear(at(0), again), Heard::New);
+    assert_eq!(roster.announce(at(0), again), AnnounceOutcome::New);
 }
 
 #[test]
 fn sync_hides_given_up() {
     // An engine is ordered to hold other layers. It takes nothing new for
     // those that it gives up; requests sent there meanwhile would be refused.
-    let mut board = Board::new(BEAT);
+    let mut leader = LeaderState::new(BEAT);
     let (register, _) = Register::new();
-    board.lead(at(0), 1, &register);
+    leader.lead(at(0), 1, &register);
     let decoded = crate::platform::configuration::decode(super::platform::CONFIGURATION.as_bytes());
     let configuration = decoded.unwrap();
     for i in 0..13 {
@@ -220,11 +238,11 @@
         news.address.set_port(8000 + i);
         // All hold the same few layers, so some must take others.
         news.layers = Some(LayerRange::new(0, 7));
-        board.hear(at(1), news);
+        leader.announce(at(1), news);
     }
-    let orders = board.orders(at(4000), &configuration);
+    let orders = leader.orders(at(4000), &configuration);
     let moved = orders.iter().find(|o| o.range.first >= 7).unwrap();
-    let state = board.sync(
+    let state = leader.sync(
         at(4001),
         question(1, Vec::new()),
         Duration::ZERO,
@@ -242,7 +260,7 @@
     // four seconds, but two instances have found it dead: every request that
     // is sent there meanwhile stalls, and its layers are missing.
     let mut roster = Roster::new(BEAT);
-    roster.hear(at(0), news("i-1", 1));
+    roster.announce(at(0), news("i-1", 1));
     let address = roster.get("i-1").unwrap().last.address;
     let one = HashMap::from_iter([(address, 1)]);
     let two = HashMap::from_iter([(address, 2)]);
@@ -257,7 +275,7 @@
 }
 
 /// What instances know who ask a board until it has nothing more to tell.
-fn follow(board: &mut Board, now: Time, view: &mut View, register: &Register) -> usize {
+fn follow(leader: &mut LeaderState, now: Time, view: &mut View, register: &Register) -> usize {
     let mut most = 0;
     loop {
         let (term, revision) = view.roster();
@@ -268,7 +286,7 @@
             complete: view.is_complete(),
             ..SyncRequest::default()
         };
-        let state = board.sync(now, ask, Duration::ZERO, None, register);
+        let state = leader.sync(now, ask, Duration::ZERO, None, register);
         most = most.max(state.encoded_len());
         assert!(view.learn(now, state, BEAT));
         if !view.has_more() {
@@ -296,17 +314,17 @@
     // the whole roster, 230 KB to each instance. Its link was full for seconds,
     // what waited for it took 257 MB, and the process was ended for memory.
     let (register, _) = Register::new();
-    let mut board = Board::new(BEAT);
-    board.lead(at(0), 1, &register);
+    let mut leader = LeaderState::new(BEAT);
+    leader.lead(at(0), 1, &register);
     for i in 0..3000 {
-        board.hear(at(1), member(i, 1));
+        leader.announce(at(1), member(i, 1));
     }
     let mut view = View::new();
-    let most = follow(&mut board, at(10), &mut view, &register);
+    let most = follow(&mut leader, at(10), &mut view, &register);
     assert_eq!(known(&view).len(), 3000);
     assert!(most < 16_000, "{most} bytes in one answer");
-    board.hear(at(20), member(3000, 1));
-    let change = follow(&mut board, at(30), &mut view, &register);
+    leader.announce(at(20), member(3000, 1));
+    let change = follow(&mut leader, at(30), &mut view, &register);
     assert_eq!(known(&view).len(), 3001);
     assert!(change < 2_000, "{change} bytes for one change");
 }
@@ -318,46 +336,46 @@
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (register, _) = Register::new();
-        let mut board = Board::new(BEAT);
+        let mut leader = LeaderState::new(BEAT);
         let mut views = [View::new(), View::new()];
         let (mut term, mut now) = (1, 0);
-        board.lead(at(now), term, &register);
+        leader.lead(at(now), term, &register);
         for step in 1..600 {
             now += 20;
             match rng.random_range(0..60) {
                 0 => {
                     term += 1;
-                    board.lead(at(now), term, &register);
+                    leader.lead(at(now), term, &register);
                 }
                 1..8 => {
-                    follow(&mut board, at(now), &mut views[0], &register);
+                    follow(&mut leader, at(now), &mut views[0], &register);
                 }
                 8 => {
-                    follow(&mut board, at(now), &mut views[1], &register);
+                    follow(&mut leader, at(now), &mut views[1], &register);
                 }
                 _ => {
                     let mut news = member(rng.random_range(0..400), step);
                     news.slots = rng.random_range(1..3);
-                    board.hear(at(now), news);
+                    leader.announce(at(now), news);
                 }
             }
-            board.tick(at(now));
+            leader.tick(at(now));
         }
         now += 4000;
-        board.hear(at(now), member(500, 1));
-        board.tick(at(now));
+        leader.announce(at(now), member(500, 1));
+        leader.tick(at(now));
         for view in &mut views {
-            follow(&mut board, at(now), view, &register);
+            follow(&mut leader, at(now), view, &register);
             assert!(view.is_complete(), "seed {seed}");
         }
         assert_eq!(known(&views[0]), known(&views[1]), "seed {seed}");
         let all = known(&views[0]).into_iter();
         assert!(
-            all.into_iter().all(|id| board.upstream(id).is_some()),
+            all.into_iter().all(|id| leader.upstream(id).is_some()),
             "seed {seed}"
         );
         assert_eq!(
-            board.counts().upstreams.values().sum::<u32>() as usize,
+            leader.counts().upstreams.values().sum::<u32>() as usize,
             known(&views[0]).len()
         );
     }
@@ -368,19 +386,19 @@
     // An instance is cut off while more upstreams leave than are remembered.
     // Told only what is remembered, it would go on sending to the others.
     let (register, _) = Register::new();
-    let mut board = Board::new(BEAT);
-    board.lead(at(0), 1, &register);
-    board.hear(at(1), member(0, 1));
+    let mut leader = LeaderState::new(BEAT);
+    leader.lead(at(0), 1, &register);
+    leader.announce(at(1), member(0, 1));
     let mut view = View::new();
-    follow(&mut board, at(4000), &mut view, &register);
+    follow(&mut leader, at(4000), &mut view, &register);
     assert_eq!(known(&view), ["i-0000"]);
-    board.tick(at(5000));
+    leader.tick(at(5000));
     for i in 1..=5000 {
-        board.hear(at(5000), member(i, 1));
+        leader.announce(at(5000), member(i, 1));
     }
-    board.tick(at(11_000));
-    board.hear(at(11_000), member(6000, 1));
-    follow(&mut board, at(11_000), &mut view, &register);
+    leader.tick(at(11_000));
+    leader.announce(at(11_000), member(6000, 1));
+    follow(&mut leader, at(11_000), &mut view, &register);
     assert_eq!(known(&view), ["i-6000"]);
 }
 
--- a/src/tests/view.rs
+++ b/src/tests/view.rs
@@ -4,7 +4,7 @@
 
 use super::at;
 use super::platform::CONFIGURATION;
-use crate::controller::board::Board;
+use crate::controller::leader::LeaderState;
 use crate::entry::view::View;
 use crate::register::{Departed, Register};
 use crate::sync::{RosterDelta, SyncReply, SyncRequest, UpstreamRecord, pack, unpack};
@@ -186,25 +186,25 @@
     // that it was the only one, and took all the room of the engines; so did each
     // of the next. Until the leader has counted them, many are assumed.
     let (register, _machine) = Register::new();
-    let mut board = Board::new(LEASE);
-    board.lead(at(0), 1, &register);
-    let ask = |board: &mut Board, now, instance| {
+    let mut leader = LeaderState::new(LEASE);
+    leader.lead(at(0), 1, &register);
+    let ask = |leader: &mut LeaderState, now, instance| {
         let ask = SyncRequest {
             instance,
             ..SyncRequest::default()
         };
-        board.sync(at(now), ask, Duration::ZERO, None, &register)
+        leader.sync(at(now), ask, Duration::ZERO, None, &register)
     };
     let mut view = View::new();
-    assert!(view.learn(at(10), ask(&mut board, 10, 1), LEASE));
+    assert!(view.learn(at(10), ask(&mut leader, 10, 1), LEASE));
     assert_eq!(view.counted(), None);
     assert!(view.entries() > 50);
-    ask(&mut board, 60, 2);
-    ask(&mut board, 90, 3);
-    assert!(view.learn(at(400), ask(&mut board, 400, 1), LEASE));
+    ask(&mut leader, 60, 2);
+    ask(&mut leader, 90, 3);
+    assert!(view.learn(at(400), ask(&mut leader, 400, 1), LEASE));
     assert_eq!((view.counted(), view.entries()), (Some(3), 3));
     // The next leader hasn't heard of most of them.
-    board.lead(at(500), 2, &register);
-    assert!(view.learn(at(510), ask(&mut board, 510, 1), LEASE));
+    leader.lead(at(500), 2, &register);
+    assert!(view.learn(at(510), ask(&mut leader, 510, 1), LEASE));
     assert_eq!(view.entries(), 3);
 }
