--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -11,7 +11,7 @@
 
 mod table;
 
-pub(crate) use self::table::{Found, Table};
+pub(crate) use self::table::{RouteMatch, RoutingTable};
 
 /// One version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,7 +26,7 @@
 
 /// What may be repeated of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Repeat {
+pub(crate) enum RetryPolicy {
     /// Nothing: it runs at most once.
     Never,
     /// All of it, as often as it takes.
@@ -42,7 +42,7 @@
     pub(crate) host: String,
     /// Begins and ends with a slash.
     pub(crate) prefix: String,
-    pub(crate) repeat: Repeat,
+    pub(crate) retry_policy: RetryPolicy,
     /// Whether the answer is a stream of events.
     pub(crate) streams: bool,
     /// Longest time that a request is kept waiting. Above zero.
@@ -176,9 +176,9 @@
 
 /// Why a configuration can't be in force.
 #[derive(Debug, PartialEq, Eq, Snafu)]
-pub(crate) enum Invalid {
+pub(crate) enum ConfigurationError {
     #[snafu(display("two routes have the host {host} and the prefix {prefix}; drop one"))]
-    SamePlace { host: String, prefix: String },
+    DuplicateRoute { host: String, prefix: String },
     #[snafu(display("the route {route} names the service {service}, which isn't listed"))]
     UnknownService { route: String, service: String },
     #[snafu(display("the weights of the route {route} add up to nothing; raise one"))]
@@ -191,13 +191,13 @@
 
 impl Configuration {
     /// Checks what the format alone doesn't ensure.
-    pub(crate) fn check(&self) -> Result<(), Invalid> {
+    pub(crate) fn check(&self) -> Result<(), ConfigurationError> {
         let services: HashSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
         let mut places = HashSet::default();
         for route in &self.routes {
             check_route(route, &services)?;
             if !places.insert((route.host.to_ascii_lowercase(), &route.prefix)) {
-                return SamePlaceSnafu {
+                return DuplicateRouteSnafu {
                     host: &route.host,
                     prefix: &route.prefix,
                 }
@@ -213,7 +213,7 @@
         services.filter_map(|s| Some((s.name.as_str(), s.model.as_ref()?)))
     }
 
-    fn check_keys(&self) -> Result<(), Invalid> {
+    fn check_keys(&self) -> Result<(), ConfigurationError> {
         let mut owners: HashMap<&str, &str> = HashMap::default();
         for organisation in self.organisations.iter().flatten() {
             let name = organisation.name.as_str();
@@ -228,7 +228,7 @@
     }
 }
 
-fn check_route(route: &Route, services: &HashSet<&str>) -> Result<(), Invalid> {
+fn check_route(route: &Route, services: &HashSet<&str>) -> Result<(), ConfigurationError> {
     let name = &route.name;
     let unknown = |t: &&Target| !services.contains(t.service.as_str());
     if let Some(target) = route.targets.iter().find(unknown) {
--- a/src/configuration/table.rs
+++ b/src/configuration/table.rs
@@ -7,7 +7,7 @@
 
 /// A checked configuration with its indexes.
 #[derive(Debug)]
-pub(crate) struct Table {
+pub(crate) struct RoutingTable {
     pub(crate) configuration: Configuration,
     /// Routes by host in lower case, longest prefix first.
     hosts: HashMap<String, Vec<usize>>,
@@ -18,16 +18,16 @@
 
 /// What a look-up by host and path found.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Found<'a> {
+pub(crate) struct RouteMatch<'a> {
     pub(crate) route: &'a Route,
     /// Whom the key belongs to. `None` when there is no such key, or none is
     /// needed.
     pub(crate) organisation: Option<&'a Organisation>,
     /// Whether the request may pass without a key.
-    pub(crate) open: bool,
+    pub(crate) public: bool,
 }
 
-impl Table {
+impl RoutingTable {
     pub(crate) fn new(configuration: Configuration) -> Arc<Self> {
         let mut hosts: HashMap<String, Vec<usize>> = HashMap::default();
         for (i, route) in configuration.routes.iter().enumerate() {
@@ -52,17 +52,22 @@
     }
 
     /// The route for a request, and whose it is.
-    pub(crate) fn find(&self, host: &str, path: &str, key: Option<&str>) -> Option<Found<'_>> {
+    pub(crate) fn find_route(
+        &self,
+        host: &str,
+        path: &str,
+        key: Option<&str>,
+    ) -> Option<RouteMatch<'_>> {
         let host = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
         let routes = self.hosts.get(&host)?.iter();
         let mut routes = routes.map(|&i| &self.configuration.routes[i]);
         let route = routes.find(|r| path.starts_with(&r.prefix))?;
         let organisations = self.configuration.organisations.as_deref();
         let owner = key.and_then(|k| self.keys.get(k));
-        Some(Found {
+        Some(RouteMatch {
             route,
             organisation: owner.and_then(|&i| organisations.map(|o| &o[i])),
-            open: route.public || organisations.is_none(),
+            public: route.public || organisations.is_none(),
         })
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -16,7 +16,7 @@
 use self::leader::LeaderState;
 use crate::auth::FleetKey;
 use crate::clock::{Clock, SystemClock, Time};
-use crate::configuration::Table;
+use crate::configuration::RoutingTable;
 use crate::decide::members::{self, Seen};
 use crate::error::{ListenSnafu, Result};
 use crate::event;
@@ -28,7 +28,7 @@
 use crate::register::{Register, Versioned};
 use crate::relay::Relay;
 use crate::replica::{Message, Role};
-use crate::role::{self, Ended, RoleSettings};
+use crate::role::{self, RoleSettings, VoterExit};
 use crate::roster::LayerRange;
 use crate::startup;
 use crate::store::StoreError;
@@ -99,7 +99,7 @@
     relayed: Notify,
     confirmed: Mutex<Option<Confirmed>>,
     /// The configuration in force, decoded.
-    table: Mutex<Option<Arc<Table>>>,
+    table: Mutex<Option<Arc<RoutingTable>>>,
     /// The configuration in force as entry instances get it.
     packed: Mutex<Option<Versioned>>,
     /// Layers that no engine of a domain holds, by model, as last logged.
@@ -124,19 +124,19 @@
 pub(crate) fn run(settings: &RoleSettings) -> Result<()> {
     let boot = settings.boot()?;
     let runtime = role::runtime()?;
-    let stop = role::signals(&runtime, settings)?;
+    let stop = role::handle_signals(&runtime, settings)?;
     let clock: Arc<dyn Clock> = Arc::new(SystemClock);
     let key = FleetKey::new(role::FLEET_SECRET);
     let peers = Peers::on_port(key.clone(), runtime.handle().clone(), boot.ports.0);
     let slot = Arc::new(Slot::default());
     let measured = Arc::clone(&slot);
-    role::observe(settings, boot.ip, &runtime, move || {
+    role::serve_metrics(settings, boot.ip, &runtime, move || {
         if let Some(controller) = measured.0.load_full() {
             controller.measure();
         }
     })?;
     listen(&slot, &boot, key, runtime.handle())?;
-    role::started("controller", &boot);
+    role::log_start("controller", &boot);
     let ended = runtime.block_on(async {
         tokio::select! {
             () = stop.wait() => Ok(()),
@@ -166,12 +166,12 @@
         let failed = match start(settings, boot, clock, peers)? {
             Ok((controller, thread)) => {
                 slot.0.store(Some(Arc::clone(&controller)));
-                let ended = role::watch(thread).await;
+                let ended = role::join_voter(thread).await;
                 slot.0.store(None);
                 controller.ending.store(true, Ordering::Relaxed);
                 match ended? {
-                    Ended::Stopped => return Ok(()),
-                    Ended::Failed(error) => error,
+                    VoterExit::Stopped => return Ok(()),
+                    VoterExit::Failed(error) => error,
                 }
             }
             Err(error) => error,
@@ -264,7 +264,7 @@
         Vec::new()
     };
     Ok(VoterSettings {
-        instance: role::instance(boot.ip),
+        instance: role::instance_id(boot.ip),
         folder,
         founders,
         contacts: seeds,
@@ -292,7 +292,7 @@
     }
 
     fn id(&self) -> InstanceId {
-        role::instance(self.boot.ip)
+        role::instance_id(self.boot.ip)
     }
 
     fn relay(&self) -> MutexGuard<'_, Relay<heartbeat::Waiter>> {
@@ -415,7 +415,7 @@
     }
 
     /// Logs which layers no engine of a domain holds, when that changes.
-    fn report_coverage(&self, state: &LeaderState, table: &Table) {
+    fn report_coverage(&self, state: &LeaderState, table: &RoutingTable) {
         let models = table.configuration.models();
         let coverage: Vec<_> = models.map(|(s, m)| state.missing(s, m)).collect();
         let mut last = self.coverage.lock().unwrap_or_else(PoisonError::into_inner);
@@ -430,14 +430,14 @@
     }
 
     /// The configuration in force, decoded.
-    fn table(&self) -> Option<Arc<Table>> {
+    fn table(&self) -> Option<Arc<RoutingTable>> {
         let mut table = self.table.lock().unwrap_or_else(PoisonError::into_inner);
         let version = table.as_ref().map_or(0, |t| t.configuration.version);
         if self.register.version() != version {
             let Versioned { body, .. } = self.register.current()?;
             // Only what was decoded and checked is ever proposed.
             let decoded = crate::platform::configuration::decode(&body);
-            *table = decoded.ok().map(Table::new);
+            *table = decoded.ok().map(RoutingTable::new);
         }
         table.clone()
     }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::configuration::Repeat;
+use crate::configuration::RetryPolicy;
 
 /// Attempts that no upstream ran, after which the search is given up. Each
 /// met a full or dying upstream; more would only delay the refusal.
@@ -74,13 +74,13 @@
 
 /// The step after `failure`, which `tries` counts already.
 pub(crate) fn next(
-    repeat: Repeat,
+    repeat: RetryPolicy,
     attempts: u32,
     tries: Tries,
     failure: Failure,
     left: Duration,
 ) -> Next {
-    let may_repeat = repeat != Repeat::Never || tries.run == 0;
+    let may_repeat = repeat != RetryPolicy::Never || tries.run == 0;
     let in_bounds = tries.run < attempts && tries.idle < MOST_NOT_RUN && left >= LEAST_LEFT;
     if may_repeat && in_bounds {
         return Next::Again;
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -18,7 +18,7 @@
 use super::select::{Chosen, Exclusions};
 use super::view::of_service;
 use crate::clock::{Time, millis};
-use crate::configuration::{Model, Repeat, Route, Table};
+use crate::configuration::{Model, RetryPolicy, Route, RoutingTable};
 use crate::decide::health;
 use crate::decide::hold;
 use crate::decide::load;
@@ -95,7 +95,7 @@
 /// A request with what became of its attempts.
 pub(super) struct Run {
     pub(super) entry: Arc<Entry>,
-    pub(super) table: Arc<Table>,
+    pub(super) table: Arc<RoutingTable>,
     pub(super) call: Call,
     tries: Tries,
     /// Upstreams at which it failed.
@@ -146,7 +146,7 @@
 }
 
 impl Run {
-    pub(super) fn new(entry: Arc<Entry>, table: Arc<Table>, call: Call) -> Self {
+    pub(super) fn new(entry: Arc<Entry>, table: Arc<RoutingTable>, call: Call) -> Self {
         entry.shared().allowance.request(call.began, &call.service);
         let last = head::number(&call.headers, headers::LAST_EVENT);
         Self {
@@ -323,7 +323,13 @@
         self.tries.count(failure);
         let route = &self.call.route;
         let left = self.left();
-        let mut next = retry::next(route.repeat, route.attempts, self.tries, failure, left);
+        let mut next = retry::next(
+            route.retry_policy,
+            route.attempts,
+            self.tries,
+            failure,
+            left,
+        );
         if next == Next::Again && self.may_crash_engine(cause) {
             next = retry::give_up(self.tries, failure);
         }
@@ -392,8 +398,8 @@
             "sent"
         );
         let cutoff = Cutoff::new(None, Arc::clone(&self.entry.clock));
-        let patience = match self.call.route.repeat {
-            Repeat::Never => self.left(),
+        let patience = match self.call.route.retry_policy {
+            RetryPolicy::Never => self.left(),
             _ => self.call.route.objective * PATIENCE,
         };
         let sent = self.entry.now();
--- a/src/entry/listen.rs
+++ b/src/entry/listen.rs
@@ -16,7 +16,7 @@
 use super::head;
 use super::select::PLAIN;
 use super::view::View;
-use crate::configuration::{Found, Limits, Model, Table};
+use crate::configuration::{Limits, Model, RouteMatch, RoutingTable};
 use crate::decide::path::Work;
 use crate::decide::refusal::{self, Reason};
 use crate::event;
@@ -43,7 +43,7 @@
 
 /// A request that was looked up.
 struct Admitted {
-    table: Arc<Table>,
+    table: Arc<RoutingTable>,
     call: Call,
 }
 
@@ -120,10 +120,10 @@
         let host = head::text(&head.headers, HOST.as_str());
         let host = host.or(head.uri.host()).unwrap_or("");
         let key = head::text(&head.headers, headers::KEY);
-        let found = table.find(host, head.uri.path(), key);
+        let found = table.find_route(host, head.uri.path(), key);
         // Without a lease what is known may be out of date: a route or key
         // may be there, or be gone, that this instance doesn't know of.
-        if !confirmed && !found.is_some_and(|f| f.open) {
+        if !confirmed && !found.is_some_and(|f| f.public) {
             return Err(refused(Reason::NoConfiguration));
         }
         let Some(found) = found else {
@@ -133,7 +133,7 @@
                 "there is no such route",
             )));
         };
-        if !found.open && found.organisation.is_none() {
+        if !found.public && found.organisation.is_none() {
             log_refusal(&attempt, "unknown_key", view.version());
             let reason = "the key is missing or unknown";
             return Err(Box::new(failure(StatusCode::UNAUTHORIZED, reason)));
@@ -147,8 +147,8 @@
 
     fn call(
         &self,
-        table: &Table,
-        found: Found<'_>,
+        table: &RoutingTable,
+        found: RouteMatch<'_>,
         attempt: &str,
         fingerprint: Fingerprint,
         head: Parts,
--- a/src/entry/measure.rs
+++ b/src/entry/measure.rs
@@ -49,7 +49,7 @@
     /// Counts the end of the request.
     pub(super) fn count(&self, outcome: &'static str) {
         self.ended.store(true, Ordering::Relaxed);
-        let kind = metric::kind(self.call.route.repeat);
+        let kind = metric::kind(self.call.route.retry_policy);
         let took = self.entry.now().since(self.call.began);
         metrics::counter!(metric::REQUESTS.name, "kind" => kind, "outcome" => outcome).increment(1);
         metrics::histogram!(metric::REQUEST_TIME.name, "kind" => kind, "outcome" => outcome)
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -113,16 +113,16 @@
 pub(crate) fn run(settings: &RoleSettings) -> Result<()> {
     let boot = settings.boot()?;
     let runtime = role::runtime()?;
-    let stop = role::signals(&runtime, settings)?;
+    let stop = role::handle_signals(&runtime, settings)?;
     let ip = boot.ip;
     let (close, closing) = watch::channel(false);
     let entry = Arc::new(Entry::new(settings, boot, runtime.handle().clone()));
     let measured = Arc::clone(&entry);
-    role::observe(settings, ip, &runtime, move || measured.measure())?;
+    role::serve_metrics(settings, ip, &runtime, move || measured.measure())?;
     let _guard = runtime.enter();
     entry.listen(closing)?;
     runtime.spawn(Arc::clone(&entry).follow());
-    role::started("entry", &entry.boot);
+    role::log_start("entry", &entry.boot);
     runtime.block_on(async {
         stop.wait().await;
         entry.drain(&close).await;
@@ -141,10 +141,10 @@
             window: bounds.retry_window,
         });
         Self {
-            id: role::instance(boot.ip),
+            id: role::instance_id(boot.ip),
             peers: Peers::on_port(FleetKey::new(role::FLEET_SECRET), runtime, boot.ports.0),
             poll: settings.poll,
-            lease: role::lease(&boot),
+            lease: role::key_lease(&boot),
             settings: settings.clone(),
             clock: Arc::new(SystemClock),
             view: ArcSwap::from_pointee(View::new()),
--- a/src/entry/reroute.rs
+++ b/src/entry/reroute.rs
@@ -15,7 +15,7 @@
 use super::attempt::{DEAD_PART, Run};
 use super::select::Chosen;
 use super::view::of_service;
-use crate::configuration::Repeat;
+use crate::configuration::RetryPolicy;
 use crate::decide::health::Standing;
 use crate::decide::silence::{Patience, Step};
 use crate::engine::call;
@@ -48,7 +48,7 @@
         let mut sign = pin!(sign);
         let since = self.entry.now();
         // What may not run again, or has one upstream only, can't be helped.
-        let helped = self.call.route.repeat != Repeat::Never && chosen.path.is_some();
+        let helped = self.call.route.retry_policy != RetryPolicy::Never && chosen.path.is_some();
         let mut patience = Patience::new(patience, helped);
         let mut wait = patience.wait(Duration::ZERO).unwrap_or_default();
         loop {
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -16,7 +16,7 @@
 use super::head;
 use super::reroute::Silence;
 use crate::clock::{Time, millis};
-use crate::configuration::Repeat;
+use crate::configuration::RetryPolicy;
 use crate::decide::leave::Leave;
 use crate::decide::retry::{Failure, Next};
 use crate::decide::run_history::HARMLESS_EVENTS;
@@ -153,7 +153,7 @@
     }
 
     async fn read(&mut self) -> Input {
-        if self.run.call.route.repeat != Repeat::Never {
+        if self.run.call.route.retry_policy != RetryPolicy::Never {
             self.make_way().await;
         }
         let left = self.run.left();
@@ -161,8 +161,8 @@
             return Input::Broken;
         }
         let route = &self.run.call.route;
-        let patience = match (route.repeat, self.run.events) {
-            (Repeat::Never, _) => left,
+        let patience = match (route.retry_policy, self.run.events) {
+            (RetryPolicy::Never, _) => left,
             (_, 0) => route.objective * PATIENCE,
             _ => route.pause * STALLED,
         };
@@ -216,7 +216,7 @@
             return false;
         }
         self.buffer.clear();
-        if self.run.call.route.repeat == Repeat::Never {
+        if self.run.call.route.retry_policy == RetryPolicy::Never {
             return false;
         }
         let first = self.opened.chosen.upstream.key;
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::Time;
 use crate::collections::{HashMap, HashSet};
-use crate::configuration::Table;
+use crate::configuration::RoutingTable;
 use crate::decide::run_history::EngineStart;
 use crate::fingerprint::Fingerprint;
 use crate::platform::configuration;
@@ -67,7 +67,7 @@
 #[derive(Clone)]
 pub(crate) struct View {
     /// `None` before the first configuration.
-    pub(crate) table: Option<Arc<Table>>,
+    pub(crate) table: Option<Arc<RoutingTable>>,
     pub(crate) services: Arc<Services>,
     /// Until when keys may be used.
     pub(crate) until: Time,
@@ -186,7 +186,7 @@
             let Some(decoded) = decoded else {
                 return false;
             };
-            self.table = Some(Table::new(decoded));
+            self.table = Some(RoutingTable::new(decoded));
         }
         if state.version != self.version() {
             return false;
--- a/src/metric.rs
+++ b/src/metric.rs
@@ -1,7 +1,7 @@
 //! Names of the metrics of the entry and controller roles. docs/METRICS.md is
 //! their catalogue; a test keeps the two equal.
 
-use crate::configuration::Repeat;
+use crate::configuration::RetryPolicy;
 
 /// One metric, under a name that never changes its meaning. The end of the name
 /// tells the unit; a counter ends in `_total`.
@@ -115,10 +115,10 @@
 ];
 
 /// The kind of a request as the label `kind` names it.
-pub(crate) fn kind(repeat: Repeat) -> &'static str {
+pub(crate) fn kind(repeat: RetryPolicy) -> &'static str {
     match repeat {
-        Repeat::Never => "once",
-        Repeat::Always => "idempotent",
-        Repeat::Resume => "stream",
+        RetryPolicy::Never => "once",
+        RetryPolicy::Always => "idempotent",
+        RetryPolicy::Resume => "stream",
     }
 }
--- a/src/role.rs
+++ b/src/role.rs
@@ -89,18 +89,18 @@
 }
 
 /// How long keys may be used after the last confirmation.
-pub(crate) fn lease(boot: &Boot) -> Duration {
+pub(crate) fn key_lease(boot: &Boot) -> Duration {
     boot.bounds.revoke.mul_f64(LEASE_SHARE)
 }
 
 /// The number of the instance on this machine.
-pub(crate) fn instance(ip: Ipv4Addr) -> InstanceId {
+pub(crate) fn instance_id(ip: Ipv4Addr) -> InstanceId {
     InstanceId(u32::from(ip).into())
 }
 
 /// The instances that the settings name as seeds.
 pub(crate) fn seeds(boot: &Boot) -> Vec<InstanceId> {
-    boot.seeds.iter().map(|s| instance(*s.ip())).collect()
+    boot.seeds.iter().map(|s| instance_id(*s.ip())).collect()
 }
 
 /// A value that the role can't do without.
@@ -121,7 +121,7 @@
 }
 
 /// Logs the start of a role.
-pub(crate) fn started(role: &'static str, boot: &Boot) {
+pub(crate) fn log_start(role: &'static str, boot: &Boot) {
     tracing::info!(
         event = event::STARTED.id,
         role,
@@ -135,9 +135,9 @@
 }
 
 /// Tells when the process was asked to end.
-pub(crate) struct Stop(watch::Receiver<bool>);
+pub(crate) struct StopSignal(watch::Receiver<bool>);
 
-impl Stop {
+impl StopSignal {
     /// Returns once the process was asked to end.
     pub(crate) async fn wait(mut self) {
         // The sender lives as long as the runtime.
@@ -147,7 +147,7 @@
 
 /// Hears SIGTERM and SIGINT, and SIGHUP, upon which the settings file is read
 /// and checked again: seeds may have changed, and are used at the next need.
-pub(crate) fn signals(runtime: &Runtime, settings: &RoleSettings) -> Result<Stop> {
+pub(crate) fn handle_signals(runtime: &Runtime, settings: &RoleSettings) -> Result<StopSignal> {
     let _guard = runtime.enter();
     let open = |kind| signal(kind).map_err(|e| start_error("signal handler", &e));
     let (sender, receiver) = watch::channel(false);
@@ -174,11 +174,11 @@
         // Dropping the sender would look like the end of the runtime.
         sender.closed().await;
     });
-    Ok(Stop(receiver))
+    Ok(StopSignal(receiver))
 }
 
 /// How a voter's thread ended.
-pub(crate) enum Ended {
+pub(crate) enum VoterExit {
     /// It was told to.
     Stopped,
     /// Its store failed; only what a new one reads from the files is durable.
@@ -190,7 +190,7 @@
 /// # Errors
 ///
 /// When it panicked.
-pub(crate) async fn watch(thread: JoinHandle<Result<(), StoreError>>) -> Result<Ended> {
+pub(crate) async fn join_voter(thread: JoinHandle<Result<(), StoreError>>) -> Result<VoterExit> {
     let (sender, ended) = oneshot::channel();
     let waiter = std::thread::Builder::new().name("voter-watch".to_owned());
     let spawned = waiter.spawn(move || {
@@ -198,15 +198,15 @@
     });
     spawned.map_err(|e| start_error("watch on the voter", &e))?;
     match ended.await {
-        Ok(Ok(Ok(()))) => Ok(Ended::Stopped),
-        Ok(Ok(Err(error))) => Ok(Ended::Failed(error)),
+        Ok(Ok(Ok(()))) => Ok(VoterExit::Stopped),
+        Ok(Ok(Err(error))) => Ok(VoterExit::Failed(error)),
         _ => FailedSnafu { part: "voter" }.fail(),
     }
 }
 
 /// Sums up left out log lines, and serves the metrics of this process on a port
 /// of the machine if one is set. `measure` sets the gauges before each answer.
-pub(crate) fn observe(
+pub(crate) fn serve_metrics(
     settings: &RoleSettings,
     ip: Ipv4Addr,
     runtime: &Runtime,
--- a/src/tests/configuration.rs
+++ b/src/tests/configuration.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 
 use super::platform::CONFIGURATION;
-use crate::configuration::Table;
+use crate::configuration::RoutingTable;
 use crate::platform::configuration::decode;
 
 #[rstest]
@@ -14,8 +14,8 @@
 #[case::no_slash("a.example", "/l", None)]
 #[case::other_host("b.example", "/l/x", None)]
 fn find_route(#[case] host: &str, #[case] path: &str, #[case] name: Option<&str>) {
-    let table = Table::new(decode(CONFIGURATION.as_bytes()).unwrap());
-    let found = table.find(host, path, Some("k1"));
+    let table = RoutingTable::new(decode(CONFIGURATION.as_bytes()).unwrap());
+    let found = table.find_route(host, path, Some("k1"));
     assert_eq!(found.map(|f| f.route.name.as_str()), name);
 }
 
@@ -26,10 +26,10 @@
 #[case::unknown(Some("k4"), None)]
 #[case::missing(None, None)]
 fn find_organisation(#[case] key: Option<&str>, #[case] name: Option<&str>) {
-    let table = Table::new(decode(CONFIGURATION.as_bytes()).unwrap());
-    let found = table.find("a.example", "/l/x", key).unwrap();
+    let table = RoutingTable::new(decode(CONFIGURATION.as_bytes()).unwrap());
+    let found = table.find_route("a.example", "/l/x", key).unwrap();
     assert_eq!(found.organisation.map(|o| o.name.as_str()), name);
-    assert!(!found.open);
+    assert!(!found.public);
 }
 
 #[rstest]
--- a/src/tests/decide.rs
+++ b/src/tests/decide.rs
@@ -6,7 +6,7 @@
 
 use super::platform::CONFIGURATION;
 use super::{at, leader};
-use crate::configuration::{Model, Repeat};
+use crate::configuration::{Model, RetryPolicy};
 use crate::decide::allowance::{Allowance, Bound};
 use crate::decide::health::{Health, Standing};
 use crate::decide::hold;
@@ -36,16 +36,16 @@
 }
 
 #[rstest]
-#[case::idempotent(Repeat::Always, 1, 0, Failure::Unknown, Next::Again)]
-#[case::attempts_used(Repeat::Always, 2, 0, Failure::Unknown, Next::Fail)]
-#[case::stream(Repeat::Resume, 1, 0, Failure::Unknown, Next::Again)]
-#[case::once_may_have_run(Repeat::Never, 1, 0, Failure::Unknown, Next::Fail)]
-#[case::once_not_run(Repeat::Never, 0, 1, Failure::NotRun, Next::Again)]
-#[case::refused_often(Repeat::Always, 0, 4, Failure::NotRun, Next::Refuse)]
-#[case::error_passed_on(Repeat::Never, 1, 0, Failure::Answered, Next::Pass)]
-#[case::refused_after_run(Repeat::Always, 2, 1, Failure::NotRun, Next::Fail)]
+#[case::idempotent(RetryPolicy::Always, 1, 0, Failure::Unknown, Next::Again)]
+#[case::attempts_used(RetryPolicy::Always, 2, 0, Failure::Unknown, Next::Fail)]
+#[case::stream(RetryPolicy::Resume, 1, 0, Failure::Unknown, Next::Again)]
+#[case::once_may_have_run(RetryPolicy::Never, 1, 0, Failure::Unknown, Next::Fail)]
+#[case::once_not_run(RetryPolicy::Never, 0, 1, Failure::NotRun, Next::Again)]
+#[case::refused_often(RetryPolicy::Always, 0, 4, Failure::NotRun, Next::Refuse)]
+#[case::error_passed_on(RetryPolicy::Never, 1, 0, Failure::Answered, Next::Pass)]
+#[case::refused_after_run(RetryPolicy::Always, 2, 1, Failure::NotRun, Next::Fail)]
 fn next_step(
-    #[case] repeat: Repeat,
+    #[case] repeat: RetryPolicy,
     #[case] run: u32,
     #[case] idle: u32,
     #[case] failure: Failure,
@@ -60,7 +60,7 @@
 fn next_no_time() {
     let tries = Tries { run: 1, idle: 0 };
     let left = Duration::from_millis(10);
-    let step = next(Repeat::Always, 2, tries, Failure::Unknown, left);
+    let step = next(RetryPolicy::Always, 2, tries, Failure::Unknown, left);
     assert_eq!(step, Next::Fail);
 }
 
--- a/src/tests/platform.rs
+++ b/src/tests/platform.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 
-use crate::configuration::{Invalid, Repeat};
+use crate::configuration::{ConfigurationError, RetryPolicy};
 use crate::decide::path::Hop;
 use crate::platform::boot::Boot;
 use crate::platform::call::Call;
@@ -76,9 +76,9 @@
     let decoded = configuration::decode(CONFIGURATION.as_bytes()).unwrap();
     assert_eq!(decoded.check(), Ok(()));
     assert_eq!(decoded.version, 7);
-    assert_eq!(decoded.routes[0].repeat, Repeat::Resume);
+    assert_eq!(decoded.routes[0].retry_policy, RetryPolicy::Resume);
     assert_eq!(decoded.routes[0].targets.len(), 2);
-    assert_eq!(decoded.routes[1].repeat, Repeat::Always);
+    assert_eq!(decoded.routes[1].retry_policy, RetryPolicy::Always);
     let model = decoded.services[0].model.as_ref().unwrap();
     assert_eq!(model.layers, 80);
     assert!((model.token_mb - 0.007_375).abs() < 1e-9);
@@ -116,7 +116,7 @@
 fn check_names_fault() {
     let text = CONFIGURATION.replace(r#"["k3"]"#, r#"["k1"]"#);
     let decoded = configuration::decode(text.as_bytes()).unwrap();
-    let fault: Invalid = decoded.check().unwrap_err();
+    let fault: ConfigurationError = decoded.check().unwrap_err();
     assert!(fault.to_string().contains("one and two"));
     assert!(!fault.to_string().contains("k1"));
 }
