--- a/src/lib.rs
+++ b/src/lib.rs
@@ -84,16 +84,16 @@
 };
 pub use id::{Incarnation, InstanceId, OrganisationId, Revision, UpstreamId};
 pub use limit::{
-    Allocator, Amounts, Ask, Demand, Denial, DenialReason, Grant, Holder, LEASE, PERIOD, Permit,
-    Share, URGENT,
+    Allocator, Amounts, Demand, Denial, DenialReason, Grant, Holder, LEASE, MIN_REQUEST_GAP,
+    Permit, REQUEST_PERIOD, Share, ShareRequest,
 };
 pub use membership::{Member, MemberDump, MemberState, MemberView};
 pub use program::run;
 pub use queue::{Discipline, Item, Queue, Refusal, RefusalReason};
 pub use replica::{Change, Member as GroupMember, Message, Peer, Role};
 pub use route::{
-    Candidate, Choice, FlowShares, GreedyCheapest, Hop, LeastInFlight, NoPath, NoPathReason,
-    Outcome, Policy, Query, RoundRobin, Router, Site, Stage, Ticket,
+    Candidate, Choice, FlowShares, GreedyCheapest, Hop, HopContext, LeastInFlight, NoPath,
+    NoPathReason, Outcome, Policy, Query, RoundRobin, Router, Stage, Ticket,
 };
 pub use settings::Settings;
 pub use store::StoreError;
@@ -102,7 +102,8 @@
     Upstream, UpstreamDump, UpstreamState, UpstreamView,
 };
 pub use voter::{
-    ChangeError, GroupStatus, Machine, Peers, ProposeError, ReadError, Voter, VoterSettings,
+    ChangeError, GroupStatus, MessageSender, ProposeError, ReadError, StateMachine, Voter,
+    VoterSettings,
 };
 
 #[cfg(test)]
--- a/src/tests/roster.rs
+++ b/src/tests/roster.rs
@@ -18,7 +18,7 @@
 use crate::register::{self, Register};
 use crate::roster::{AnnounceOutcome, Announcement, LayerRange, Roster};
 use crate::sync::{Load, SyncRequest};
-use crate::voter::Machine;
+use crate::voter::StateMachine;
 
 const BEAT: Duration = Duration::from_millis(1200);
 
@@ -288,7 +288,7 @@
         };
         let state = leader.sync(now, ask, Duration::ZERO, None, register);
         most = most.max(state.encoded_len());
-        assert!(view.learn(now, state, BEAT));
+        assert!(view.apply(now, state, BEAT));
         if !view.has_more() {
             return most;
         }
