--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -1,8 +1,8 @@
-//! What the leading controller knows besides the replicated register: a state
-//! machine without I/O.
+//! State that the leading controller keeps in memory, besides the replicated register.
+//! Does no I/O.
 //!
-//! It begins empty with each term of leadership and fills within a heartbeat
-//! period, as every upstream and every entry instance calls again.
+//! It is empty at the start of each term and is rebuilt within a heartbeat period, as all
+//! upstreams and entry instances report again.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -22,102 +22,102 @@
 use crate::fingerprint::Fingerprint;
 use crate::register::{Quarantined, Register, Versioned};
 use crate::relay::HeartbeatDigest;
-use crate::roster::{AnnounceOutcome, Announcement, Entry, LOST_BEATS, LayerRange, Roster};
+use crate::roster::{AnnounceOutcome, Announcement, Entry, LOST_HEARTBEATS, LayerRange, Roster};
 use crate::sync::{LimitRecord, RosterDelta, SyncReply, SyncRequest, UpstreamRecord, address_key};
 
-/// Heartbeat periods after which a new leader has heard every upstream that
-/// lives: an upstream whose call fails asks the next instance within a second.
-const COMPLETE_BEATS: f64 = 2.5;
+/// Heartbeat periods after which a new leader has received a heartbeat of every live
+/// upstream: an upstream whose call fails tries the next instance within a second.
+const COMPLETE_HEARTBEATS: f64 = 2.5;
 
-/// Time after which a new leader has heard every entry instance: one that knows no
-/// leader asks the controllers in turn, a few in a second.
-const COUNTED: Duration = Duration::from_millis(300);
+/// Time after which every entry instance has sent a sync request to a new leader: an
+/// instance that knows no leader asks the controllers in turn, a few per second.
+const ENTRIES_KNOWN_AFTER: Duration = Duration::from_millis(300);
 
-/// Time for which a given order is taken to be under way. Loading a usual
-/// range takes one to four seconds; an order that was lost is given again.
-const ORDER: Duration = Duration::from_secs(6);
+/// Time after which an order counts as lost and may be sent again. Loading a usual range
+/// of layers takes one to four seconds.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Pause after an order that an engine refused.
-const REFUSED: Duration = Duration::from_millis(700);
+/// Pause before an engine that refused an order gets another.
+const REFUSED_PAUSE: Duration = Duration::from_millis(700);
 
-/// Pause after an order that an engine didn't answer.
-const UNANSWERED: Duration = Duration::from_secs(2);
+/// Pause before an engine that did not answer an order gets another.
+const UNANSWERED_PAUSE: Duration = Duration::from_secs(2);
 
-/// Departures that are told to entry instances: those of the last minutes.
-const TOLD_DEPARTED: usize = 64;
+/// Maximum number of departures sent to an entry instance: those of the last minutes.
+const MAX_DEPARTED: usize = 64;
 
-/// Upstreams that one answer tells of, some 75 bytes each. 300 instances that
-/// all begin anew are told four times a second: 11 MB a second, half of a
-/// controller's link. The users' fleets of today fit into one answer.
-const PAGE: usize = 128;
+/// Maximum number of upstreams in one sync reply, at about 75 bytes each. 300 instances
+/// that all resync four times a second receive 11 MB a second, half of a controller's link.
+/// The fleets in use today fit into one reply.
+const PAGE_UPSTREAMS: usize = 128;
 
-/// An order to an engine.
+/// An order to an engine to hold a range of layers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Placement {
+pub(crate) struct PlacementOrder {
     pub(crate) engine: Arc<str>,
     pub(crate) born: u64,
     pub(crate) address: SocketAddrV4,
     pub(crate) range: LayerRange,
-    /// Term of the leadership that gives it.
+    /// Term of the leader that issued the order.
     pub(crate) fence: u64,
 }
 
-/// An engine that is asked how fast it works.
+/// An engine to query for its pace.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Asked {
+pub(crate) struct PaceQuery {
     pub(crate) engine: Arc<str>,
     pub(crate) born: u64,
     pub(crate) address: SocketAddrV4,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Pending {
+struct PendingOrder {
     born: u64,
     range: LayerRange,
     until: Time,
-    /// Whether the engine is taken to obey.
-    sure: bool,
+    /// Whether the engine is expected to carry out the order.
+    expected: bool,
 }
 
-/// Numbers for metrics.
+/// Figures for the controller's metrics.
 #[derive(Debug, Default)]
-pub(crate) struct Counts {
-    /// Upstreams by service and state.
+pub(crate) struct LeaderCounts {
+    /// Number of upstreams by service and state.
     pub(crate) upstreams: BTreeMap<(String, &'static str), u32>,
-    /// Orders under way.
+    /// Number of pending orders.
     pub(crate) pending: usize,
-    /// Entry instances that report.
+    /// Number of entry instances that sent a sync request lately.
     pub(crate) entries: usize,
-    /// Requests suspected of crashing engines.
+    /// Number of requests suspected of crashing engines.
     pub(crate) suspects: usize,
 }
 
-/// State of one term of leadership.
+/// State of the leader during one term.
 pub(crate) struct LeaderState {
-    beat: Duration,
+    heartbeat: Duration,
     term: u64,
-    since: Time,
+    term_start: Time,
     roster: Roster,
-    /// Departures of the register that the roster knows.
-    departed: u64,
+    /// Number of the register's departures that are applied to the roster.
+    departures_seen: u64,
     reports: Reports,
     turns: Turns,
     crashes: Crashes,
     rate_limiter: RateLimiter,
-    /// Each change of it touches the upstream in the roster, since instances
-    /// see what an engine keeps, not what it holds.
-    pending: HashMap<Arc<str>, Pending>,
+    /// Orders by engine. Each change marks the upstream as changed in the roster, since
+    /// instances see the layers that an engine retains, not those that it holds.
+    pending: HashMap<Arc<str>, PendingOrder>,
 }
 
 impl LeaderState {
-    /// An empty board for upstreams that call every `beat`.
-    pub(crate) fn new(beat: Duration) -> Self {
+    /// Creates an empty state. `heartbeat` is the heartbeat period of the upstreams.
+    pub(crate) fn new(heartbeat: Duration) -> Self {
         Self {
-            beat,
+            heartbeat,
             term: 0,
-            since: Time::default(),
-            roster: Roster::new(beat),
-            departed: 0,
+            term_start: Time::default(),
+            roster: Roster::new(heartbeat),
+            departures_seen: 0,
             reports: Reports::default(),
             turns: Turns::default(),
             crashes: Crashes::default(),
@@ -126,66 +126,67 @@
         }
     }
 
-    /// Enters `term`, with an empty board if it is a new one, and takes in
-    /// what the register has learnt.
-    pub(crate) fn lead(&mut self, now: Time, term: u64, register: &Register) {
+    /// Clears the state if `term` is a new one, and applies the register's latest
+    /// departures.
+    pub(crate) fn enter_term(&mut self, now: Time, term: u64, register: &Register) {
         if self.term != term {
-            *self = Self::new(self.beat);
+            *self = Self::new(self.heartbeat);
             self.term = term;
-            self.since = now;
+            self.term_start = now;
         }
-        let (departed, count) = register.departed_after(self.departed);
+        let (departed, count) = register.departed_after(self.departures_seen);
         for start in departed {
             self.roster.retire(&start.id.as_str().into(), start.born);
         }
-        self.departed = count;
+        self.departures_seen = count;
     }
 
-    /// Takes in an announcement of an upstream that isn't leaving.
-    pub(crate) fn announce(&mut self, now: Time, news: Announcement) -> AnnounceOutcome {
-        let pending = self.pending.get(&news.id);
-        let done = |p: &Pending| p.born != news.born || news.layers == Some(p.range);
+    /// Applies an announcement of an upstream that is not leaving.
+    pub(crate) fn announce(&mut self, now: Time, announcement: Announcement) -> AnnounceOutcome {
+        let pending = self.pending.get(&announcement.id);
+        let done =
+            |p: &PendingOrder| p.born != announcement.born || announcement.layers == Some(p.range);
         if pending.is_some_and(done) {
-            self.pending.remove(&news.id);
-            self.roster.touch(&news.id);
+            self.pending.remove(&announcement.id);
+            self.roster.touch(&announcement.id);
         }
-        self.roster.announce(now, news)
+        self.roster.announce(now, announcement)
     }
 
-    /// Takes in a proof of life; see [`Roster::refresh`].
-    pub(crate) fn refresh(&mut self, now: Time, pulse: &HeartbeatDigest) -> bool {
-        self.roster.refresh(now, pulse)
+    /// Applies a heartbeat digest; see [`Roster::refresh`].
+    pub(crate) fn refresh(&mut self, now: Time, digest: &HeartbeatDigest) -> bool {
+        self.roster.refresh(now, digest)
     }
 
-    /// The upstream of this id.
+    /// Returns the upstream with this id.
     pub(crate) fn upstream(&self, id: &str) -> Option<&Entry> {
         self.roster.get(id)
     }
 
-    /// Whether this start has left.
+    /// Whether this incarnation has left.
     pub(crate) fn has_left(&self, id: &str, born: u64) -> bool {
         self.roster.is_retired(id, born)
     }
 
-    /// Lets time pass; returns the upstreams that were dropped.
+    /// Advances time. Returns the upstreams that were removed for their silence.
     pub(crate) fn tick(&mut self, now: Time) -> Vec<Arc<str>> {
         self.reports.tick(now);
-        let over = self.pending.iter().filter(|(_, p)| now >= p.until);
-        let over: Vec<Arc<str>> = over.map(|(id, _)| id.clone()).collect();
-        for id in over {
+        let expired = self.pending.iter().filter(|(_, p)| now >= p.until);
+        let expired: Vec<Arc<str>> = expired.map(|(id, _)| id.clone()).collect();
+        for id in expired {
             self.pending.remove(&id);
             self.roster.touch(&id);
         }
         self.roster.tick(now, &self.reports.suspects())
     }
 
-    /// Whether every upstream that lives has been heard in this term.
+    /// Whether every live upstream has sent a heartbeat in this term.
     fn is_complete(&self, now: Time) -> bool {
-        now.since(self.since) >= self.beat.mul_f64(COMPLETE_BEATS)
+        now.since(self.term_start) >= self.heartbeat.mul_f64(COMPLETE_HEARTBEATS)
     }
 
-    /// Answers an entry instance. `age` tells how old the confirmation of the
-    /// register by a quorum is.
+    /// Answers a sync request of an entry instance. `age` is the time since a quorum
+    /// confirmed the register.
     pub(crate) fn sync(
         &mut self,
         now: Time,
@@ -195,11 +196,11 @@
         register: &Register,
     ) -> SyncReply {
         let current_version = current.as_ref().map_or(0, |c| c.version);
-        let newer = current.filter(|c| c.version != ask.version);
-        let known = ask.term == self.term
+        let other_version = current.filter(|c| c.version != ask.version);
+        let up_to_date = ask.term == self.term
             && ask.revision == self.roster.changes().revision()
             && ask.complete == self.is_complete(now);
-        let roster = (!known).then(|| self.record(now, &ask, register));
+        let roster = (!up_to_date).then(|| self.roster_delta(now, &ask, register));
         let instance = ask.instance;
         self.record_runs(now, &ask);
         let instances = self.reports.len() as u32;
@@ -212,12 +213,12 @@
         SyncReply {
             age: micros(age),
             version: current_version,
-            body: newer.map(|c| c.body),
+            body: other_version.map(|c| c.body),
             roster,
             work: self.reports.tell(now, instance),
             entries: self.reports.len() as u32,
             voters: Vec::new(),
-            entries_known: now.since(self.since) >= COUNTED,
+            entries_known: now.since(self.term_start) >= ENTRIES_KNOWN_AFTER,
             term: self.term,
             suspects: self.crashes.suspects().map(Fingerprint::bytes).collect(),
             quarantine: None,
@@ -261,12 +262,12 @@
         now: Time,
         register: &Register,
     ) -> Vec<CrashingRequest> {
-        let refused = register.quarantined();
-        let refused: HashSet<Fingerprint> = refused
+        let quarantined = register.quarantined();
+        let quarantined: HashSet<Fingerprint> = quarantined
             .iter()
             .filter_map(Quarantined::fingerprint)
             .collect();
-        self.crashes.tick(now, |f| refused.contains(f))
+        self.crashes.tick(now, |f| quarantined.contains(f))
     }
 
     /// Removes a request from all recorded crashes.
@@ -274,32 +275,32 @@
         self.crashes.forget(fingerprint);
     }
 
-    /// The next part of the roster that the asker misses.
-    fn record(&self, now: Time, ask: &SyncRequest, register: &Register) -> RosterDelta {
+    /// Returns the next page of roster changes that the sender of `ask` lacks.
+    fn roster_delta(&self, now: Time, ask: &SyncRequest, register: &Register) -> RosterDelta {
         let changes = self.roster.changes();
         let known = if ask.term == self.term {
             ask.revision
         } else {
             0
         };
-        let since = changes.base(known);
-        let page = changes.after(since).take(PAGE);
+        let since = changes.resume_point(known);
+        let page = changes.after(since).take(PAGE_UPSTREAMS);
         let (mut upstreams, mut removed) = (Vec::new(), Vec::new());
         let mut revision = since;
         for (changed, id) in page {
             revision = changed;
             match self.roster.get(id) {
-                Some(e) => upstreams.push(UpstreamRecord::new(e, self.kept(&e.last))),
+                Some(e) => upstreams.push(UpstreamRecord::new(e, self.retained_layers(&e.last))),
                 None => removed.push(id.to_string()),
             }
         }
         let more = changes.after(revision).next().is_some();
         let complete = !more && self.is_complete(now);
-        let departed = if complete { 0 } else { TOLD_DEPARTED };
+        let departed = if complete { 0 } else { MAX_DEPARTED };
         RosterDelta {
             term: self.term,
             since,
-            // Of changes that were overtaken by later ones, nothing is left.
+            // Changes that were superseded by later ones are no longer listed.
             revision: if more { revision } else { changes.revision() },
             complete,
             upstreams,
@@ -309,50 +310,54 @@
         }
     }
 
-    /// The layers of a start without those that it was ordered to give up. It
-    /// takes nothing new for them.
-    fn kept(&self, start: &Announcement) -> Option<LayerRange> {
+    /// Returns the layers of an upstream without those that it was ordered to release:
+    /// it accepts no new requests for them.
+    fn retained_layers(&self, start: &Announcement) -> Option<LayerRange> {
         match self.pending_of(start) {
             Some(pending) => start.layers?.intersection(pending.range),
             None => start.layers,
         }
     }
 
-    /// The order that is under way for a start.
-    fn pending_of(&self, start: &Announcement) -> Option<&Pending> {
+    /// Returns the pending order of an upstream.
+    fn pending_of(&self, start: &Announcement) -> Option<&PendingOrder> {
         let pending = self.pending.get(&start.id);
         pending.filter(|p| p.born == start.born)
     }
 
-    /// Whether what is known of the upstreams is enough to give orders.
+    /// Whether enough upstreams are known to issue orders.
     ///
-    /// Before all are heard, engines that hold layers seem to be missing. Once
-    /// they are, a gap doesn't wait for those that join: where the operator
-    /// replaces an engine each second, no moment is without one that has joined
-    /// lately, and gaps stayed open for 5.5 s.
+    /// Until all have sent a heartbeat, layers that are held seem to be missing. After that,
+    /// orders don't wait for engines that join: while an operator replaced one engine per
+    /// second, there was always one that had just joined, and gaps stayed open for 5.5 s.
     fn may_order(&self, now: Time) -> bool {
-        // An established leader has dropped a silent one by then.
-        let heard = now.since(self.since) >= self.beat.mul_f64(LOST_BEATS);
+        // By then, silent upstreams have been removed.
+        let heard = now.since(self.term_start) >= self.heartbeat.mul_f64(LOST_HEARTBEATS);
         self.is_complete(now) && (heard || self.roster.is_settled(now))
     }
 
-    /// Orders that the layers of the configuration's models need now.
-    pub(crate) fn orders(&mut self, now: Time, configuration: &Configuration) -> Vec<Placement> {
+    /// Returns the orders that are due now for the models of the configuration.
+    pub(crate) fn orders(
+        &mut self,
+        now: Time,
+        configuration: &Configuration,
+    ) -> Vec<PlacementOrder> {
         if !self.may_order(now) {
             return Vec::new();
         }
         let settled = self.roster.is_settled(now);
-        // While nobody holds layers, the first to announce itself would get
-        // those that belong on the fastest.
+        // While no engine holds layers, the first to announce itself would get the layers
+        // that belong on the fastest one.
         let models = configuration.models();
         let models = models.filter(|(s, _)| settled || self.holds_layers(s));
-        let orders: Vec<Placement> = models.flat_map(|(s, m)| self.place(s, m)).collect();
+        let orders: Vec<PlacementOrder> =
+            models.flat_map(|(s, m)| self.plan_orders(s, m)).collect();
         for order in &orders {
-            let pending = Pending {
+            let pending = PendingOrder {
                 born: order.born,
                 range: order.range,
-                until: now + ORDER,
-                sure: true,
+                until: now + ORDER_TIMEOUT,
+                expected: true,
             };
             self.pending.insert(order.engine.clone(), pending);
             self.roster.touch(&order.engine);
@@ -360,7 +365,7 @@
         orders
     }
 
-    /// The upstreams of a service, in the order of their ids.
+    /// Returns the upstreams of a service, ordered by id.
     fn members(&self, service: &str) -> impl Iterator<Item = &Entry> {
         let list = self.roster.list().into_iter();
         list.filter(move |e| e.last.service == service)
@@ -370,7 +375,7 @@
         self.members(service).any(|e| e.last.layers.is_some())
     }
 
-    fn place(&self, service: &str, model: &Model) -> Vec<Placement> {
+    fn plan_orders(&self, service: &str, model: &Model) -> Vec<PlacementOrder> {
         let (entries, workers): (Vec<_>, Vec<_>) = self
             .members(service)
             .filter_map(|e| Some((e, self.worker(e, model)?)))
@@ -378,7 +383,7 @@
         let moves = placement::plan(model, &workers);
         let orders = moves.into_iter().map(|m| {
             let last = &entries[m.worker].last;
-            Placement {
+            PlacementOrder {
                 engine: last.id.clone(),
                 born: last.born,
                 address: last.address,
@@ -401,17 +406,17 @@
             read_factor: accelerator.read_factor,
             used_mb: f64::from(used.memory),
             held: match pending {
-                Some(pending) if pending.sure => Some(pending.range),
-                _ => self.kept(last),
+                Some(pending) if pending.expected => Some(pending.range),
+                _ => self.retained_layers(last),
             },
             loaded: last.layers,
             busy: pending.is_some(),
         })
     }
 
-    /// For each domain with engines of `service`, the layers of its model that
-    /// no engine there holds.
-    pub(crate) fn missing(
+    /// Returns the model's layers that no engine holds, for each failure domain with engines
+    /// of `service`.
+    pub(crate) fn missing_layers(
         &self,
         service: &str,
         model: &Model,
@@ -425,36 +430,37 @@
         held.into_iter().map(|(d, r)| (d, gaps(r))).collect()
     }
 
-    /// Engines that are to be asked now how fast they work: in turn those that
-    /// requests pass through, or that were slow.
-    pub(crate) fn ask_next(&mut self) -> Vec<Asked> {
-        let at_work = |e: &&Entry| {
+    /// Returns the engines to query for their pace now, in turn: those that process requests
+    /// or were slow.
+    pub(crate) fn next_pace_queries(&mut self) -> Vec<PaceQuery> {
+        let is_queried = |e: &&Entry| {
             let used = self.reports.at(address_key(e.last.address));
             e.last.layers.is_some() && (used.requests > 0 || e.pace > 1.0)
         };
         let list = self.roster.list().into_iter();
-        let engines: Vec<&Entry> = list.filter(at_work).collect();
-        let turn = self.turns.take(&engines).into_iter();
-        turn.map(|e| Asked {
-            engine: e.last.id.clone(),
-            born: e.last.born,
-            address: e.last.address,
-        })
-        .collect()
+        let engines: Vec<&Entry> = list.filter(is_queried).collect();
+        let selected = self.turns.take(&engines).into_iter();
+        selected
+            .map(|e| PaceQuery {
+                engine: e.last.id.clone(),
+                born: e.last.born,
+                address: e.last.address,
+            })
+            .collect()
     }
 
-    /// Notes how fast an engine works. Returns whether instances hear of it.
-    pub(crate) fn set_pace(&mut self, asked: &Asked, reported: f64) -> bool {
-        self.roster.set_pace(&asked.engine, asked.born, reported)
+    /// Records the pace that an engine reported. Returns whether instances are notified.
+    pub(crate) fn set_pace(&mut self, query: &PaceQuery, reported: f64) -> bool {
+        self.roster.set_pace(&query.engine, query.born, reported)
     }
 
-    /// What the metrics show.
-    pub(crate) fn counts(&self) -> Counts {
-        let mut counts = Counts {
+    /// Returns the figures for the metrics.
+    pub(crate) fn counts(&self) -> LeaderCounts {
+        let mut counts = LeaderCounts {
             pending: self.pending.len(),
             entries: self.reports.len(),
             suspects: self.crashes.suspects().count(),
-            ..Counts::default()
+            ..LeaderCounts::default()
         };
         for entry in self.roster.list() {
             let state = match entry.late {
@@ -468,8 +474,8 @@
         counts
     }
 
-    /// Notes that an engine reports to hold what it was ordered to.
-    pub(crate) fn carried_out(&mut self, order: &Placement) {
+    /// Records that an engine holds the layers that it was ordered to hold.
+    pub(crate) fn complete_order(&mut self, order: &PlacementOrder) {
         if !self.is_pending(order) {
             return;
         }
@@ -479,31 +485,33 @@
             .set_layers(&order.engine, order.born, order.range);
     }
 
-    /// Whether an order is still taken to be under way.
-    pub(crate) fn is_pending(&self, order: &Placement) -> bool {
+    /// Whether an order is still pending.
+    pub(crate) fn is_pending(&self, order: &PlacementOrder) -> bool {
         let pending = self.pending.get(&order.engine);
         pending.is_some_and(|p| p.born == order.born && p.range == order.range)
     }
 
-    /// Notes that an engine didn't answer an order. It may obey late, so it gets
-    /// nothing new for what it would give up, and no other order for a while;
-    /// but what it was to load is missing, and another engine may take it.
-    pub(crate) fn unanswered(&mut self, now: Time, engine: &str) {
+    /// Records that an engine did not answer an order.
+    ///
+    /// It may still carry it out, so it gets no new requests for layers that it would release,
+    /// and no other order for a while. The layers that it was to load count as missing, so
+    /// another engine may load them.
+    pub(crate) fn record_unanswered(&mut self, now: Time, engine: &str) {
         if let Some(pending) = self.pending.get_mut(engine) {
-            pending.sure = false;
-            pending.until = now + UNANSWERED;
+            pending.expected = false;
+            pending.until = now + UNANSWERED_PAUSE;
         }
     }
 
-    /// Notes that an engine didn't take an order; it may get another soon.
-    pub(crate) fn refused(&mut self, now: Time, engine: &str) {
+    /// Records that an engine refused an order. It may get another one soon.
+    pub(crate) fn record_refusal(&mut self, now: Time, engine: &str) {
         if let Some(pending) = self.pending.get_mut(engine) {
-            pending.until = now + REFUSED;
+            pending.until = now + REFUSED_PAUSE;
         }
     }
 }
 
-/// The runs of layers that none of `ranges` holds.
+/// Returns the contiguous ranges of layers that none of `ranges` covers.
 fn uncovered(layers: u32, mut ranges: Vec<LayerRange>) -> Vec<LayerRange> {
     ranges.sort_unstable();
     let mut gaps = Vec::new();
--- a/src/controller/measure.rs
+++ b/src/controller/measure.rs
@@ -31,7 +31,7 @@
         metrics::gauge!(metric::ENTRIES.name).set(valid * counts.entries as f64);
         let models = table.iter().flat_map(|t| t.configuration.models());
         for (service, model) in models {
-            for (domain, ranges) in state.missing(service, model) {
+            for (domain, ranges) in state.missing_layers(service, model) {
                 let layers: u32 = ranges.iter().map(|r| r.len()).sum();
                 let labels = [("service", service.to_owned()), ("domain", domain)];
                 metrics::gauge!(metric::MISSING.name, &labels).set(valid * f64::from(layers));
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -310,7 +310,7 @@
     fn leading(&self) -> Option<MutexGuard<'_, LeaderState>> {
         let term = self.lead().term?;
         let mut state = self.leader_state();
-        state.lead(self.now(), term, &self.register);
+        state.enter_term(self.now(), term, &self.register);
         Some(state)
     }
 
@@ -405,7 +405,7 @@
         }
         self.report_coverage(&state, &table);
         let orders = state.orders(now, &table.configuration);
-        let asked = state.ask_next();
+        let asked = state.next_pace_queries();
         drop(state);
         for asked in asked {
             tokio::spawn(Arc::clone(self).ask_pace(asked));
@@ -418,7 +418,7 @@
     /// Logs which layers no engine of a domain holds, when that changes.
     fn report_coverage(&self, state: &LeaderState, table: &RoutingTable) {
         let models = table.configuration.models();
-        let coverage: Vec<_> = models.map(|(s, m)| state.missing(s, m)).collect();
+        let coverage: Vec<_> = models.map(|(s, m)| state.missing_layers(s, m)).collect();
         let mut last = self.coverage.lock().unwrap_or_else(PoisonError::into_inner);
         if *last != coverage {
             tracing::info!(
--- a/src/controller/pace.rs
+++ b/src/controller/pace.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Controller;
-use super::leader::Asked;
+use super::leader::PaceQuery;
 use crate::engine::report;
 use crate::event;
 use crate::platform::engine;
@@ -14,7 +14,7 @@
 
 impl Controller {
     /// Asks one engine, and notes its answer.
-    pub(super) async fn ask_pace(self: Arc<Self>, asked: Asked) {
+    pub(super) async fn ask_pace(self: Arc<Self>, asked: PaceQuery) {
         let report = report(asked.address.into(), &asked.engine, ANSWER).await;
         let Some(report) = report else {
             tracing::debug!(upstream = %asked.engine, "no report");
--- a/src/controller/place.rs
+++ b/src/controller/place.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::Controller;
-use super::leader::Placement;
+use super::leader::PlacementOrder;
 use crate::engine::{call, report};
 use crate::event;
 use crate::metric;
@@ -51,7 +51,7 @@
 
 impl Controller {
     /// Gives one order when it is its turn, and looks until it is carried out.
-    pub(super) async fn place(self: Arc<Self>, order: Placement) {
+    pub(super) async fn place(self: Arc<Self>, order: PlacementOrder) {
         let Ok(turn) = self.calls.orders.acquire().await else {
             return;
         };
@@ -70,7 +70,7 @@
 
     /// Gives one order, and notes what became of it. Returns whether the engine
     /// may carry it out.
-    async fn give(&self, order: &Placement) -> bool {
+    async fn give(&self, order: &PlacementOrder) -> bool {
         let body = Bytes::from(engine::place(order.range, order.fence));
         let request = Request::post(engine::ORDER);
         let answer = call(order.address.into(), &order.engine, request, body, ANSWER).await;
@@ -78,8 +78,12 @@
         let taken = engine::is_taken(status);
         match status {
             Some(_) if taken => {}
-            Some(_) => self.leader_state().refused(self.now(), &order.engine),
-            None => self.leader_state().unanswered(self.now(), &order.engine),
+            Some(_) => self
+                .leader_state()
+                .record_refusal(self.now(), &order.engine),
+            None => self
+                .leader_state()
+                .record_unanswered(self.now(), &order.engine),
         }
         let label = status.map_or("none".to_owned(), |s| s.as_u16().to_string());
         metrics::counter!(metric::ORDERS.name, "status" => label).increment(1);
@@ -97,7 +101,7 @@
     }
 
     /// Asks an engine until it reports what it was ordered to hold.
-    async fn look(&self, order: &Placement) {
+    async fn look(&self, order: &PlacementOrder) {
         loop {
             sleep(LOOK).await;
             if !self.leader_state().is_pending(order) {
@@ -107,7 +111,7 @@
                 continue;
             };
             if engine::reported_layers(&report) == Some(order.range) {
-                self.leader_state().carried_out(order);
+                self.leader_state().complete_order(order);
             }
         }
     }
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -1,5 +1,4 @@
-//! The upstreams that announce themselves, as the leading controller knows
-//! them: a state machine without I/O.
+//! Upstreams known to the leading controller from their heartbeats. Does no I/O.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -13,32 +12,32 @@
 
 mod changes;
 
-/// Heartbeats that an upstream may miss before it is avoided where another
-/// can serve. One may be lost with the instance that it was sent to; the
-/// sender then asks the next one within a second.
-const LATE_BEATS: f64 = 2.2;
+/// Heartbeat periods of silence after which an upstream is avoided where another can serve.
+/// One heartbeat may be lost with the instance that it was sent to; the sender then tries
+/// the next instance within a second.
+const LATE_HEARTBEATS: f64 = 2.2;
 
-/// Heartbeats that an upstream may miss before it is dropped. Heartbeats may
-/// arrive seconds late; dropping a sound engine costs a load of its layers.
-pub(crate) const LOST_BEATS: f64 = 4.0;
+/// Heartbeat periods of silence after which an upstream is removed. Heartbeats may arrive
+/// seconds late, and removing a healthy engine means that its layers are loaded again.
+pub(crate) const LOST_HEARTBEATS: f64 = 4.0;
 
-/// As [`LATE_BEATS`] and [`LOST_BEATS`], of an upstream that several instances
-/// found dead. A second witness may miss a heartbeat, but then requests fail
-/// there as well: waiting on would only fail more of them.
-const SUSPECT_LATE_BEATS: f64 = 1.1;
-const SUSPECT_LOST_BEATS: f64 = 2.0;
+/// [`LATE_HEARTBEATS`] and [`LOST_HEARTBEATS`] of an upstream that several instances suspect.
+/// Even if only its heartbeats were late, requests to it fail, and waiting longer would fail
+/// more of them.
+const SUSPECT_LATE_HEARTBEATS: f64 = 1.1;
+const SUSPECT_LOST_HEARTBEATS: f64 = 2.0;
 
-/// Instances that must suspect an upstream. One alone may be cut off from it.
-const WITNESSES: usize = 2;
+/// Number of instances that must suspect an upstream. A single one may be cut off from it.
+const MIN_WITNESSES: usize = 2;
 
-/// Instances that must suspect an upstream for the others to be told at once, and
-/// the part of a heartbeat period for which its latest heartbeat speaks for it.
-const CROWD: usize = 4;
-const SPOKEN_FOR: f64 = 0.25;
+/// Number of instances that must suspect an upstream for the others to be notified at once,
+/// and the part of a heartbeat period for which its latest heartbeat rules that out.
+const BROADCAST_WITNESSES: usize = 4;
+const BROADCAST_SILENCE: f64 = 0.25;
 
-/// Sequence numbers below which an unknown upstream at a taken address counts
-/// as its successor. A new one begins at 1; its first call or two may be lost.
-const FRESH_SEQUENCE: u64 = 4;
+/// Sequence number from which an unknown upstream at a taken address does not count as the
+/// successor there. A new upstream begins at 1, and its first calls may be lost.
+const ESTABLISHED_SEQUENCE: u64 = 4;
 
 /// Layers `first` (inclusive) to `end` (exclusive). Never empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -49,7 +48,7 @@
 
 impl LayerRange {
     pub(crate) fn new(first: u32, end: u32) -> Self {
-        debug_assert!(first < end, "an empty range of layers");
+        debug_assert!(first < end, "layer range is empty");
         Self { first, end }
     }
 
@@ -58,118 +57,122 @@
         self.end - self.first
     }
 
-    /// Whether all of `other` is in the range.
+    /// Whether the range contains all of `other`.
     pub(crate) fn covers(self, other: Self) -> bool {
         self.first <= other.first && other.end <= self.end
     }
 
-    /// What two ranges have in common.
+    /// Returns the intersection, or `None` if it is empty.
     pub(crate) fn intersection(self, other: Self) -> Option<Self> {
         let (first, end) = (self.first.max(other.first), self.end.min(other.end));
         (first < end).then(|| Self::new(first, end))
     }
 
-    /// Whether `layer` is in the range.
     pub(crate) fn contains(self, layer: u32) -> bool {
         self.first <= layer && layer < self.end
     }
 }
 
-/// What an upstream says of itself.
+/// Description of an upstream, as sent in its heartbeats.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Announcement {
     pub(crate) id: Arc<str>,
-    /// Start of the process, where ids are used again; else 0. A higher one
-    /// supersedes a lower one of the same id.
+    /// Incarnation of the upstream: the start time of its process where ids are reused, else
+    /// 0. A higher one supersedes a lower one of the same id.
     pub(crate) born: u64,
-    /// Grows with each call of one start.
+    /// Increases with each heartbeat of one incarnation.
     pub(crate) sequence: u64,
     pub(crate) service: String,
     pub(crate) address: SocketAddrV4,
     pub(crate) domain: String,
-    /// Requests that it takes at once.
+    /// Number of requests that it processes at once.
     pub(crate) slots: u32,
-    /// Whether it asks for no more work.
+    /// Whether it is shutting down and accepts no new requests.
     pub(crate) leaving: bool,
     /// Kind of its accelerator.
     pub(crate) kind: Option<String>,
-    /// Layers that it holds.
+    /// Layers that it has loaded.
     pub(crate) layers: Option<LayerRange>,
 }
 
 /// One upstream in the roster.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
+    /// Latest announcement.
     pub(crate) last: Announcement,
+    /// Time of the latest heartbeat.
     pub(crate) heard: Time,
-    /// Whether it is avoided for its silence.
+    /// Whether it is avoided because its heartbeats are late.
     pub(crate) late: bool,
-    /// How many times as long as usual it takes for its work.
+    /// Factor on the usual duration of its work: 1 is normal speed, higher is slower.
     pub(crate) pace: f64,
-    /// Whether several instances found it dead.
+    /// Whether several instances failed to reach it.
     pub(crate) suspected: bool,
 }
 
-/// What became of an announcement.
+/// Result of applying an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnnounceOutcome {
-    /// A new start of an upstream.
+    /// A new incarnation of an upstream.
     New,
-    /// News or proof of life of a known one.
+    /// A heartbeat of a known one.
     Known,
-    /// Older than what is known; nothing changed.
+    /// Older than the known state, which stays.
     Stale,
 }
 
-/// All upstreams that may be given work.
+/// All upstreams that may receive requests.
 #[derive(Debug)]
 pub(crate) struct Roster {
-    beat: Duration,
+    heartbeat: Duration,
     entries: HashMap<Arc<str>, Entry>,
-    /// Ids of `entries` by address, at which only one can be.
+    /// Ids of `entries` by address; each address has one upstream.
     addresses: HashMap<SocketAddrV4, Arc<str>>,
-    /// Starts that must not come back: left, or replaced at their address.
-    /// Holds the `born` of the latest.
-    ended: HashMap<Arc<str>, u64>,
-    /// What instances must hear of.
+    /// Incarnations that must not return, since they left or were replaced at their address:
+    /// the highest `born` by id.
+    retired: HashMap<Arc<str>, u64>,
+    /// Changes to send to the entry instances.
     changes: Changes,
-    /// When an upstream last appeared.
-    joined: Option<Time>,
+    /// Time at which the latest new incarnation appeared.
+    last_join: Option<Time>,
 }
 
 impl Roster {
-    /// An empty roster of upstreams that call every `beat`.
-    pub(crate) fn new(beat: Duration) -> Self {
+    /// Creates an empty roster. `heartbeat` is the heartbeat period of the upstreams.
+    pub(crate) fn new(heartbeat: Duration) -> Self {
         Self {
-            beat,
+            heartbeat,
             entries: HashMap::default(),
             addresses: HashMap::default(),
-            ended: HashMap::default(),
+            retired: HashMap::default(),
             changes: Changes::default(),
-            joined: None,
+            last_join: None,
         }
     }
 
-    /// Takes in an announcement of an upstream that isn't leaving.
-    pub(crate) fn announce(&mut self, now: Time, news: Announcement) -> AnnounceOutcome {
-        if self.is_retired(&news.id, news.born) || self.is_superseded(now, &news) {
+    /// Applies an announcement of an upstream that is not leaving.
+    pub(crate) fn announce(&mut self, now: Time, announcement: Announcement) -> AnnounceOutcome {
+        if self.is_retired(&announcement.id, announcement.born)
+            || self.is_superseded(now, &announcement)
+        {
             return AnnounceOutcome::Stale;
         }
-        let entry = self.entries.get(&news.id);
+        let entry = self.entries.get(&announcement.id);
         let known = entry.map(|e| &e.last);
-        let fresh = known.is_none_or(|k| k.born < news.born);
-        if known.is_some_and(|k| (k.born, k.sequence) >= (news.born, news.sequence)) {
+        let fresh = known.is_none_or(|k| k.born < announcement.born);
+        if known.is_some_and(|k| (k.born, k.sequence) >= (announcement.born, announcement.sequence))
+        {
             return AnnounceOutcome::Stale;
         }
-        let changed = known.is_none_or(|k| differs(k, &news));
+        let changed = known.is_none_or(|k| is_notable(k, &announcement));
         let pace = entry.filter(|_| !fresh).map_or(1.0, |e| e.pace);
-        self.displace(&news);
+        self.evict_holder(&announcement);
         let entry = Entry {
             heard: now,
             late: false,
             suspected: false,
             pace,
-            last: news,
+            last: announcement,
         };
         let id = entry.last.id.clone();
         let address = entry.last.address;
@@ -179,49 +182,49 @@
         }
         self.addresses.insert(address, id.clone());
         if changed || before.is_some_and(|b| b.late || b.suspected) {
-            self.changes.note(&id);
+            self.changes.note_change(&id);
         }
         if !fresh {
             return AnnounceOutcome::Known;
         }
-        self.joined = Some(now);
+        self.last_join = Some(now);
         AnnounceOutcome::New
     }
 
-    /// Takes in a proof of life. Returns whether the announcement of this `digest`
-    /// is what is known of the start; if not, it is needed in full.
-    pub(crate) fn refresh(&mut self, now: Time, pulse: &HeartbeatDigest) -> bool {
-        if self.is_retired(&pulse.id, pulse.born) {
+    /// Applies a heartbeat digest. Returns whether it matches the known announcement; if not,
+    /// the full announcement is needed.
+    pub(crate) fn refresh(&mut self, now: Time, digest: &HeartbeatDigest) -> bool {
+        if self.is_retired(&digest.id, digest.born) {
             return true;
         }
-        let Some(entry) = self.entries.get_mut(&*pulse.id) else {
+        let Some(entry) = self.entries.get_mut(&*digest.id) else {
             return false;
         };
         let last = &mut entry.last;
-        if last.born != pulse.born || relay::digest(last) != pulse.digest {
+        if last.born != digest.born || relay::digest(last) != digest.digest {
             return false;
         }
-        if last.sequence >= pulse.sequence {
+        if last.sequence >= digest.sequence {
             return true;
         }
-        last.sequence = pulse.sequence;
+        last.sequence = digest.sequence;
         entry.heard = now;
         let late = std::mem::take(&mut entry.late);
         if std::mem::take(&mut entry.suspected) || late {
             let id = entry.last.id.clone();
-            self.changes.note(&id);
+            self.changes.note_change(&id);
         }
         true
     }
 
-    /// Whether this start has left or was replaced.
+    /// Whether this incarnation has left or was replaced.
     pub(crate) fn is_retired(&self, id: &str, born: u64) -> bool {
-        self.ended.get(id).is_some_and(|&b| born <= b)
+        self.retired.get(id).is_some_and(|&b| born <= b)
     }
 
-    /// Notes that a start gets no more work and mustn't come back.
+    /// Removes an incarnation and all earlier ones for good.
     pub(crate) fn retire(&mut self, id: &Arc<str>, born: u64) {
-        let latest = self.ended.entry(id.clone()).or_default();
+        let latest = self.retired.entry(id.clone()).or_default();
         *latest = (*latest).max(born);
         let gone = self.entries.get(id).is_some_and(|e| e.last.born <= born);
         if gone {
@@ -232,30 +235,29 @@
     fn remove(&mut self, id: &Arc<str>) {
         if let Some(entry) = self.entries.remove(id) {
             self.addresses.remove(&entry.last.address);
-            self.changes.leave(id);
+            self.changes.note_removal(id);
         }
     }
 
-    /// Notes that instances must hear of an upstream, for what isn't part of
-    /// its announcements.
+    /// Marks an upstream as changed, for changes outside its announcements.
     pub(crate) fn touch(&mut self, id: &Arc<str>) {
         if self.entries.contains_key(id) {
-            self.changes.note(id);
+            self.changes.note_change(id);
         }
     }
 
-    /// Notes what a start holds, from another source than its heartbeats.
+    /// Sets the layers of an incarnation, learned from another source than its heartbeats.
     pub(crate) fn set_layers(&mut self, id: &str, born: u64, range: LayerRange) {
         let entry = self.entries.get_mut(id).filter(|e| e.last.born == born);
         let Some(entry) = entry else { return };
         if entry.last.layers != Some(range) {
             entry.last.layers = Some(range);
             let id = entry.last.id.clone();
-            self.changes.note(&id);
+            self.changes.note_change(&id);
         }
     }
 
-    /// Notes how fast a start works. Returns whether instances hear of it.
+    /// Sets the pace of an incarnation. Returns whether it changed enough to notify instances.
     pub(crate) fn set_pace(&mut self, id: &str, born: u64, reported: f64) -> bool {
         let entry = self.entries.get_mut(id).filter(|e| e.last.born == born);
         let Some(entry) = entry else { return false };
@@ -264,12 +266,13 @@
         };
         entry.pace = pace;
         let id = entry.last.id.clone();
-        self.changes.note(&id);
+        self.changes.note_change(&id);
         true
     }
 
-    /// Lets time pass: the silent ones are avoided, then dropped. `suspects`
-    /// counts the instances at which requests failed there, by address.
+    /// Marks silent upstreams as late, then removes them. Returns the removed ones.
+    ///
+    /// `suspects` is the number of instances whose requests failed at each address.
     pub(crate) fn tick(
         &mut self,
         now: Time,
@@ -278,20 +281,21 @@
         let mut dropped = Vec::new();
         for (id, entry) in &mut self.entries {
             let witnesses = suspects.get(&entry.last.address).copied().unwrap_or(0);
-            let (late, lost) = match witnesses >= WITNESSES {
-                true => (SUSPECT_LATE_BEATS, SUSPECT_LOST_BEATS),
-                false => (LATE_BEATS, LOST_BEATS),
+            let (late, lost) = match witnesses >= MIN_WITNESSES {
+                true => (SUSPECT_LATE_HEARTBEATS, SUSPECT_LOST_HEARTBEATS),
+                false => (LATE_HEARTBEATS, LOST_HEARTBEATS),
             };
-            let (late, lost) = (self.beat.mul_f64(late), self.beat.mul_f64(lost));
+            let (late, lost) = (self.heartbeat.mul_f64(late), self.heartbeat.mul_f64(lost));
             let silent = now.since(entry.heard);
             if silent >= late && !entry.late {
                 entry.late = true;
-                self.changes.note(id);
+                self.changes.note_change(id);
             }
-            let suspected = witnesses >= CROWD && silent >= self.beat.mul_f64(SPOKEN_FOR);
+            let suspected = witnesses >= BROADCAST_WITNESSES
+                && silent >= self.heartbeat.mul_f64(BROADCAST_SILENCE);
             if suspected != entry.suspected {
                 entry.suspected = suspected;
-                self.changes.note(id);
+                self.changes.note_change(id);
             }
             if silent >= lost {
                 dropped.push(id.clone());
@@ -303,63 +307,62 @@
         dropped
     }
 
-    /// The upstreams, in the order of their ids.
+    /// Returns the upstreams, ordered by id.
     pub(crate) fn list(&self) -> Vec<&Entry> {
         let mut list: Vec<_> = self.entries.values().collect();
         list.sort_unstable_by(|a, b| a.last.id.cmp(&b.last.id));
         list
     }
 
-    /// The upstream of this id.
+    /// Returns the upstream with this id.
     pub(crate) fn get(&self, id: &str) -> Option<&Entry> {
         self.entries.get(id)
     }
 
-    /// What changed, and when.
+    /// Returns the change log.
     pub(crate) fn changes(&self) -> &Changes {
         &self.changes
     }
 
-    /// Whether no upstream has appeared for a heartbeat and a bit.
+    /// Whether no new upstream has appeared for 1.25 heartbeat periods.
     pub(crate) fn is_settled(&self, now: Time) -> bool {
-        let beat = self.beat.mul_f64(1.25);
-        self.joined.is_some_and(|at| now.since(at) >= beat)
+        let heartbeat = self.heartbeat.mul_f64(1.25);
+        self.last_join.is_some_and(|at| now.since(at) >= heartbeat)
     }
 
-    /// Whether another upstream holds the address, and the news may be older
-    /// than that one.
+    /// Whether another upstream holds the address, and the announcement may be older than it.
     ///
-    /// A heartbeat that a partition delayed can arrive after its sender has
-    /// crashed and another start took the address. Believed, it would bring
-    /// requests to an upstream under a wrong name, which refuses each.
-    fn is_superseded(&self, now: Time, news: &Announcement) -> bool {
-        let Some(holder) = self.holder(news) else {
+    /// A heartbeat delayed by a partition can arrive after its sender has crashed and another
+    /// upstream took the address. If it were applied, requests would be sent to the new
+    /// upstream under the wrong id, and it would refuse them.
+    fn is_superseded(&self, now: Time, announcement: &Announcement) -> bool {
+        let Some(holder) = self.holder(announcement) else {
             return false;
         };
-        if news.born != holder.last.born {
-            return news.born < holder.last.born;
+        if announcement.born != holder.last.born {
+            return announcement.born < holder.last.born;
         }
-        let silent = now.since(holder.heard) >= self.beat.mul_f64(LATE_BEATS);
-        news.sequence >= FRESH_SEQUENCE && !silent
+        let silent = now.since(holder.heard) >= self.heartbeat.mul_f64(LATE_HEARTBEATS);
+        announcement.sequence >= ESTABLISHED_SEQUENCE && !silent
     }
 
-    /// Ends whoever held the address before.
-    fn displace(&mut self, news: &Announcement) {
-        let before = self.holder(news);
+    /// Retires the upstream that held the address before.
+    fn evict_holder(&mut self, announcement: &Announcement) {
+        let before = self.holder(announcement);
         if let Some((id, born)) = before.map(|e| (e.last.id.clone(), e.last.born)) {
             self.retire(&id, born);
         }
     }
 
-    /// Another upstream at the address of the news.
-    fn holder(&self, news: &Announcement) -> Option<&Entry> {
-        let id = self.addresses.get(&news.address);
-        self.entries.get(id.filter(|id| **id != news.id)?)
+    /// Returns another upstream at the address of the announcement.
+    fn holder(&self, announcement: &Announcement) -> Option<&Entry> {
+        let id = self.addresses.get(&announcement.address);
+        self.entries.get(id.filter(|id| **id != announcement.id)?)
     }
 }
 
-/// Whether instances must hear of the difference.
-fn differs(old: &Announcement, new: &Announcement) -> bool {
+/// Whether instances need to be notified of the difference.
+fn is_notable(old: &Announcement, new: &Announcement) -> bool {
     (old.born, old.address, old.layers, old.slots) != (new.born, new.address, new.layers, new.slots)
         || old.service != new.service
         || old.domain != new.domain
--- a/src/roster/changes.rs
+++ b/src/roster/changes.rs
@@ -1,78 +1,76 @@
-//! What changed in the roster, and when: so that an instance is told only what
-//! it misses.
+//! Change log of the roster, so that an instance is sent only the changes that it lacks.
 //!
-//! A fleet of 3,000 engines weighs 230 KB. Sent whole to 300 instances at each
-//! change it filled the leader's link and then its memory (257 MB).
+//! The roster of 3,000 engines takes 230 KB. Sent in full to 300 instances on each change, it
+//! saturated the leader's link and then its memory (257 MB).
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
 use crate::collections::HashMap;
 
-/// Ids that are remembered after they left the roster: those of some minutes,
-/// even while a whole fleet is replaced. An instance that missed more is told
-/// the whole roster again.
-const MOST_GONE: usize = 4096;
+/// Maximum number of removals that are kept: those of some minutes, even while a whole fleet
+/// is replaced. An instance that missed more is sent the full roster.
+const MAX_REMOVED: usize = 4096;
 
 /// The latest change of each upstream.
 #[derive(Debug, Default)]
 pub(crate) struct Changes {
-    /// Number of the latest change; grows by one with each.
+    /// Number of the latest change; increases by one with each.
     revision: u64,
     latest: HashMap<Arc<str>, u64>,
-    /// The same by revision. Holds each id once.
-    order: BTreeMap<u64, Arc<str>>,
-    /// Revisions at which an upstream left, oldest first.
-    gone: VecDeque<u64>,
-    /// Latest departure that isn't remembered any more.
-    forgotten: u64,
+    /// The inverse of `latest`; contains each id once.
+    by_revision: BTreeMap<u64, Arc<str>>,
+    /// Revisions at which an upstream was removed, oldest first.
+    removed: VecDeque<u64>,
+    /// Revision of the latest removal that is no longer kept.
+    last_forgotten: u64,
 }
 
 impl Changes {
-    /// Number of the latest change.
+    /// Returns the number of the latest change.
     pub(crate) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Notes that instances must hear of `id`.
-    pub(crate) fn note(&mut self, id: &Arc<str>) {
+    /// Records that `id` changed.
+    pub(crate) fn note_change(&mut self, id: &Arc<str>) {
         self.revision += 1;
         if let Some(before) = self.latest.insert(id.clone(), self.revision) {
-            self.order.remove(&before);
+            self.by_revision.remove(&before);
         }
-        self.order.insert(self.revision, id.clone());
+        self.by_revision.insert(self.revision, id.clone());
     }
 
-    /// Notes that `id` isn't in the roster any more.
-    pub(crate) fn leave(&mut self, id: &Arc<str>) {
-        self.note(id);
-        self.gone.push_back(self.revision);
-        if self.gone.len() > MOST_GONE {
+    /// Records that `id` was removed from the roster.
+    pub(crate) fn note_removal(&mut self, id: &Arc<str>) {
+        self.note_change(id);
+        self.removed.push_back(self.revision);
+        if self.removed.len() > MAX_REMOVED {
             self.forget_oldest();
         }
     }
 
     fn forget_oldest(&mut self) {
-        let Some(oldest) = self.gone.pop_front() else {
+        let Some(oldest) = self.removed.pop_front() else {
             return;
         };
-        self.forgotten = oldest;
-        // It has no entry of that revision where it came back since.
-        if let Some(id) = self.order.remove(&oldest) {
+        self.last_forgotten = oldest;
+        // The entry has a later revision if the upstream came back since.
+        if let Some(id) = self.by_revision.remove(&oldest) {
             self.latest.remove(&id);
         }
     }
 
-    /// Where an instance that knows all up to `known` goes on: there, or at 0
-    /// where departures after `known` are forgotten.
-    pub(crate) fn base(&self, known: u64) -> u64 {
-        let usable = known >= self.forgotten && known <= self.revision;
+    /// Returns the revision from which an instance at revision `known` is updated: `known`,
+    /// or 0 if removals after it are no longer kept.
+    pub(crate) fn resume_point(&self, known: u64) -> u64 {
+        let usable = known >= self.last_forgotten && known <= self.revision;
         if usable { known } else { 0 }
     }
 
-    /// The ids that changed after `base`, in the order of their changes.
-    pub(crate) fn after(&self, base: u64) -> impl Iterator<Item = (u64, &Arc<str>)> {
-        let later = self.order.range(base + 1..);
-        later.map(|(revision, id)| (*revision, id))
+    /// Returns the ids that changed after `revision`, in the order of their changes.
+    pub(crate) fn after(&self, revision: u64) -> impl Iterator<Item = (u64, &Arc<str>)> {
+        let later = self.by_revision.range(revision + 1..);
+        later.map(|(changed, id)| (*changed, id))
     }
 }
--- a/src/tests/leader.rs
+++ b/src/tests/leader.rs
@@ -5,7 +5,7 @@
 use super::at;
 use super::platform::CONFIGURATION;
 use crate::configuration::Configuration;
-use crate::controller::leader::{LeaderState, Placement};
+use crate::controller::leader::{LeaderState, PlacementOrder};
 use crate::platform::configuration::decode;
 use crate::register::{self, Register};
 use crate::roster::{Announcement, LayerRange};
@@ -45,9 +45,9 @@
 /// until `end`.
 fn leader(register: &Register, hosts: &[u8], end: u64) -> LeaderState {
     let mut leader = LeaderState::new(BEAT);
-    leader.lead(at(0), 1, register);
+    leader.enter_term(at(0), 1, register);
     for (sequence, now) in (1..).zip((0..=end).step_by(1200)) {
-        leader.lead(at(now), 1, register);
+        leader.enter_term(at(now), 1, register);
         let heard = HELD.iter().filter(|(host, _)| hosts.contains(host));
         for (host, layers) in heard {
             leader.announce(at(now), announcement(*host, sequence, Some(*layers)));
@@ -67,7 +67,7 @@
     assert_eq!(leader.orders(at(12_000), &configuration()), []);
     leader.announce(at(12_900), announcement(9, 1, None));
     machine.apply(1, &register::depart("i-3", 0));
-    leader.lead(at(13_000), 1, &register);
+    leader.enter_term(at(13_000), 1, &register);
     let orders = leader.orders(at(13_000), &configuration());
     assert!(orders.iter().any(|o| o.range.first == 54), "{orders:?}");
 }
@@ -78,7 +78,7 @@
     // fastest get their layers first, so all must be known before.
     let (register, _machine) = Register::new();
     let mut leader = LeaderState::new(BEAT);
-    leader.lead(at(0), 1, &register);
+    leader.enter_term(at(0), 1, &register);
     for host in 1..=9 {
         let now = 5_000 + 150 * u64::from(host);
         leader.announce(at(now), announcement(host, 1, None));
@@ -105,15 +105,15 @@
     let (register, mut machine) = Register::new();
     let mut leader = leader(&register, &[1, 2, 3, 4, 5], 12_000);
     machine.apply(1, &register::depart("i-3", 0));
-    leader.lead(at(12_100), 1, &register);
+    leader.enter_term(at(12_100), 1, &register);
     let orders = leader.orders(at(12_100), &configuration());
     assert!(!orders.is_empty());
     assert_eq!(leader.orders(at(12_300), &configuration()), []);
     for order in &orders {
-        leader.unanswered(at(12_700), &order.engine);
+        leader.record_unanswered(at(12_700), &order.engine);
     }
     let next = leader.orders(at(12_800), &configuration());
-    let again = |o: &&Placement| orders.iter().any(|before| before.engine == o.engine);
+    let again = |o: &&PlacementOrder| orders.iter().any(|before| before.engine == o.engine);
     assert_eq!(next.iter().find(again), None);
     assert!(next.iter().any(|o| o.range.contains(54)), "{next:?}");
     // It may obey late. What it would give up must stay on another.
--- a/src/tests/roster.rs
+++ b/src/tests/roster.rs
@@ -160,7 +160,7 @@
     let (register, mut machine) = Register::new();
     machine.apply(1, &register::depart("i-1", 0));
     let mut leader = LeaderState::new(BEAT);
-    leader.lead(at(0), 2, &register);
+    leader.enter_term(at(0), 2, &register);
     assert_eq!(
         leader.announce(at(10), news("i-1", 12)),
         AnnounceOutcome::Stale
@@ -179,7 +179,7 @@
 fn sync_sums_others() {
     let (register, _) = Register::new();
     let mut leader = LeaderState::new(BEAT);
-    leader.lead(at(0), 1, &register);
+    leader.enter_term(at(0), 1, &register);
     let load = |memory| Load {
         engine: 7,
         memory,
@@ -200,7 +200,7 @@
 fn sync_roster_once() {
     let (register, _) = Register::new();
     let mut leader = LeaderState::new(BEAT);
-    leader.lead(at(0), 1, &register);
+    leader.enter_term(at(0), 1, &register);
     leader.announce(at(1), news("i-1", 1));
     let mut ask = question(1, Vec::new());
     let first = leader.sync(at(2), ask.clone(), Duration::ZERO, None, &register);
@@ -230,7 +230,7 @@
     // those that it gives up; requests sent there meanwhile would be refused.
     let mut leader = LeaderState::new(BEAT);
     let (register, _) = Register::new();
-    leader.lead(at(0), 1, &register);
+    leader.enter_term(at(0), 1, &register);
     let decoded = crate::platform::configuration::decode(super::platform::CONFIGURATION.as_bytes());
     let configuration = decoded.unwrap();
     for i in 0..13 {
@@ -315,7 +315,7 @@
     // what waited for it took 257 MB, and the process was ended for memory.
     let (register, _) = Register::new();
     let mut leader = LeaderState::new(BEAT);
-    leader.lead(at(0), 1, &register);
+    leader.enter_term(at(0), 1, &register);
     for i in 0..3000 {
         leader.announce(at(1), member(i, 1));
     }
@@ -339,13 +339,13 @@
         let mut leader = LeaderState::new(BEAT);
         let mut views = [View::new(), View::new()];
         let (mut term, mut now) = (1, 0);
-        leader.lead(at(now), term, &register);
+        leader.enter_term(at(now), term, &register);
         for step in 1..600 {
             now += 20;
             match rng.random_range(0..60) {
                 0 => {
                     term += 1;
-                    leader.lead(at(now), term, &register);
+                    leader.enter_term(at(now), term, &register);
                 }
                 1..8 => {
                     follow(&mut leader, at(now), &mut views[0], &register);
@@ -387,7 +387,7 @@
     // Told only what is remembered, it would go on sending to the others.
     let (register, _) = Register::new();
     let mut leader = LeaderState::new(BEAT);
-    leader.lead(at(0), 1, &register);
+    leader.enter_term(at(0), 1, &register);
     leader.announce(at(1), member(0, 1));
     let mut view = View::new();
     follow(&mut leader, at(4000), &mut view, &register);
--- a/src/tests/view.rs
+++ b/src/tests/view.rs
@@ -187,7 +187,7 @@
     // of the next. Until the leader has counted them, many are assumed.
     let (register, _machine) = Register::new();
     let mut leader = LeaderState::new(LEASE);
-    leader.lead(at(0), 1, &register);
+    leader.enter_term(at(0), 1, &register);
     let ask = |leader: &mut LeaderState, now, instance| {
         let ask = SyncRequest {
             instance,
@@ -204,7 +204,7 @@
     assert!(view.apply(at(400), ask(&mut leader, 400, 1), LEASE));
     assert_eq!((view.counted_entries(), view.entry_count()), (Some(3), 3));
     // The next leader hasn't heard of most of them.
-    leader.lead(at(500), 2, &register);
+    leader.enter_term(at(500), 2, &register);
     assert!(view.apply(at(510), ask(&mut leader, 510, 1), LEASE));
     assert_eq!(view.entry_count(), 3);
 }
