--- a/src/controller/heartbeat.rs
+++ b/src/controller/heartbeat.rs
@@ -61,7 +61,7 @@
             Way::Led
         } else {
             let (sender, taken) = oneshot::channel();
-            self.relay().take(news, sender);
+            self.relay().push(news, sender);
             self.relayed.notify_one();
             match taken.await {
                 Ok(true) => Way::Passed,
@@ -91,7 +91,7 @@
             // One whose store failed is replaced and must be dropped.
             let _ = timeout(TICK, self.relayed.notified()).await;
             while !self.relay().is_empty() {
-                if !self.relay().is_asked() {
+                if !self.relay().has_full() {
                     sleep(GATHER).await;
                 }
                 self.pass_batch().await;
@@ -104,8 +104,8 @@
         let count = batch.digests.len() + batch.full.len();
         let taken = self.ask_leader(batch).await;
         let done = match &taken {
-            Some(taken) => self.relay().taken(count, taken),
-            None => self.relay().give_up(),
+            Some(taken) => self.relay().acknowledge(count, taken),
+            None => self.relay().abandon(),
         };
         for waiter in done {
             // A sender that has gone away asks another controller.
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -209,13 +209,13 @@
             self.rate_limiter
                 .apply(now, address, update, instances, 0.0);
         }
-        self.reports.take(now, ask);
+        self.reports.record(now, ask);
         SyncReply {
             age: micros(age),
             version: current_version,
             body: other_version.map(|c| c.body),
             roster,
-            work: self.reports.tell(now, instance),
+            work: self.reports.others_load(now, instance),
             entries: self.reports.len() as u32,
             voters: Vec::new(),
             entries_known: now.since(self.term_start) >= ENTRIES_KNOWN_AFTER,
@@ -398,7 +398,7 @@
         let last = &entry.last;
         let accelerator = model.accelerator(last.kind.as_deref()?)?;
         let pending = self.pending_of(last);
-        let used = self.reports.at(address_key(last.address));
+        let used = self.reports.load_of(address_key(last.address));
         Some(Worker {
             domain: last.domain.clone(),
             size_mb: accelerator.size_mb,
@@ -434,7 +434,7 @@
     /// or were slow.
     pub(crate) fn next_pace_queries(&mut self) -> Vec<PaceQuery> {
         let is_queried = |e: &&Entry| {
-            let used = self.reports.at(address_key(e.last.address));
+            let used = self.reports.load_of(address_key(e.last.address));
             e.last.layers.is_some() && (used.requests > 0 || e.pace > 1.0)
         };
         let list = self.roster.list().into_iter();
--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -1,5 +1,5 @@
-//! What the entry instances report to the leading controller, and what each is
-//! told of the others.
+//! Loads that entry instances report to the leading controller, and the load of the other
+//! instances that each is sent in return.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -8,53 +8,54 @@
 use crate::collections::HashMap;
 use crate::sync::{FleetLoad, Load, SyncRequest, address_from_key};
 
-/// Time for which an entry instance's report counts. It reports several times
-/// in that time, so one that is silent for longer has lost its requests too.
-const LIFE: Duration = Duration::from_secs(2);
+/// Time for which an entry instance's report is valid. It reports several times within it,
+/// so an instance that is silent for longer has lost its requests, too.
+const REPORT_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Bytes in a second that the leader spends to tell all instances of the work
-/// of the others: a quarter of a controller's link. With 300 instances before 216
-/// engines each answer tells of it; with 300 before 3,000 one in 13 does. Told less
-/// often, instances share the room with the requests of a longer time, and more of
-/// theirs wait for the next report.
-const BYTES_PER_S: f64 = 5.5e6;
+/// Bytes per second that the leader spends on sending all instances the load of the others:
+/// a quarter of a controller's link.
+///
+/// With 300 instances and 216 engines, each reply contains it; with 300 and 3,000, one in 13
+/// does. At longer intervals, instances share the engines' free memory with the requests of a
+/// longer time, and more of their requests wait for the next report.
+const MAX_BYTES_PER_S: f64 = 5.5e6;
 
-/// Bytes that tell of one engine's work.
+/// Encoded size of one engine's load, in bytes.
 const LOAD_BYTES: f64 = 20.0;
 
-/// One instance's latest report.
+/// Latest report of one instance.
 struct Report {
     at: Time,
     loads: Vec<Load>,
-    /// Addresses of upstreams at which requests failed.
+    /// Address keys of upstreams at which requests failed.
     suspects: Vec<u64>,
-    /// Requests that asked it for room.
+    /// Number of requests that asked it for free memory on engines.
     room_requests: u32,
-    /// When it was last told of the others' work.
-    told: Option<Time>,
+    /// When it was last sent the load of the others.
+    last_sent: Option<Time>,
 }
 
-/// The latest reports, and their sum.
+/// Latest reports and their sums.
 #[derive(Default)]
 pub(crate) struct Reports {
     latest: HashMap<u64, Report>,
-    /// Sum of the loads in `latest`, by engine. Kept up with each report:
-    /// summed up for each answer, it takes the square of the instances.
+    /// Sums of the loads in `latest`, by engine. Updated with each report: summing up for each
+    /// reply takes time quadratic in the number of instances.
     sums: HashMap<u64, Load>,
-    /// Sum of `room_requests` in `latest`, kept up likewise.
+    /// Sum of `room_requests` in `latest`.
     room_requests: u32,
 }
 
 impl Reports {
-    /// Instances that report.
+    /// Returns the number of instances with a valid report.
     pub(crate) fn len(&self) -> usize {
         self.latest.len()
     }
 
-    /// Takes in the report of an instance.
-    pub(crate) fn take(&mut self, now: Time, ask: SyncRequest) {
+    /// Replaces the report of an instance.
+    pub(crate) fn record(&mut self, now: Time, ask: SyncRequest) {
         let mut loads = ask.loads;
-        // An engine without requests has no sum.
+        // `sums` has no entries for engines without requests.
         loads.retain(|l| l.requests > 0);
         for load in &loads {
             let sum = self.sums.entry(load.engine).or_insert(Load {
@@ -75,7 +76,7 @@
             loads,
             suspects: ask.suspects,
             room_requests: ask.room_requests,
-            told: before.and_then(|b| b.told),
+            last_sent: before.and_then(|b| b.last_sent),
         };
         self.latest.insert(ask.instance, report);
     }
@@ -95,9 +96,12 @@
         }
     }
 
-    /// Drops the reports of instances that fell silent.
+    /// Removes the reports of instances that have become silent.
     pub(crate) fn tick(&mut self, now: Time) {
-        let silent = self.latest.iter().filter(|(_, r)| now.since(r.at) >= LIFE);
+        let silent = self
+            .latest
+            .iter()
+            .filter(|(_, r)| now.since(r.at) >= REPORT_LIFETIME);
         let silent: Vec<u64> = silent.map(|(&instance, _)| instance).collect();
         for instance in silent {
             if let Some(report) = self.latest.remove(&instance) {
@@ -106,12 +110,12 @@
         }
     }
 
-    /// Work of all instances at an engine.
-    pub(crate) fn at(&self, engine: u64) -> Load {
+    /// Returns the load of all instances on an engine.
+    pub(crate) fn load_of(&self, engine: u64) -> Load {
         self.sums.get(&engine).copied().unwrap_or_default()
     }
 
-    /// Instances by the upstream that they found dead.
+    /// Returns the number of instances that suspect each upstream.
     pub(crate) fn suspects(&self) -> HashMap<SocketAddrV4, usize> {
         let mut suspects = HashMap::default();
         for suspect in self.latest.values().flat_map(|r| &r.suspects) {
@@ -120,25 +124,24 @@
         suspects
     }
 
-    /// What the others than `instance` have at work, if it is time to tell it
-    /// again.
-    pub(crate) fn tell(&mut self, now: Time, instance: u64) -> Option<FleetLoad> {
+    /// Returns the load of all instances but `instance`, if it is due to be sent again.
+    pub(crate) fn others_load(&mut self, now: Time, instance: u64) -> Option<FleetLoad> {
         let period = self.period();
         let report = self.latest.get_mut(&instance)?;
-        if report.told.is_some_and(|at| now.since(at) < period) {
+        if report.last_sent.is_some_and(|at| now.since(at) < period) {
             return None;
         }
-        report.told = Some(now);
+        report.last_sent = Some(now);
         let own: HashMap<u64, Load> = report.loads.iter().map(|l| (l.engine, *l)).collect();
         let others = self.sums.values().filter_map(|sum| {
             let own = own.get(&sum.engine).copied().unwrap_or_default();
-            let rest = Load {
+            let remaining = Load {
                 engine: sum.engine,
                 memory: sum.memory - own.memory,
                 requests: sum.requests - own.requests,
                 entered: sum.entered - own.entered,
             };
-            (rest.requests > 0).then_some(rest)
+            (remaining.requests > 0).then_some(remaining)
         });
         Some(FleetLoad {
             loads: others.collect(),
@@ -146,9 +149,9 @@
         })
     }
 
-    /// Period at which one instance is told of the others' work.
+    /// Returns the period at which one instance is sent the load of the others.
     fn period(&self) -> Duration {
         let bytes = self.latest.len() as f64 * self.sums.len() as f64 * LOAD_BYTES;
-        Duration::from_secs_f64(bytes / BYTES_PER_S)
+        Duration::from_secs_f64(bytes / MAX_BYTES_PER_S)
     }
 }
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -1,9 +1,9 @@
-//! Heartbeats that a following controller passes on to the leading one.
+//! Heartbeats that a following controller forwards to the leader.
 //!
-//! Load pattern: each of 3,000 engines calls every 1.2 s. Taken by the leader alone
-//! they are 2,500 calls a second and a connection for each engine: 50 to 80 % of its
-//! processor and all of its descriptors. Each controller takes those that reach it,
-//! and tells the leader of many at once, mostly by a few bytes that prove life.
+//! 3,000 engines that send a heartbeat every 1.2 s make 2,500 calls a second and a connection
+//! each. Received by the leader alone, they take 50 to 80 % of its CPU time and all of its file
+//! descriptors. So each controller accepts the heartbeats that reach it and forwards them in
+//! batches, mostly as digests of a few bytes.
 
 use std::hash::{Hash, Hasher};
 
@@ -14,17 +14,17 @@
 use crate::roster::Announcement;
 use crate::sync::{UpstreamRecord, address_from_key, address_key};
 
-/// Heartbeats of some upstreams.
+/// A batch of forwarded heartbeats.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Heartbeats {
     #[prost(message, repeated, tag = "1")]
     pub(crate) digests: Vec<HeartbeatDigest>,
-    /// Those that the leader asked for in full.
+    /// Those that the leader requested in full.
     #[prost(message, repeated, tag = "2")]
     pub(crate) full: Vec<FullHeartbeat>,
 }
 
-/// Proof of life of an upstream about which nothing is new.
+/// A heartbeat whose announcement the leader presumably has.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct HeartbeatDigest {
     #[prost(string, tag = "1")]
@@ -40,7 +40,7 @@
     pub(crate) digest: u64,
 }
 
-/// An announcement in full.
+/// A heartbeat with its full announcement.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct FullHeartbeat {
     #[prost(message, optional, tag = "1")]
@@ -50,11 +50,11 @@
     pub(crate) sequence: u64,
 }
 
-/// What the leader made of [`Heartbeats`].
+/// The leader's reply to [`Heartbeats`].
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct HeartbeatsReply {
-    /// Ids whose announcement the leader needs in full: of upstreams that it
-    /// doesn't know, or knows otherwise. All others are taken in.
+    /// Ids of the upstreams whose full announcement the leader needs, since it has none or a
+    /// different one. All other heartbeats have been applied.
     #[prost(string, repeated, tag = "1")]
     pub(crate) unknown: Vec<String>,
 }
@@ -80,7 +80,7 @@
 }
 
 impl FullHeartbeat {
-    /// The announcement; none where a part is missing.
+    /// Returns the announcement, or `None` if the message is incomplete.
     pub(crate) fn announcement(self) -> Option<Announcement> {
         let upstream = self.upstream?;
         Some(Announcement {
@@ -98,8 +98,10 @@
     }
 }
 
-/// A number for all that an announcement says but its sequence. The same in all
-/// processes of one release; between others it only makes the leader ask for more.
+/// Hash of an announcement without its sequence number.
+///
+/// It is the same in all processes of one release. Between releases a difference only makes
+/// the leader request full announcements.
 pub(crate) fn digest(announcement: &Announcement) -> u64 {
     let Announcement {
         id,
@@ -119,14 +121,14 @@
     hasher.finish()
 }
 
-/// Heartbeats that wait to be passed on; the answers to their senders are `W`.
+/// Queue of heartbeats to forward. `W` is the handle for answering the sender of each.
 pub(crate) struct Relay<W> {
-    waiting: Vec<Waiting<W>>,
+    pending: Vec<Pending<W>>,
 }
 
-struct Waiting<W> {
+struct Pending<W> {
     announcement: Announcement,
-    /// Whether the leader wants it in full.
+    /// Whether the leader requested it in full.
     full: bool,
     sender: W,
 }
@@ -134,59 +136,59 @@
 impl<W> Default for Relay<W> {
     fn default() -> Self {
         Self {
-            waiting: Vec::new(),
+            pending: Vec::new(),
         }
     }
 }
 
 impl<W> Relay<W> {
-    /// Takes in a heartbeat.
-    pub(crate) fn take(&mut self, announcement: Announcement, sender: W) {
-        self.waiting.push(Waiting {
+    /// Adds a heartbeat.
+    pub(crate) fn push(&mut self, announcement: Announcement, sender: W) {
+        self.pending.push(Pending {
             announcement,
             full: false,
             sender,
         });
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub(crate) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Whether the leader has asked for some in full.
-    pub(crate) fn is_asked(&self) -> bool {
-        self.waiting.iter().any(|w| w.full)
+    /// Whether the leader requested some heartbeats in full.
+    pub(crate) fn has_full(&self) -> bool {
+        self.pending.iter().any(|w| w.full)
     }
 
-    /// What the leader is to be told.
+    /// Returns the batch to send to the leader.
     pub(crate) fn batch(&self) -> Heartbeats {
-        let of = |full| {
-            let waiting = self.waiting.iter().filter(move |w| w.full == full);
-            waiting.map(|w| &w.announcement)
+        let announcements = |full| {
+            let pending = self.pending.iter().filter(move |w| w.full == full);
+            pending.map(|w| &w.announcement)
         };
         Heartbeats {
-            digests: of(false).map(HeartbeatDigest::from).collect(),
-            full: of(true).map(FullHeartbeat::from).collect(),
+            digests: announcements(false).map(HeartbeatDigest::from).collect(),
+            full: announcements(true).map(FullHeartbeat::from).collect(),
         }
     }
 
-    /// Takes in the leader's answer to the latest batch, which held the first
-    /// `count`; returns those whose heartbeats it has. The others go into the next
-    /// batch in full.
-    pub(crate) fn taken(&mut self, count: usize, taken: &HeartbeatsReply) -> Vec<W> {
-        let unknown: HashSet<&str> = taken.unknown.iter().map(String::as_str).collect();
-        let later = self.waiting.split_off(count.min(self.waiting.len()));
-        // What was told in full is done with, also where it came to nothing.
-        let again = |w: &Waiting<W>| !w.full && unknown.contains(&*w.announcement.id);
-        let (again, done): (Vec<_>, Vec<_>) = self.waiting.drain(..).partition(again);
-        let again = again.into_iter().map(|w| Waiting { full: true, ..w });
-        self.waiting = again.chain(later).collect();
+    /// Applies the leader's reply to the latest batch, which contained the first `count`
+    /// heartbeats. Returns the senders whose heartbeats it has; the others go into the next batch
+    /// in full.
+    pub(crate) fn acknowledge(&mut self, count: usize, reply: &HeartbeatsReply) -> Vec<W> {
+        let unknown: HashSet<&str> = reply.unknown.iter().map(String::as_str).collect();
+        let later = self.pending.split_off(count.min(self.pending.len()));
+        // A heartbeat sent in full is done, even if the leader could not use it.
+        let needs_full = |w: &Pending<W>| !w.full && unknown.contains(&*w.announcement.id);
+        let (resent, done): (Vec<_>, Vec<_>) = self.pending.drain(..).partition(needs_full);
+        let resent = resent.into_iter().map(|w| Pending { full: true, ..w });
+        self.pending = resent.chain(later).collect();
         done.into_iter().map(|w| w.sender).collect()
     }
 
-    /// Drops all that waits, since no leader took it; returns its senders.
-    pub(crate) fn give_up(&mut self) -> Vec<W> {
-        self.waiting.drain(..).map(|w| w.sender).collect()
+    /// Removes all heartbeats, since no leader accepted them. Returns their senders.
+    pub(crate) fn abandon(&mut self) -> Vec<W> {
+        self.pending.drain(..).map(|w| w.sender).collect()
     }
 }
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -22,8 +22,8 @@
 pub(crate) const LOST_HEARTBEATS: f64 = 4.0;
 
 /// [`LATE_HEARTBEATS`] and [`LOST_HEARTBEATS`] of an upstream that several instances suspect.
-/// Even if only its heartbeats were late, requests to it fail, and waiting longer would fail
-/// more of them.
+/// It may only have missed a heartbeat, but then requests to it fail as well, and waiting
+/// longer would fail more of them.
 const SUSPECT_LATE_HEARTBEATS: f64 = 1.1;
 const SUSPECT_LOST_HEARTBEATS: f64 = 2.0;
 
@@ -191,8 +191,8 @@
         AnnounceOutcome::New
     }
 
-    /// Applies a heartbeat digest. Returns whether it matches the known announcement; if not,
-    /// the full announcement is needed.
+    /// Applies a heartbeat digest. Returns false if it differs from the known announcement, so
+    /// that the full one is needed.
     pub(crate) fn refresh(&mut self, now: Time, digest: &HeartbeatDigest) -> bool {
         if self.is_retired(&digest.id, digest.born) {
             return true;
@@ -226,8 +226,8 @@
     pub(crate) fn retire(&mut self, id: &Arc<str>, born: u64) {
         let latest = self.retired.entry(id.clone()).or_default();
         *latest = (*latest).max(born);
-        let gone = self.entries.get(id).is_some_and(|e| e.last.born <= born);
-        if gone {
+        let present = self.entries.get(id).is_some_and(|e| e.last.born <= born);
+        if present {
             self.remove(id);
         }
     }
--- a/src/tests/relay.rs
+++ b/src/tests/relay.rs
@@ -35,7 +35,7 @@
         let batch = relay.batch();
         let count = batch.digests.len() + batch.full.len();
         let taken = take(roster, now, batch);
-        batches.push(relay.taken(count, &taken));
+        batches.push(relay.acknowledge(count, &taken));
     }
     batches
 }
@@ -71,11 +71,11 @@
     // knows nothing. It must know all before they are acknowledged, and be told of
     // those that it knows by a few bytes.
     let (mut relay, mut roster) = (Relay::default(), Roster::new(BEAT));
-    (1..=3).for_each(|host| relay.take(news(host, 1), host));
+    (1..=3).for_each(|host| relay.push(news(host, 1), host));
     let none: Vec<u8> = Vec::new();
     assert_eq!(pass(&mut relay, &mut roster, at(0)), [none, vec![1, 2, 3]]);
     assert_eq!(roster.list().len(), 3);
-    (1..=3).for_each(|host| relay.take(news(host, 2), host));
+    (1..=3).for_each(|host| relay.push(news(host, 2), host));
     assert_eq!(pass(&mut relay, &mut roster, at(1200)), [vec![1, 2, 3]]);
     assert!(roster.list().iter().all(|e| e.heard == at(1200)));
 }
@@ -85,13 +85,13 @@
     // A heartbeat comes while a batch is under way. The leader hasn't seen it, so
     // it mustn't be acknowledged with the batch.
     let mut relay = Relay::default();
-    relay.take(news(1, 1), 1);
+    relay.push(news(1, 1), 1);
     let first = relay.batch();
-    relay.take(news(2, 1), 2);
+    relay.push(news(2, 1), 2);
     assert_eq!(first.digests.len(), 1);
-    assert_eq!(relay.taken(1, &HeartbeatsReply::default()), [1]);
+    assert_eq!(relay.acknowledge(1, &HeartbeatsReply::default()), [1]);
     assert_eq!(relay.batch().digests, [HeartbeatDigest::from(&news(2, 1))]);
-    assert_eq!(relay.give_up(), [2]);
+    assert_eq!(relay.abandon(), [2]);
     assert!(relay.is_empty());
 }
 
--- a/src/tests/roster.rs
+++ b/src/tests/roster.rs
@@ -418,15 +418,15 @@
     for now in (0..20_000).step_by(250) {
         for i in 0..300 {
             let own = loads(i).map(load).collect();
-            reports.take(at(now), question(i, own));
-            let told = reports.tell(at(now), i);
+            reports.record(at(now), question(i, own));
+            let told = reports.others_load(at(now), i);
             bytes += told.map_or(0, |w| w.encoded_len());
         }
     }
     assert!(bytes / 20 < 6_000_000, "{} bytes a second", bytes / 20);
     assert!(bytes / 20 > 500_000, "{} bytes a second", bytes / 20);
     reports.tick(at(22_000));
-    assert_eq!((reports.len(), reports.at(7).requests), (0, 0));
+    assert_eq!((reports.len(), reports.load_of(7).requests), (0, 0));
 }
 
 #[test]
@@ -438,12 +438,12 @@
             room_requests,
             ..question(instance, Vec::new())
         };
-        reports.take(at(0), ask);
+        reports.record(at(0), ask);
     }
-    assert_eq!(reports.tell(at(1), 1).unwrap().room_requests, 5);
-    reports.take(at(2_500), question(3, Vec::new()));
+    assert_eq!(reports.others_load(at(1), 1).unwrap().room_requests, 5);
+    reports.record(at(2_500), question(3, Vec::new()));
     reports.tick(at(2_600));
-    assert_eq!(reports.tell(at(2_600), 3).unwrap().room_requests, 0);
+    assert_eq!(reports.others_load(at(2_600), 3).unwrap().room_requests, 0);
 }
 
 #[test]
@@ -455,12 +455,21 @@
         requests,
         entered: 0,
     };
-    reports.take(at(0), question(1, vec![load(10, 1)]));
-    reports.take(at(0), question(2, vec![load(20, 2)]));
-    reports.take(at(1), question(1, vec![load(30, 3)]));
-    assert_eq!((reports.at(7).memory, reports.at(7).requests), (50, 5));
-    reports.take(at(2), question(1, Vec::new()));
-    assert_eq!((reports.at(7).memory, reports.at(7).requests), (20, 2));
-    reports.take(at(2), question(2, vec![load(5, 0)]));
-    assert_eq!((reports.at(7).memory, reports.at(7).requests), (0, 0));
+    reports.record(at(0), question(1, vec![load(10, 1)]));
+    reports.record(at(0), question(2, vec![load(20, 2)]));
+    reports.record(at(1), question(1, vec![load(30, 3)]));
+    assert_eq!(
+        (reports.load_of(7).memory, reports.load_of(7).requests),
+        (50, 5)
+    );
+    reports.record(at(2), question(1, Vec::new()));
+    assert_eq!(
+        (reports.load_of(7).memory, reports.load_of(7).requests),
+        (20, 2)
+    );
+    reports.record(at(2), question(2, vec![load(5, 0)]));
+    assert_eq!(
+        (reports.load_of(7).memory, reports.load_of(7).requests),
+        (0, 0)
+    );
 }
