--- a/src/controller/call.rs
+++ b/src/controller/call.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-use super::{Controller, GROUP, control_of};
+use super::{Controller, GROUP, control_address};
 use crate::clock::{millis, wall_millis};
 use crate::event;
 use crate::fingerprint::Fingerprint;
@@ -70,7 +70,7 @@
         let Ok(body) = http::receive(body, MAX_BODY, RECEIVE).await else {
             return failure(StatusCode::BAD_REQUEST, "the body can't be read in full");
         };
-        if self.ending.load(Ordering::Relaxed) {
+        if self.shutting_down.load(Ordering::Relaxed) {
             return unavailable("this instance ends");
         }
         match decoded {
@@ -117,7 +117,7 @@
     /// Answers with the newest configuration, or with 503 when no quorum can
     /// tell which it is.
     async fn fetch(&self) -> Response<Reply> {
-        if !matches!(timeout(COMMIT, self.read()).await, Ok(true)) {
+        if !matches!(timeout(COMMIT, self.confirm_read()).await, Ok(true)) {
             return unavailable("no quorum confirms the configuration");
         }
         match self.register.current() {
@@ -134,16 +134,16 @@
             return self.depart(path, id, news.born).await;
         }
         self.await_leader().await;
-        if !self.hear(news).await {
-            return self.elsewhere(path);
+        if !self.handle_announcement(news).await {
+            return self.redirect(path);
         }
         json(StatusCode::OK, call::next_heartbeat(self.control).into())
     }
 
     async fn leave(&self, path: &str, id: &str) -> Response<Reply> {
         let born = {
-            let Some(state) = self.leading() else {
-                return self.elsewhere(path);
+            let Some(state) = self.state_if_leading() else {
+                return self.redirect(path);
             };
             state.upstream(id).map(|e| e.last.born)
         };
@@ -155,9 +155,9 @@
 
     /// Notes on the log that a start gets no more work, then acknowledges.
     async fn depart(&self, path: &str, id: &str, born: u64) -> Response<Reply> {
-        let known = match self.leading() {
+        let known = match self.state_if_leading() {
             Some(state) => state.has_left(id, born),
-            None => return self.elsewhere(path),
+            None => return self.redirect(path),
         };
         if !known {
             if let Err(refusal) = self.commit(register::depart(id, born), path).await {
@@ -176,7 +176,7 @@
         if let Err(refusal) = self.commit(register::lift(&fingerprint), path).await {
             return refusal;
         }
-        if let Some(mut state) = self.leading() {
+        if let Some(mut state) = self.state_if_leading() {
             state.forget_crashes(&fingerprint);
         }
         tracing::info!(
@@ -190,8 +190,8 @@
 
     /// Commits a command, or gives the answer to send instead.
     async fn commit(&self, command: Bytes, path: &str) -> Result<(), Response<Reply>> {
-        if self.lead().term.is_none() {
-            return Err(self.elsewhere(path));
+        if self.leader_info().term.is_none() {
+            return Err(self.redirect(path));
         }
         let (reply, answer) = oneshot::channel();
         let done = move |outcome: Result<Vec<u8>, _>| {
@@ -215,15 +215,15 @@
         if began.since(self.started) >= STARTING {
             return;
         }
-        while self.lead().leader.is_none() && self.now().since(began) < LEADER_WAIT {
+        while self.leader_info().leader.is_none() && self.now().since(began) < LEADER_WAIT {
             sleep(LEADER_LOOK).await;
         }
     }
 
     /// Sends the caller to the leader.
-    fn elsewhere(&self, path: &str) -> Response<Reply> {
-        let leader = self.lead().leader;
-        let control = leader.and_then(|l| control_of(l, self.control.port()));
+    fn redirect(&self, path: &str) -> Response<Reply> {
+        let leader = self.leader_info().leader;
+        let control = leader.and_then(|l| control_address(l, self.control.port()));
         let Some(control) = control.filter(|c| *c != self.control) else {
             return unavailable("no leader is known; try another instance");
         };
--- a/src/controller/heartbeat.rs
+++ b/src/controller/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of upstreams: taken in by the leader, passed on to it by the others.
+//! Heartbeats of upstreams: applied by the leader, forwarded to it by the other controllers.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,73 +8,76 @@
 use tokio::time::{sleep, timeout};
 
 use super::leader::LeaderState;
-use super::{Controller, TICK};
+use super::{Controller, TICK_INTERVAL};
 use crate::event;
 use crate::message::{Answer, Ask, Request};
 use crate::metric;
 use crate::relay::{Heartbeats, HeartbeatsReply};
 use crate::roster::{AnnounceOutcome, Announcement};
 
-/// Time for which heartbeats are gathered before they are passed on. At 3,000
-/// engines a follower takes five in it; what is new waits no longer on its way to
-/// the entry instances.
-const GATHER: Duration = Duration::from_millis(10);
+/// Time for which heartbeats are collected before they are forwarded. With 3,000 engines a
+/// follower receives five in it. Changes reach the entry instances later by at most this time.
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Longest wait for the leader to take heartbeats. A lost packet is sent again
-/// after 200 ms; after this time the sender can still ask the leader itself.
-const TAKE: Duration = Duration::from_millis(350);
+/// Timeout for forwarding heartbeats to the leader. A lost packet is retransmitted after
+/// 200 ms; after this timeout the sender still has the time to call the leader itself.
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// What became of a heartbeat.
+/// How a heartbeat was delivered to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Delivery {
     /// This controller leads.
-    Led,
-    /// The leader has it.
-    Passed,
-    /// The leader didn't take it in time.
-    Refused,
+    Local,
+    /// The leader accepted it.
+    Forwarded,
+    /// The leader did not accept it in time.
+    Failed,
 }
 
-impl Way {
-    /// As metrics name it.
+impl Delivery {
+    /// Returns the label in metrics.
     fn name(self) -> &'static str {
         match self {
-            Self::Led => "led",
-            Self::Passed => "passed",
-            Self::Refused => "refused",
+            Self::Local => "led",
+            Self::Forwarded => "passed",
+            Self::Failed => "refused",
         }
     }
 }
 
-/// Tells who waits whether the leader has the heartbeat.
-pub(super) type Waiter = oneshot::Sender<bool>;
+/// Tells the sender's handler whether the leader has the heartbeat.
+pub(super) type AckSender = oneshot::Sender<bool>;
 
 impl Controller {
-    /// Takes in an announcement if this controller leads, else passes it on.
-    /// Returns whether the leader has it.
+    /// Applies an announcement if this controller leads, else forwards it. Returns whether the
+    /// leader has it.
     ///
-    /// An upstream is acknowledged only then: one that stayed with a controller
-    /// that is cut off from the leader would be dropped for its silence.
-    pub(super) async fn hear(&self, news: Announcement) -> bool {
-        let way = if let Some(mut state) = self.leading() {
-            self.record_heartbeat(&mut state, news);
-            Way::Led
+    /// The upstream is acknowledged only then: if it kept sending to a controller that is cut
+    /// off from the leader, it would be removed for its silence.
+    pub(super) async fn handle_announcement(&self, announcement: Announcement) -> bool {
+        let delivery = if let Some(mut state) = self.state_if_leading() {
+            self.record_heartbeat(&mut state, announcement);
+            Delivery::Local
         } else {
-            let (sender, taken) = oneshot::channel();
-            self.relay().push(news, sender);
-            self.relayed.notify_one();
-            match taken.await {
-                Ok(true) => Way::Passed,
-                Ok(false) | Err(_) => Way::Refused,
+            let (sender, reply) = oneshot::channel();
+            self.relay().push(announcement, sender);
+            self.relay_notify.notify_one();
+            match reply.await {
+                Ok(true) => Delivery::Forwarded,
+                Ok(false) | Err(_) => Delivery::Failed,
             }
         };
-        metrics::counter!(metric::HEARTBEATS.name, "way" => way.name()).increment(1);
-        way != Way::Refused
+        metrics::counter!(metric::HEARTBEATS.name, "way" => delivery.name()).increment(1);
+        delivery != Delivery::Failed
     }
 
-    fn record_heartbeat(&self, state: &mut LeaderState, news: Announcement) {
-        let (id, address, layers) = (news.id.clone(), news.address, news.layers);
-        if state.announce(self.now(), news) == AnnounceOutcome::New {
+    fn record_heartbeat(&self, state: &mut LeaderState, announcement: Announcement) {
+        let (id, address, layers) = (
+            announcement.id.clone(),
+            announcement.address,
+            announcement.layers,
+        );
+        if state.announce(self.now(), announcement) == AnnounceOutcome::New {
             tracing::info!(
                 event = event::UPSTREAM_JOINED.id,
                 upstream = %id,
@@ -85,57 +88,64 @@
         }
     }
 
-    /// Passes heartbeats on for as long as the controller runs.
-    pub(super) async fn pass_on(self: Arc<Self>) {
-        while !self.ending.load(Ordering::Relaxed) {
-            // One whose store failed is replaced and must be dropped.
-            let _ = timeout(TICK, self.relayed.notified()).await;
+    /// Forwards heartbeats for as long as the controller runs.
+    pub(super) async fn forward_heartbeats(self: Arc<Self>) {
+        while !self.shutting_down.load(Ordering::Relaxed) {
+            // The timeout lets the loop end after a failure of the store, so that the
+            // replaced controller is dropped.
+            let _ = timeout(TICK_INTERVAL, self.relay_notify.notified()).await;
             while !self.relay().is_empty() {
                 if !self.relay().has_full() {
-                    sleep(GATHER).await;
+                    sleep(BATCH_DELAY).await;
                 }
-                self.pass_batch().await;
+                self.forward_batch().await;
             }
         }
     }
 
-    async fn pass_batch(&self) {
+    async fn forward_batch(&self) {
         let batch = self.relay().batch();
         let count = batch.digests.len() + batch.full.len();
-        let taken = self.ask_leader(batch).await;
-        let done = match &taken {
-            Some(taken) => self.relay().acknowledge(count, taken),
+        let reply = self.send_to_leader(batch).await;
+        let acknowledged = match &reply {
+            Some(reply) => self.relay().acknowledge(count, reply),
             None => self.relay().abandon(),
         };
-        for waiter in done {
-            // A sender that has gone away asks another controller.
-            let _ = waiter.send(taken.is_some());
+        for waiter in acknowledged {
+            // A sender that has disconnected calls another controller.
+            let _ = waiter.send(reply.is_some());
         }
     }
 
-    async fn ask_leader(&self, batch: Heartbeats) -> Option<HeartbeatsReply> {
-        let leader = self.lead().leader.filter(|l| *l != self.id())?;
+    async fn send_to_leader(&self, batch: Heartbeats) -> Option<HeartbeatsReply> {
+        let leader = self.leader_info().leader.filter(|l| *l != self.id())?;
         let request = Request {
             ask: Some(Ask::Heartbeats(batch)),
         };
-        match self.peers.call(leader, request, TAKE).await.ok()?.answer {
-            Some(Answer::Heartbeats(taken)) => Some(taken),
+        match self
+            .peers
+            .call(leader, request, FORWARD_TIMEOUT)
+            .await
+            .ok()?
+            .answer
+        {
+            Some(Answer::Heartbeats(reply)) => Some(reply),
             _ => None,
         }
     }
 
-    /// Takes in what another controller passes on, or names the leader.
-    pub(super) fn take_heartbeats(&self, batch: Heartbeats) -> Answer {
-        let Some(mut state) = self.leading() else {
-            return Answer::NotLeader(self.lead().leader.map_or(0, |l| l.0));
+    /// Applies heartbeats that another controller forwarded, or returns the leader.
+    pub(super) fn receive_heartbeats(&self, batch: Heartbeats) -> Answer {
+        let Some(mut state) = self.state_if_leading() else {
+            return Answer::NotLeader(self.leader_info().leader.map_or(0, |l| l.0));
         };
         let now = self.now();
         let unknown = batch.digests.iter().filter(|p| !state.refresh(now, p));
         let unknown = unknown.map(|p| p.id.clone()).collect();
-        for news in batch.full {
-            // What lacks a part is of another release and can't be used.
-            if let Some(news) = news.announcement() {
-                self.record_heartbeat(&mut state, news);
+        for announcement in batch.full {
+            // Incomplete announcements were sent by another release and are ignored.
+            if let Some(announcement) = announcement.announcement() {
+                self.record_heartbeat(&mut state, announcement);
             }
         }
         Answer::Heartbeats(HeartbeatsReply { unknown })
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -20,7 +20,7 @@
 use crate::decide::rate::RateLimiter;
 use crate::decide::run_history::EngineStart;
 use crate::fingerprint::Fingerprint;
-use crate::register::{Quarantined, Register, Versioned};
+use crate::register::{Quarantined, Register, VersionedConfiguration};
 use crate::relay::HeartbeatDigest;
 use crate::roster::{AnnounceOutcome, Announcement, Entry, LOST_HEARTBEATS, LayerRange, Roster};
 use crate::sync::{LimitRecord, RosterDelta, SyncReply, SyncRequest, UpstreamRecord, address_key};
@@ -192,7 +192,7 @@
         now: Time,
         ask: SyncRequest,
         age: Duration,
-        current: Option<Versioned>,
+        current: Option<VersionedConfiguration>,
         register: &Register,
     ) -> SyncReply {
         let current_version = current.as_ref().map_or(0, |c| c.version);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,5 +1,5 @@
-//! The controller role: keeps the configuration on a replicated log, hears the
-//! upstreams, tells the entry instances, and orders which layers engines hold.
+//! The controller role: replicates the configuration, receives the heartbeats of upstreams,
+//! answers the sync requests of entry instances, and orders which layers engines load.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -25,7 +25,7 @@
 use crate::message::{Answer, Ask, Reply, Request};
 use crate::peer::{self, Handler, Peers, ReplySink};
 use crate::platform::boot::Boot;
-use crate::register::{Register, Versioned};
+use crate::register::{Register, VersionedConfiguration};
 use crate::relay::Relay;
 use crate::replica::{Message, Role};
 use crate::role::{self, RoleSettings, VoterExit};
@@ -47,37 +47,37 @@
 /// The only group of the replicated log.
 const GROUP: u32 = 0;
 
-/// Heartbeats in one election timeout.
-const HEARTBEATS: u32 = 4;
+/// Number of heartbeats per election timeout.
+const HEARTBEATS_PER_ELECTION: u32 = 4;
 
-/// Applied commands between two snapshots. A configuration weighs tens of
-/// kilobytes, and a voter has a disk of 128 MB.
-const COMPACT: u64 = 24;
+/// Number of applied commands between two snapshots. A configuration takes tens of kilobytes,
+/// and a voter has a disk of 128 MB.
+const SNAPSHOT_INTERVAL: u64 = 24;
 
-/// Entries kept behind a snapshot for voters that lag a little.
-const KEEP: u64 = 8;
+/// Number of log entries kept before a snapshot, for voters that lag slightly.
+const RETAINED_ENTRIES: u64 = 8;
 
-/// Period at which the leader confirms with a quorum that it still leads.
-const CONFIRM: Duration = Duration::from_millis(200);
+/// Interval at which the leader confirms with a quorum that it still leads.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Age of a confirmation from which a leader no longer answers entry
-/// instances: it may have been deposed, and they should ask another.
-const STALE: Duration = Duration::from_millis(800);
+/// Age of the latest confirmation from which a leader no longer answers entry instances: it
+/// may have been deposed, and they should ask another controller.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(800);
 
-/// Period of looking after members, upstreams and placement.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval at which voters, upstreams, placement and quarantine are maintained.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause before a failed store is opened again.
-const REOPEN: Duration = Duration::from_millis(500);
+/// Delay before a failed store is reopened.
+const REOPEN_DELAY: Duration = Duration::from_millis(500);
 
-/// Time for which a process that ends still answers, so that its successor
-/// leads before callers find it gone.
-const LINGER: Duration = Duration::from_millis(400);
+/// Time for which a process that shuts down still answers, so that another controller leads
+/// before its connections close.
+const SHUTDOWN_DELAY: Duration = Duration::from_millis(400);
 
 /// A confirmation by a quorum.
 #[derive(Clone, Copy)]
-struct Confirmed {
-    /// When the confirmation began: all that was committed then is known.
+struct Confirmation {
+    /// Time at which the confirmation began: everything committed before is applied here.
     at: Time,
     term: u64,
 }
@@ -87,40 +87,40 @@
     boot: Boot,
     control: SocketAddrV4,
     clock: Arc<dyn Clock>,
-    /// When its store was opened.
+    /// Time at which the store was opened.
     started: Time,
     voter: Voter,
     peers: Peers,
     register: Register,
     leader_state: Mutex<LeaderState>,
-    /// Heartbeats on their way to the leader.
-    relay: Mutex<Relay<heartbeat::Waiter>>,
-    /// Tells of heartbeats in `relay`.
-    relayed: Notify,
-    confirmed: Mutex<Option<Confirmed>>,
-    /// The configuration in force, decoded.
-    table: Mutex<Option<Arc<RoutingTable>>>,
-    /// The configuration in force as entry instances get it.
-    packed: Mutex<Option<Versioned>>,
-    /// Layers that no engine of a domain holds, by model, as last logged.
-    coverage: Mutex<Vec<BTreeMap<String, Vec<LayerRange>>>>,
-    calls: place::Calls,
-    ending: AtomicBool,
+    /// Heartbeats to forward to the leader.
+    relay: Mutex<Relay<heartbeat::AckSender>>,
+    /// Notified when a heartbeat is added to `relay`.
+    relay_notify: Notify,
+    confirmation: Mutex<Option<Confirmation>>,
+    /// The configuration in force, decoded and indexed.
+    routing_table: Mutex<Option<Arc<RoutingTable>>>,
+    /// The configuration in force, compressed for entry instances.
+    compressed_configuration: Mutex<Option<VersionedConfiguration>>,
+    /// Layers that no engine holds, by model and failure domain, as last logged.
+    last_coverage: Mutex<Vec<BTreeMap<String, Vec<LayerRange>>>>,
+    engine_calls: place::EngineCalls,
+    shutting_down: AtomicBool,
 }
 
-/// The controller that runs now; none while its store is opened again.
+/// The running controller; empty while its store is reopened.
 #[derive(Default)]
-struct Slot(ArcSwapOption<Controller>);
+struct ControllerSlot(ArcSwapOption<Controller>);
 
-/// Runs a controller until a signal.
+/// Runs a controller until the process is asked to stop.
 ///
-/// A store that fails, as on a full disk, is opened again in this process: all
-/// that was in memory is dropped, as at a new start, and the other roles of the
-/// machine and its addresses are left alone.
+/// A store that fails, for example on a full disk, is reopened in this process. The controller's
+/// state in memory is discarded, as after a restart; the machine's other roles and addresses are
+/// not affected.
 ///
 /// # Errors
 ///
-/// When the settings don't fit, or the files of the log can't be used.
+/// If the settings are invalid, or the files of the log cannot be used.
 pub(crate) fn run(settings: &RoleSettings) -> Result<()> {
     let boot = settings.boot()?;
     let runtime = role::runtime()?;
@@ -128,10 +128,10 @@
     let clock: Arc<dyn Clock> = Arc::new(SystemClock);
     let key = FleetKey::new(role::FLEET_SECRET);
     let peers = Peers::on_port(key.clone(), runtime.handle().clone(), boot.ports.0);
-    let slot = Arc::new(Slot::default());
-    let measured = Arc::clone(&slot);
+    let slot = Arc::new(ControllerSlot::default());
+    let observed = Arc::clone(&slot);
     role::serve_metrics(settings, boot.ip, &runtime, move || {
-        if let Some(controller) = measured.0.load_full() {
+        if let Some(controller) = observed.0.load_full() {
             controller.measure();
         }
     })?;
@@ -140,27 +140,30 @@
     let ended = runtime.block_on(async {
         tokio::select! {
             () = stop.wait() => Ok(()),
-            failed = keep(settings, &boot, &clock, &peers, &slot) => failed,
+            failed = supervise(settings, &boot, &clock, &peers, &slot) => failed,
         }
     });
     if let Some(controller) = slot.0.swap(None) {
-        controller.ending.store(true, Ordering::Relaxed);
+        controller.shutting_down.store(true, Ordering::Relaxed);
         controller.voter.stop();
-        runtime.block_on(sleep(LINGER));
+        runtime.block_on(sleep(SHUTDOWN_DELAY));
     }
     runtime.shutdown_background();
     tracing::info!(event = event::STOPPED.id, "stopped");
     ended
 }
 
-/// Keeps a controller running; returns only with an error that opening the
-/// store again can't mend.
-async fn keep(
+/// Runs a controller and restarts it when its store fails.
+///
+/// # Errors
+///
+/// If the failure cannot be fixed by reopening the store.
+async fn supervise(
     settings: &RoleSettings,
     boot: &Boot,
     clock: &Arc<dyn Clock>,
     peers: &Peers,
-    slot: &Slot,
+    slot: &ControllerSlot,
 ) -> Result<()> {
     loop {
         let failed = match start(settings, boot, clock, peers)? {
@@ -168,7 +171,7 @@
                 slot.0.store(Some(Arc::clone(&controller)));
                 let ended = role::join_voter(thread).await;
                 slot.0.store(None);
-                controller.ending.store(true, Ordering::Relaxed);
+                controller.shutting_down.store(true, Ordering::Relaxed);
                 match ended? {
                     VoterExit::Stopped => return Ok(()),
                     VoterExit::Failed(error) => error,
@@ -180,26 +183,26 @@
             return Err(startup::start_error("voter", &failed));
         }
         tracing::warn!(event = event::STORE_REOPENED.id, "{failed}");
-        sleep(REOPEN).await;
+        sleep(REOPEN_DELAY).await;
     }
 }
 
 type VoterThread = std::thread::JoinHandle<Result<(), StoreError>>;
-type Started = std::result::Result<(Arc<Controller>, VoterThread), StoreError>;
+type StartResult = std::result::Result<(Arc<Controller>, VoterThread), StoreError>;
 
 fn start(
     settings: &RoleSettings,
     boot: &Boot,
     clock: &Arc<dyn Clock>,
     peers: &Peers,
-) -> Result<Started> {
+) -> Result<StartResult> {
     let control = role::required(boot.control, "a control address")?;
     let (register, machine) = Register::new();
-    let links = peers.clone();
+    let outgoing = peers.clone();
     let spawned = Voter::spawn(
         voter_settings(settings, boot)?,
         vec![Box::new(machine)],
-        Box::new(move |to, message| links.send(to, message)),
+        Box::new(move |to, message| outgoing.send(to, message)),
         Arc::clone(clock),
     );
     let (voter, thread) = match spawned {
@@ -215,23 +218,23 @@
         register,
         leader_state: Mutex::new(LeaderState::new(boot.heartbeat)),
         relay: Mutex::default(),
-        relayed: Notify::new(),
-        confirmed: Mutex::default(),
-        table: Mutex::default(),
-        packed: Mutex::default(),
-        coverage: Mutex::default(),
-        calls: place::Calls::default(),
-        ending: AtomicBool::new(false),
+        relay_notify: Notify::new(),
+        confirmation: Mutex::default(),
+        routing_table: Mutex::default(),
+        compressed_configuration: Mutex::default(),
+        last_coverage: Mutex::default(),
+        engine_calls: place::EngineCalls::default(),
+        shutting_down: AtomicBool::new(false),
         boot: boot.clone(),
     });
     tokio::spawn(Arc::clone(&controller).confirm());
-    tokio::spawn(Arc::clone(&controller).tend());
-    tokio::spawn(Arc::clone(&controller).pass_on());
+    tokio::spawn(Arc::clone(&controller).maintain());
+    tokio::spawn(Arc::clone(&controller).forward_heartbeats());
     Ok(Ok((controller, thread)))
 }
 
-/// Listens for other instances, operators and upstreams.
-fn listen(slot: &Arc<Slot>, boot: &Boot, key: FleetKey, runtime: &Handle) -> Result<()> {
+/// Listens for connections of other instances, operators and upstreams.
+fn listen(slot: &Arc<ControllerSlot>, boot: &Boot, key: FleetKey, runtime: &Handle) -> Result<()> {
     let addr = SocketAddrV4::new(boot.ip, boot.ports.0).into();
     let role = "instances";
     let peers = startup::listen(addr, role)?;
@@ -270,9 +273,9 @@
         initial_voters,
         contacts: seeds,
         election_timeout: settings.election,
-        heartbeat_interval: settings.election / HEARTBEATS,
-        snapshot_interval: COMPACT,
-        retained_entries: KEEP,
+        heartbeat_interval: settings.election / HEARTBEATS_PER_ELECTION,
+        snapshot_interval: SNAPSHOT_INTERVAL,
+        retained_entries: RETAINED_ENTRIES,
         seed: rand::random(),
     })
 }
@@ -282,11 +285,11 @@
         self.clock.now()
     }
 
-    fn lead(&self) -> LeaderInfo {
+    fn leader_info(&self) -> LeaderInfo {
         self.voter.leader_info(GROUP)
     }
 
-    /// What the voter tells of the replicated log.
+    /// Returns the voter's status of the replicated log.
     fn status(&self) -> Option<GroupStatus> {
         let mut groups = self.voter.status().into_iter();
         groups.find(|s| s.group == GROUP)
@@ -296,7 +299,7 @@
         role::instance_id(self.boot.ip)
     }
 
-    fn relay(&self) -> MutexGuard<'_, Relay<heartbeat::Waiter>> {
+    fn relay(&self) -> MutexGuard<'_, Relay<heartbeat::AckSender>> {
         self.relay.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -306,35 +309,35 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The board of the current term, if this controller leads.
-    fn leading(&self) -> Option<MutexGuard<'_, LeaderState>> {
-        let term = self.lead().term?;
+    /// Returns the state of the current term, if this controller leads.
+    fn state_if_leading(&self) -> Option<MutexGuard<'_, LeaderState>> {
+        let term = self.leader_info().term?;
         let mut state = self.leader_state();
         state.enter_term(self.now(), term, &self.register);
         Some(state)
     }
 
-    /// Confirms over and over that all that is committed is known here.
+    /// Periodically confirms that all committed entries are applied here.
     async fn confirm(self: Arc<Self>) {
-        while !self.ending.load(Ordering::Relaxed) {
+        while !self.shutting_down.load(Ordering::Relaxed) {
             let at = self.now();
-            let before = self.lead().term;
+            let before = self.leader_info().term;
             if let Some(term) = before
-                && self.read().await
-                && self.lead().term == before
+                && self.confirm_read().await
+                && self.leader_info().term == before
             {
-                let confirmed = Some(Confirmed { at, term });
+                let confirmation = Some(Confirmation { at, term });
                 *self
-                    .confirmed
+                    .confirmation
                     .lock()
-                    .unwrap_or_else(PoisonError::into_inner) = confirmed;
+                    .unwrap_or_else(PoisonError::into_inner) = confirmation;
             }
-            sleep(CONFIRM).await;
+            sleep(CONFIRM_INTERVAL).await;
         }
     }
 
-    /// Whether a quorum confirmed that all committed before is applied here.
-    async fn read(&self) -> bool {
+    /// Whether a quorum confirmed that all entries committed before the call are applied here.
+    async fn confirm_read(&self) -> bool {
         let (reply, answer) = oneshot::channel();
         let done = move |read: std::result::Result<u64, _>| {
             let _ = reply.send(read.is_ok());
@@ -343,32 +346,32 @@
         answer.await.unwrap_or(false)
     }
 
-    /// Age of the latest confirmation of this term.
-    fn age(&self) -> Option<Duration> {
-        let term = self.lead().term?;
-        let confirmed = self
-            .confirmed
+    /// Returns the age of the latest confirmation in this term, unless it is too old.
+    fn confirmation_age(&self) -> Option<Duration> {
+        let term = self.leader_info().term?;
+        let confirmation = self
+            .confirmation
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let confirmed = confirmed.filter(|c| c.term == term)?;
-        let age = self.now().since(confirmed.at);
-        (age < STALE).then_some(age)
+        let confirmation = confirmation.filter(|c| c.term == term)?;
+        let age = self.now().since(confirmation.at);
+        (age < MAX_CONFIRMATION_AGE).then_some(age)
     }
 
-    /// Looks after members, upstreams and placement while leading.
-    async fn tend(self: Arc<Self>) {
-        while !self.ending.load(Ordering::Relaxed) {
-            sleep(TICK).await;
-            if self.lead().term.is_none() {
+    /// Maintains voters, upstreams, placement and quarantine while leading.
+    async fn maintain(self: Arc<Self>) {
+        while !self.shutting_down.load(Ordering::Relaxed) {
+            sleep(TICK_INTERVAL).await;
+            if self.leader_info().term.is_none() {
                 continue;
             }
-            self.tend_members();
-            self.tend_upstreams();
-            self.tend_quarantine();
+            self.maintain_voters();
+            self.maintain_upstreams();
+            self.maintain_quarantine();
         }
     }
 
-    fn tend_members(&self) {
+    fn maintain_voters(&self) {
         let Some(status) = self.status() else {
             return;
         };
@@ -390,36 +393,42 @@
         }
     }
 
-    fn tend_upstreams(self: &Arc<Self>) {
-        let Some(mut state) = self.leading() else {
+    fn maintain_upstreams(self: &Arc<Self>) {
+        let Some(mut state) = self.state_if_leading() else {
             return;
         };
         let now = self.now();
         for id in state.tick(now) {
             tracing::warn!(event = event::UPSTREAM_LOST.id, upstream = %id, "no heartbeats");
         }
-        let Some(table) = self.table() else { return };
-        // A leader that isn't sure to lead gives no orders: its fence is old.
-        if self.age().is_none() {
+        let Some(table) = self.routing_table() else {
+            return;
+        };
+        // Without a recent confirmation, another controller may lead, and this term may be an
+        // outdated fence for orders.
+        if self.confirmation_age().is_none() {
             return;
         }
         self.report_coverage(&state, &table);
         let orders = state.orders(now, &table.configuration);
-        let asked = state.next_pace_queries();
+        let queries = state.next_pace_queries();
         drop(state);
-        for asked in asked {
-            tokio::spawn(Arc::clone(self).ask_pace(asked));
+        for query in queries {
+            tokio::spawn(Arc::clone(self).query_pace(query));
         }
         for order in orders {
-            tokio::spawn(Arc::clone(self).place(order));
+            tokio::spawn(Arc::clone(self).execute_order(order));
         }
     }
 
-    /// Logs which layers no engine of a domain holds, when that changes.
+    /// Logs the layers that no engine holds, by failure domain, if they changed.
     fn report_coverage(&self, state: &LeaderState, table: &RoutingTable) {
         let models = table.configuration.models();
         let coverage: Vec<_> = models.map(|(s, m)| state.missing_layers(s, m)).collect();
-        let mut last = self.coverage.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut last = self
+            .last_coverage
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         if *last != coverage {
             tracing::info!(
                 event = event::LAYERS_MISSING.id,
@@ -430,25 +439,31 @@
         }
     }
 
-    /// The configuration in force, decoded.
-    fn table(&self) -> Option<Arc<RoutingTable>> {
-        let mut table = self.table.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Returns the configuration in force, decoded and indexed.
+    fn routing_table(&self) -> Option<Arc<RoutingTable>> {
+        let mut table = self
+            .routing_table
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let version = table.as_ref().map_or(0, |t| t.configuration.version);
         if self.register.version() != version {
-            let Versioned { body, .. } = self.register.current()?;
-            // Only what was decoded and checked is ever proposed.
+            let VersionedConfiguration { body, .. } = self.register.current()?;
+            // Only configurations that were decoded and checked are proposed.
             let decoded = crate::platform::configuration::decode(&body);
             *table = decoded.ok().map(RoutingTable::new);
         }
         table.clone()
     }
 
-    /// The configuration in force, packed once for all instances.
-    fn packed(&self) -> Option<Versioned> {
+    /// Returns the configuration in force, compressed once for all instances.
+    fn compressed_configuration(&self) -> Option<VersionedConfiguration> {
         let current = self.register.current()?;
-        let mut packed = self.packed.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut packed = self
+            .compressed_configuration
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         if packed.as_ref().is_none_or(|p| p.version != current.version) {
-            *packed = Some(Versioned {
+            *packed = Some(VersionedConfiguration {
                 version: current.version,
                 body: sync::pack(&current.body),
             });
@@ -456,12 +471,13 @@
         packed.clone()
     }
 
-    /// Answers an entry instance, or names the leader.
+    /// Answers a sync request, or returns the leader.
     fn sync(&self, ask: SyncRequest) -> Answer {
-        let (Some(age), Some(mut state)) = (self.age(), self.leading()) else {
-            return Answer::NotLeader(self.lead().leader.map_or(0, |l| l.0));
+        let (Some(age), Some(mut state)) = (self.confirmation_age(), self.state_if_leading())
+        else {
+            return Answer::NotLeader(self.leader_info().leader.map_or(0, |l| l.0));
         };
-        let current = self.packed();
+        let current = self.compressed_configuration();
         let known_quarantine = ask.quarantine_checksum;
         let reply = state.sync(self.now(), ask, age, current, &self.register);
         drop(state);
@@ -474,7 +490,7 @@
     }
 }
 
-impl Handler for Slot {
+impl Handler for ControllerSlot {
     fn deliver(&self, message: Message) {
         if let Some(controller) = self.0.load_full() {
             controller.voter.deliver(message);
@@ -484,7 +500,9 @@
     fn request(&self, request: Request, reply: ReplySink) {
         let answer = match (request.ask, self.0.load_full()) {
             (Some(Ask::Sync(ask)), Some(controller)) => controller.sync(ask),
-            (Some(Ask::Heartbeats(batch)), Some(controller)) => controller.take_heartbeats(batch),
+            (Some(Ask::Heartbeats(batch)), Some(controller)) => {
+                controller.receive_heartbeats(batch)
+            }
             _ => Answer::Unavailable(true),
         };
         reply.send(Reply {
@@ -493,8 +511,8 @@
     }
 }
 
-/// Number of the instance behind a control address.
-pub(crate) fn control_of(leader: InstanceId, port: u16) -> Option<SocketAddrV4> {
+/// Returns the control address of an instance.
+pub(crate) fn control_address(leader: InstanceId, port: u16) -> Option<SocketAddrV4> {
     let ip = u32::try_from(leader.0).ok()?;
     Some(SocketAddrV4::new(ip.into(), port))
 }
--- a/src/controller/pace.rs
+++ b/src/controller/pace.rs
@@ -1,4 +1,4 @@
-//! Asks engines how fast they work.
+//! Queries engines for their pace.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,28 +9,28 @@
 use crate::event;
 use crate::platform::engine;
 
-/// Longest wait for an engine's report. One that is late says nothing of its speed.
-const ANSWER: Duration = Duration::from_millis(300);
+/// Timeout for an engine's report. A late report says nothing about the engine's pace.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Controller {
-    /// Asks one engine, and notes its answer.
-    pub(super) async fn ask_pace(self: Arc<Self>, asked: PaceQuery) {
-        let report = report(asked.address.into(), &asked.engine, ANSWER).await;
+    /// Queries an engine and records its pace.
+    pub(super) async fn query_pace(self: Arc<Self>, query: PaceQuery) {
+        let report = report(query.address.into(), &query.engine, REPORT_TIMEOUT).await;
         let Some(report) = report else {
-            tracing::debug!(upstream = %asked.engine, "no report");
+            tracing::debug!(upstream = %query.engine, "engine sent no report");
             return;
         };
         let Some(pace) = engine::reported_pace(&report) else {
-            tracing::debug!(upstream = %asked.engine, "its report names no pace");
+            tracing::debug!(upstream = %query.engine, "engine report contains no pace");
             return;
         };
-        if self.leader_state().set_pace(&asked, pace) {
+        if self.leader_state().set_pace(&query, pace) {
             tracing::info!(
                 event = event::PACE_CHANGED.id,
-                upstream = %asked.engine,
-                address = %asked.address,
+                upstream = %query.engine,
+                address = %query.address,
                 pace,
-                "works at another speed"
+                "engine pace changed"
             );
         }
     }
--- a/src/controller/place.rs
+++ b/src/controller/place.rs
@@ -1,4 +1,4 @@
-//! Orders to engines.
+//! Placement orders to engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,69 +15,75 @@
 use crate::metric;
 use crate::platform::engine;
 
-/// Longest wait for an engine to take an order. One that runs answers within
-/// milliseconds, a lost packet is sent again after 200 ms.
-const ANSWER: Duration = Duration::from_millis(600);
+/// Timeout for an engine's answer. A running engine answers within milliseconds, and a lost
+/// packet is retransmitted after 200 ms.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Period of asking an engine whether it has carried out an order. Its next
-/// heartbeat may be more than a second away, while a short load takes 0.2 s.
-const LOOK: Duration = Duration::from_millis(300);
+/// Interval of polling an engine whether it has carried out an order. Its next heartbeat may be
+/// more than a second away, while loading a few layers takes 0.2 s.
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Orders that wait for an answer at once. A new fleet of 2,985 engines was given
-/// all its orders in one moment: with a connection for each the controller ran out
-/// of descriptors and of processor time, and none was answered within [`ANSWER`].
-/// Engines answer within milliseconds, so this many keep the processor busy.
-const ORDERS: usize = 48;
+/// Maximum number of concurrent orders. When a new fleet of 2,985 engines got all its orders at
+/// once, with a connection each, the controller ran out of file descriptors and CPU time, and
+/// none was answered within [`ANSWER_TIMEOUT`]. Engines answer within milliseconds, so this many
+/// keep the CPU busy.
+const MAX_CONCURRENT_ORDERS: usize = 48;
 
-/// Orders at once about whose carrying out engines are asked. Of the others the
-/// next heartbeat tells. Asking all of a fleet of 2,985 took 10,000 connections a
+/// Maximum number of orders whose engines are polled at once; the completion of others is learned
+/// from the next heartbeat. Polling all of a fleet of 2,985 engines took 10,000 connections a
 /// second.
-const LOOKS: usize = 24;
+const MAX_CONCURRENT_POLLS: usize = 24;
 
-/// How many calls to engines may run at once.
-pub(super) struct Calls {
+/// Limits on concurrent calls to engines.
+pub(super) struct EngineCalls {
     orders: Semaphore,
-    looks: Semaphore,
+    polls: Semaphore,
 }
 
-impl Default for Calls {
+impl Default for EngineCalls {
     fn default() -> Self {
         Self {
-            orders: Semaphore::new(ORDERS),
-            looks: Semaphore::new(LOOKS),
+            orders: Semaphore::new(MAX_CONCURRENT_ORDERS),
+            polls: Semaphore::new(MAX_CONCURRENT_POLLS),
         }
     }
 }
 
 impl Controller {
-    /// Gives one order when it is its turn, and looks until it is carried out.
-    pub(super) async fn place(self: Arc<Self>, order: PlacementOrder) {
-        let Ok(turn) = self.calls.orders.acquire().await else {
+    /// Sends an order once a permit is available, and polls until it is carried out.
+    pub(super) async fn execute_order(self: Arc<Self>, order: PlacementOrder) {
+        let Ok(permit) = self.engine_calls.orders.acquire().await else {
             return;
         };
-        // While it waited, the time of the order may have passed, or the term: a
-        // deposed leader would go on giving orders with an old fence.
-        let leads = self.lead().term == Some(order.fence);
+        // While it waited, the order or the term may have expired: a deposed leader would go on
+        // sending orders with an outdated fence.
+        let leads = self.leader_info().term == Some(order.fence);
         if !leads || !self.leader_state().is_pending(&order) {
             return;
         }
-        let may_run = self.give(&order).await;
-        drop(turn);
-        if may_run && let Ok(_free) = self.calls.looks.try_acquire() {
-            self.look(&order).await;
+        let may_run = self.send_order(&order).await;
+        drop(permit);
+        if may_run && let Ok(_permit) = self.engine_calls.polls.try_acquire() {
+            self.poll_order(&order).await;
         }
     }
 
-    /// Gives one order, and notes what became of it. Returns whether the engine
-    /// may carry it out.
-    async fn give(&self, order: &PlacementOrder) -> bool {
+    /// Sends an order and records the answer. Returns whether the engine may carry it out.
+    async fn send_order(&self, order: &PlacementOrder) -> bool {
         let body = Bytes::from(engine::place(order.range, order.fence));
         let request = Request::post(engine::ORDER);
-        let answer = call(order.address.into(), &order.engine, request, body, ANSWER).await;
+        let answer = call(
+            order.address.into(),
+            &order.engine,
+            request,
+            body,
+            ANSWER_TIMEOUT,
+        )
+        .await;
         let status = answer.map(|a| a.0);
-        let taken = engine::is_taken(status);
+        let accepted = engine::is_taken(status);
         match status {
-            Some(_) if taken => {}
+            Some(_) if accepted => {}
             Some(_) => self
                 .leader_state()
                 .record_refusal(self.now(), &order.engine),
@@ -97,17 +103,18 @@
             status = status.map(|s| s.as_u16()),
             "layers ordered"
         );
-        taken || status.is_none()
+        accepted || status.is_none()
     }
 
-    /// Asks an engine until it reports what it was ordered to hold.
-    async fn look(&self, order: &PlacementOrder) {
+    /// Polls an engine until it reports the layers that it was ordered to hold.
+    async fn poll_order(&self, order: &PlacementOrder) {
         loop {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
             if !self.leader_state().is_pending(order) {
                 return;
             }
-            let Some(report) = report(order.address.into(), &order.engine, ANSWER).await else {
+            let Some(report) = report(order.address.into(), &order.engine, ANSWER_TIMEOUT).await
+            else {
                 continue;
             };
             if engine::reported_layers(&report) == Some(order.range) {
--- a/src/controller/quarantine.rs
+++ b/src/controller/quarantine.rs
@@ -18,8 +18,8 @@
 
 impl Controller {
     /// Proposes new quarantines, and lifts those that have expired.
-    pub(super) fn tend_quarantine(&self) {
-        let Some(mut state) = self.leading() else {
+    pub(super) fn maintain_quarantine(&self) {
+        let Some(mut state) = self.state_if_leading() else {
             return;
         };
         let requests = state.crashing_requests(self.now(), &self.register);
@@ -57,7 +57,7 @@
     }
 
     /// Proposes a command. Uncommitted commands are proposed again by a later
-    /// [`Self::tend_quarantine`].
+    /// [`Self::maintain_quarantine`].
     fn propose(&self, command: bytes::Bytes) {
         let done = |outcome: Result<Vec<u8>, _>| {
             if let Err(error) = outcome {
--- a/src/register.rs
+++ b/src/register.rs
@@ -1,9 +1,8 @@
-//! The replicated machine of the controllers: the configuration with the
-//! highest version, and the starts of upstreams that have left.
+//! Replicated state machine of the controllers: the configuration with the highest version,
+//! the upstreams that have left, and the quarantined requests.
 //!
-//! Departures are kept here since an upstream that was told "acknowledged" may
-//! say nothing more: a leader that took over a moment later would otherwise
-//! hand it out again.
+//! Departures are replicated since an upstream may send nothing more once its departure is
+//! acknowledged: a leader elected just after that would otherwise offer it again.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,14 +13,14 @@
 use crate::fingerprint::Fingerprint;
 use crate::voter::StateMachine;
 
-/// Departures that are kept. A day brings some hundreds; each is forgotten
-/// long after its upstream has stopped calling.
-const MOST_DEPARTED: usize = 4096;
+/// Maximum number of departures that are kept. There are some hundreds a day, so each is
+/// evicted long after its upstream sent the last heartbeat.
+const MAX_DEPARTED: usize = 4096;
 
 /// Maximum number of quarantined requests, of all organisations and of one. The oldest is
 /// evicted first.
-const MOST_QUARANTINED: usize = 512;
-const MOST_QUARANTINED_PER_ORGANISATION: usize = 64;
+const MAX_QUARANTINED: usize = 512;
+const MAX_QUARANTINED_PER_ORGANISATION: usize = 64;
 
 /// A command of the replicated log.
 #[derive(Clone, PartialEq, Message)]
@@ -30,11 +29,11 @@
     pub(crate) change: Option<Change>,
 }
 
-/// What a command changes.
+/// Change made by a command.
 #[derive(Clone, PartialEq, Oneof)]
 pub(crate) enum Change {
     #[prost(message, tag = "1")]
-    Replace(Versioned),
+    Replace(VersionedConfiguration),
     #[prost(message, tag = "2")]
     Depart(Departed),
     #[prost(message, tag = "3")]
@@ -63,14 +62,14 @@
 
 /// A configuration as the operator sent it, byte for byte.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Versioned {
+pub(crate) struct VersionedConfiguration {
     #[prost(uint64, tag = "1")]
     pub(crate) version: u64,
     #[prost(bytes = "bytes", tag = "2")]
     pub(crate) body: Bytes,
 }
 
-/// A start of an upstream that gets no more work.
+/// An incarnation of an upstream that receives no more requests.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Departed {
     #[prost(string, tag = "1")]
@@ -85,19 +84,19 @@
         Fingerprint::try_from(&*self.fingerprint).ok()
     }
 
-    /// Contribution to the checksum; depends on the request and the start, and isn't 0.
+    /// Contribution to the checksum; depends on the request and `since`, and is not 0.
     fn checksum_part(&self) -> u64 {
         let request = self.fingerprint().map_or(0, |f| f.leading_u64());
         request.wrapping_add(self.since) | 1
     }
 }
 
-/// The whole state, as a snapshot holds it.
+/// The whole state, as encoded in a snapshot.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct State {
     /// `None` before the first configuration.
     #[prost(message, optional, tag = "1")]
-    pub(crate) current: Option<Versioned>,
+    pub(crate) current: Option<VersionedConfiguration>,
     /// Oldest first.
     #[prost(message, repeated, tag = "2")]
     pub(crate) departed: Vec<Departed>,
@@ -106,17 +105,17 @@
     pub(crate) quarantined: Vec<Quarantined>,
 }
 
-/// The state behind the machine, for readers.
+/// Shared read access to the state of a [`RegisterMachine`].
 #[derive(Clone, Default)]
 pub(crate) struct Register(Arc<Mutex<Inner>>);
 
 #[derive(Default)]
 struct Inner {
-    /// Its version only grows.
-    current: Option<Versioned>,
+    /// Its version never decreases.
+    current: Option<VersionedConfiguration>,
     departed: VecDeque<Departed>,
-    /// Departures ever applied or restored here; tells readers of new ones.
-    count: u64,
+    /// Number of departures ever applied or restored, for readers to detect new ones.
+    departure_count: u64,
     /// Oldest first; each fingerprint once.
     quarantined: Vec<Quarantined>,
     /// Checksum of `quarantined`, independent of its order; 0 while it is empty.
@@ -127,44 +126,45 @@
 pub(crate) struct RegisterMachine(Register);
 
 impl Register {
-    /// An empty register and the machine that changes it.
+    /// Creates an empty register and the state machine that changes it.
     pub(crate) fn new() -> (Self, RegisterMachine) {
         let register = Self::default();
         (register.clone(), RegisterMachine(register))
     }
 
-    /// The configuration with the highest version.
-    pub(crate) fn current(&self) -> Option<Versioned> {
+    /// Returns the configuration with the highest version.
+    pub(crate) fn current(&self) -> Option<VersionedConfiguration> {
         self.lock().current.clone()
     }
 
-    /// Version of the configuration; 0 before the first.
+    /// Returns the version of the configuration; 0 before the first.
     pub(crate) fn version(&self) -> u64 {
         self.lock().current.as_ref().map_or(0, |c| c.version)
     }
 
-    /// The latest departures, at most `most`, newest last.
-    pub(crate) fn latest_departed(&self, most: usize) -> Vec<Departed> {
+    /// Returns at most `limit` of the latest departures, newest last.
+    pub(crate) fn latest_departed(&self, limit: usize) -> Vec<Departed> {
         let departed = &self.lock().departed;
-        let skip = departed.len().saturating_sub(most);
+        let skip = departed.len().saturating_sub(limit);
         departed.iter().skip(skip).cloned().collect()
     }
 
-    /// Departures after the first `seen`, and how many there are by now.
+    /// Returns the departures after the first `seen`, and the number of all so far.
     pub(crate) fn departed_after(&self, seen: u64) -> (Vec<Departed>, u64) {
         let inner = self.lock();
-        let new = usize::try_from(inner.count - seen.min(inner.count)).unwrap_or(usize::MAX);
+        let new = usize::try_from(inner.departure_count - seen.min(inner.departure_count))
+            .unwrap_or(usize::MAX);
         let skip = inner.departed.len().saturating_sub(new);
         let list = inner.departed.iter().skip(skip).cloned().collect();
-        (list, inner.count)
+        (list, inner.departure_count)
     }
 
-    /// The quarantined requests, oldest first.
+    /// Returns the quarantined requests, oldest first.
     pub(crate) fn quarantined(&self) -> Vec<Quarantined> {
         self.lock().quarantined.clone()
     }
 
-    /// Checksum of the quarantined requests; 0 while there are none.
+    /// Returns the checksum of the quarantined requests; 0 if there are none.
     pub(crate) fn quarantine_checksum(&self) -> u64 {
         self.lock().checksum
     }
@@ -175,9 +175,9 @@
 }
 
 impl Inner {
-    /// Takes a configuration if none so new is held. The first content of a
-    /// version stays: two operators may send different ones.
-    fn replace(&mut self, new: Versioned) {
+    /// Replaces the configuration if the new one has a higher version. The first content of a
+    /// version is kept: two operators may send different ones.
+    fn replace(&mut self, new: VersionedConfiguration) {
         let held = self.current.as_ref().map(|c| c.version);
         if held.is_none_or(|v| v < new.version) {
             self.current = Some(new);
@@ -189,8 +189,8 @@
             return;
         }
         self.departed.push_back(start);
-        self.count += 1;
-        if self.departed.len() > MOST_DEPARTED {
+        self.departure_count += 1;
+        if self.departed.len() > MAX_DEPARTED {
             self.departed.pop_front();
         }
     }
@@ -202,12 +202,12 @@
         self.lift(&new.fingerprint);
         let of_same = |q: &Quarantined| q.organisation == new.organisation;
         if self.quarantined.iter().filter(|q| of_same(q)).count()
-            >= MOST_QUARANTINED_PER_ORGANISATION
+            >= MAX_QUARANTINED_PER_ORGANISATION
             && let Some(oldest) = self.quarantined.iter().position(of_same)
         {
             self.quarantined.remove(oldest);
         }
-        if self.quarantined.len() >= MOST_QUARANTINED {
+        if self.quarantined.len() >= MAX_QUARANTINED {
             self.quarantined.remove(0);
         }
         self.quarantined.push(new);
@@ -226,7 +226,7 @@
 }
 
 impl StateMachine for RegisterMachine {
-    /// Replies with the version that is held afterwards, as eight bytes.
+    /// Returns the version of the resulting configuration, as eight bytes.
     fn apply(&mut self, _index: u64, command: &[u8]) -> Vec<u8> {
         let mut inner = self.0.lock();
         match Command::decode(command).map(|c| c.change) {
@@ -234,7 +234,7 @@
             Ok(Some(Change::Depart(start))) => inner.depart(start),
             Ok(Some(Change::Quarantine(new))) => inner.quarantine(new),
             Ok(Some(Change::Lift(fingerprint))) => inner.lift(&fingerprint),
-            // Of a later release. All stores skip it alike.
+            // Written by a later release. All stores skip it alike.
             Ok(None) | Err(_) => {}
         }
         let version = inner.current.as_ref().map_or(0, |c| c.version);
@@ -252,34 +252,35 @@
     }
 
     fn restore(&mut self, snapshot: &[u8]) {
-        let state = State::decode(snapshot).expect("a snapshot is what this machine wrote");
+        let state =
+            State::decode(snapshot).expect("the snapshot was written by this state machine");
         let mut inner = self.0.lock();
         inner.current = state.current;
-        // Readers see all of them as new, which at worst tells them twice.
-        inner.count += state.departed.len() as u64;
+        // Readers see all departures as new; applying one twice is harmless.
+        inner.departure_count += state.departed.len() as u64;
         inner.departed = state.departed.into();
         inner.quarantined = state.quarantined;
         inner.update_checksum();
     }
 }
 
-/// The command that replaces the configuration.
+/// Encodes the command that replaces the configuration.
 pub(crate) fn replace(version: u64, body: Bytes) -> Bytes {
-    encode(Change::Replace(Versioned { version, body }))
+    encode(Change::Replace(VersionedConfiguration { version, body }))
 }
 
-/// The command that notes a departure.
+/// Encodes the command that records a departure.
 pub(crate) fn depart(id: &str, born: u64) -> Bytes {
     let id = id.to_owned();
     encode(Change::Depart(Departed { id, born }))
 }
 
-/// The command that quarantines a request.
+/// Encodes the command that quarantines a request.
 pub(crate) fn quarantine(new: Quarantined) -> Bytes {
     encode(Change::Quarantine(new))
 }
 
-/// The command that lifts the quarantine of a request.
+/// Encodes the command that lifts the quarantine of a request.
 pub(crate) fn lift(fingerprint: &Fingerprint) -> Bytes {
     encode(Change::Lift(fingerprint.bytes()))
 }
--- a/src/sync.rs
+++ b/src/sync.rs
@@ -1,4 +1,4 @@
-//! What an entry instance asks the leading controller, and what it is told.
+//! Messages by which an entry instance synchronises with the leading controller.
 
 use std::io::{Read, Write};
 use std::net::SocketAddrV4;
@@ -15,43 +15,43 @@
 use crate::decide::run_history::EngineStart;
 use crate::roster::{Announcement, Entry, LayerRange};
 
-/// Asks for what the sender misses, and tells what it has at work.
+/// Requests the changes that the sender lacks, and reports its load.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct SyncRequest {
     /// The sender.
     #[prost(uint64, tag = "1")]
     pub(crate) instance: u64,
-    /// Version of the configuration that it has.
+    /// Version of the sender's configuration.
     #[prost(uint64, tag = "2")]
     pub(crate) version: u64,
-    /// Term and revision of the roster that it has.
+    /// Term and revision of the sender's roster.
     #[prost(uint64, tag = "3")]
     pub(crate) term: u64,
     #[prost(uint64, tag = "4")]
     pub(crate) revision: u64,
-    /// What it has at work on engines.
+    /// The sender's load on each engine.
     #[prost(message, repeated, tag = "5")]
     pub(crate) loads: Vec<Load>,
-    /// Addresses of upstreams that gave it no answer lately.
+    /// Address keys of upstreams that did not answer the sender lately.
     #[prost(uint64, repeated, tag = "6")]
     pub(crate) suspects: Vec<u64>,
-    /// Whether the roster that it has holds every upstream that lives.
+    /// Whether the sender's roster contains every live upstream.
     #[prost(bool, tag = "7")]
     pub(crate) complete: bool,
-    /// Requests that asked it for room on engines between two reports; 1 while it
-    /// doesn't know.
+    /// Number of requests that asked the sender for free memory on engines between two
+    /// reports; 1 while it is unknown.
     #[prost(uint32, tag = "8")]
     pub(crate) room_requests: u32,
-    /// Runs that an engine crash cut off and that the leader hasn't acknowledged.
+    /// Runs that an engine crash cut off and that the leader has not acknowledged.
     #[prost(message, repeated, tag = "9")]
     pub(crate) cut: Vec<CutRecord>,
-    /// The leader's suspect requests that ran without harm.
+    /// Requests that the leader suspects and that ran without harm.
     #[prost(message, repeated, tag = "10")]
     pub(crate) harmless: Vec<HarmlessRecord>,
-    /// Checksum of the quarantine that the instance has; 0 if it is empty.
+    /// Checksum of the sender's quarantine; 0 if it is empty.
     #[prost(fixed64, tag = "11")]
     pub(crate) quarantine_checksum: u64,
-    /// The latest limit update that the instance has for each upstream.
+    /// The latest limit update that the sender has of each upstream.
     #[prost(message, repeated, tag = "12")]
     pub(crate) limits: Vec<LimitRecord>,
 }
@@ -102,7 +102,7 @@
 /// A run that an engine crash cut off shortly after it began.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct CutRecord {
-    /// Id of the engine, and its start.
+    /// Id of the engine, and its incarnation.
     #[prost(string, tag = "1")]
     pub(crate) engine: String,
     #[prost(uint64, tag = "2")]
@@ -126,48 +126,48 @@
     pub(crate) age: u64,
 }
 
-/// Work on one engine.
+/// Load on one engine.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub(crate) struct Load {
-    /// Address of the engine, see [`address_key`].
+    /// Address of the engine; see [`address_key`].
     #[prost(fixed64, tag = "1")]
     pub(crate) engine: u64,
-    /// Memory that the requests are expected to take, in megabytes.
+    /// Memory that the requests are expected to use, in megabytes.
     #[prost(uint32, tag = "2")]
     pub(crate) memory: u32,
-    /// Requests that pass through it.
+    /// Number of requests that it processes.
     #[prost(uint32, tag = "3")]
     pub(crate) requests: u32,
-    /// Those of them that it received as the first engine.
+    /// Number of those that it received as the first engine of their path.
     #[prost(uint32, tag = "4")]
     pub(crate) entered: u32,
 }
 
-/// What the leader knows that the asker misses.
+/// Reply to a [`SyncRequest`] with the changes that its sender lacks.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct SyncReply {
-    /// Microseconds since a quorum confirmed what follows.
+    /// Microseconds since a quorum confirmed the content of the reply.
     #[prost(uint64, tag = "1")]
     pub(crate) age: u64,
-    /// Version in force; 0 when there is no configuration yet.
+    /// Version of the configuration in force; 0 if there is none yet.
     #[prost(uint64, tag = "2")]
     pub(crate) version: u64,
-    /// The configuration, packed, if the asker has another version.
+    /// The compressed configuration, if the instance has another version.
     #[prost(bytes = "bytes", optional, tag = "3")]
     pub(crate) body: Option<Bytes>,
     #[prost(message, optional, tag = "4")]
     pub(crate) roster: Option<RosterDelta>,
-    /// What the other instances have at work; not in each answer.
+    /// Load of the other instances; not in every reply.
     #[prost(message, optional, tag = "5")]
     pub(crate) work: Option<FleetLoad>,
-    /// Entry instances that asked lately.
+    /// Number of entry instances that sent a request lately.
     #[prost(uint32, tag = "6")]
     pub(crate) entries: u32,
     /// The voters.
     #[prost(uint64, repeated, tag = "7")]
     pub(crate) voters: Vec<u64>,
-    /// Whether each entry instance has had the time to ask this leader, so that
-    /// `entries` and the sums of the work are whole.
+    /// Whether every entry instance has had the time to send a request to this leader, so
+    /// that `entries` and the sums of the load are complete.
     #[prost(bool, tag = "8")]
     pub(crate) entries_known: bool,
     /// Term of the leader.
@@ -203,41 +203,41 @@
     pub(crate) remaining_ms: u64,
 }
 
-/// Work on all engines.
+/// Load on all engines.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct FleetLoad {
     #[prost(message, repeated, tag = "1")]
     pub(crate) loads: Vec<Load>,
-    /// Requests that asked for room between two reports, at all instances.
+    /// Number of requests at all instances that asked for free memory between two reports.
     #[prost(uint32, tag = "2")]
     pub(crate) room_requests: u32,
 }
 
-/// A part of the roster as the leader has it: what changed after a revision.
+/// Changes of the leader's roster after a revision.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct RosterDelta {
     #[prost(uint64, tag = "1")]
     pub(crate) term: u64,
-    /// Revision that the asker has once it took this in.
+    /// Revision of the instance's roster once the changes are applied.
     #[prost(uint64, tag = "2")]
     pub(crate) revision: u64,
-    /// Whether the asker then knows every upstream that lives: nothing is left
-    /// to be told, and the leader has led long enough to have heard all. Until
-    /// then, ones that weren't told may still serve.
+    /// Whether the instance then knows every live upstream: no changes are left, and the leader
+    /// has led long enough to have received a heartbeat of each. Until then, upstreams that were
+    /// not sent may be live, too.
     #[prost(bool, tag = "3")]
     pub(crate) complete: bool,
     #[prost(message, repeated, tag = "4")]
     pub(crate) upstreams: Vec<UpstreamRecord>,
-    /// Starts that have left, newest last; told until the roster is complete.
+    /// Incarnations that have left, newest last; sent until the roster is complete.
     #[prost(message, repeated, tag = "5")]
     pub(crate) departed: Vec<crate::register::Departed>,
-    /// Revision after which the changes are told; 0 begins anew.
+    /// Revision after which the changes begin; 0 for the full roster.
     #[prost(uint64, tag = "6")]
     pub(crate) since: u64,
-    /// Ids that aren't in the roster any more.
+    /// Ids that were removed from the roster.
     #[prost(string, repeated, tag = "7")]
     pub(crate) removed: Vec<String>,
-    /// Whether there is more to be told already.
+    /// Whether more changes can be requested right away.
     #[prost(bool, tag = "8")]
     pub(crate) more: bool,
 }
@@ -260,18 +260,18 @@
     pub(crate) slots: u32,
     #[prost(string, optional, tag = "7")]
     pub(crate) kind: Option<String>,
-    /// Layers that it holds; both 0 when it holds none.
+    /// Layers for which it accepts requests; both 0 if there are none.
     #[prost(uint32, tag = "8")]
     pub(crate) first: u32,
     #[prost(uint32, tag = "9")]
     pub(crate) end: u32,
-    /// Whether it is to be avoided for its silence.
+    /// Whether it is to be avoided because its heartbeats are late.
     #[prost(bool, tag = "10")]
     pub(crate) late: bool,
-    /// How many times as long as usual it takes for its work; 0 stands for 1.
+    /// Factor on the usual duration of its work; 0 stands for 1.
     #[prost(float, tag = "11")]
     pub(crate) pace: f32,
-    /// Whether several instances found it dead.
+    /// Whether several instances failed to reach it.
     #[prost(bool, tag = "12")]
     pub(crate) suspected: bool,
 }
@@ -298,7 +298,7 @@
 }
 
 impl UpstreamRecord {
-    /// An upstream that is to be seen with `layers`.
+    /// Encodes an upstream, with `layers` in place of the layers that it holds.
     pub(crate) fn new(entry: &Entry, layers: Option<LayerRange>) -> Self {
         let (first, end) = layers.map_or((0, 0), |l| (l.first, l.end));
         Self {
@@ -315,27 +315,27 @@
         }
     }
 
-    /// Layers that it holds.
+    /// Returns its layers.
     pub(crate) fn range(&self) -> Option<LayerRange> {
         (self.first < self.end).then(|| LayerRange::new(self.first, self.end))
     }
 }
 
-/// Longest configuration that is unpacked, in bytes.
+/// Maximum size of a decompressed configuration, in bytes.
 const MAX_UNPACKED: u64 = 64 << 20;
 
-/// Packs a configuration for the way to the entry instances.
+/// Compresses a configuration for the entry instances.
 ///
-/// A thousand routes weigh 400 KB. To 87 instances that would be 35 MB over the
-/// leader's link at each change, about as long as a change may take to be in
-/// force; packed it is a tenth of it.
+/// A thousand routes take 400 KB. For 87 instances, each change would send 35 MB over the
+/// leader's link, which takes about as long as a change may take to come into force. Compressed,
+/// it is a tenth of that.
 pub(crate) fn pack(body: &[u8]) -> Bytes {
     let mut packer = ZlibEncoder::new(Vec::new(), Compression::fast());
     let packed = packer.write_all(body).and_then(|()| packer.finish());
-    packed.expect("memory takes all that is written").into()
+    packed.expect("writing to memory does not fail").into()
 }
 
-/// Unpacks what [`pack`] made; nothing when it is damaged or too long.
+/// Decompresses the output of [`pack`], up to [`MAX_UNPACKED`]. Returns `None` if it is damaged.
 pub(crate) fn unpack(packed: &[u8]) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     let mut unpacker = ZlibDecoder::new(packed).take(MAX_UNPACKED);
@@ -343,12 +343,12 @@
     Some(body)
 }
 
-/// An address as one number: the IP in the upper bits, the port below.
+/// Encodes an address as a number: the IP in the upper bits, the port in the lower 16.
 pub(crate) fn address_key(address: SocketAddrV4) -> u64 {
     (u64::from(u32::from(*address.ip())) << 16) | u64::from(address.port())
 }
 
-/// The address of a key.
+/// Decodes the result of [`address_key`].
 pub(crate) fn address_from_key(key: u64) -> SocketAddrV4 {
     let ip = u32::try_from(key >> 16 & 0xffff_ffff).unwrap_or(0);
     SocketAddrV4::new(ip.into(), (key & 0xffff) as u16)
