--- a/src/controller/call.rs
+++ b/src/controller/call.rs
@@ -1,4 +1,4 @@
-//! Calls of the operator and of upstreams.
+//! HTTP API of the controller for operators and upstreams.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,36 +20,36 @@
 use crate::platform::{configuration, heartbeat};
 use crate::register;
 
-/// Longest head of a call, in bytes.
-pub(super) const MAX_HEAD: usize = 16 << 10;
+/// Maximum size of a request head.
+pub(super) const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Longest time for which a connection may wait for a head.
-pub(super) const IDLE: Duration = Duration::from_secs(15);
+/// Maximum time for which a connection may wait for a request head.
+pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Longest body of a call, in bytes. The operator's limit for bodies is 4 MB.
-const MAX_BODY: usize = 8 << 20;
+/// Maximum size of a request body. The operator's own limit is 4 MB.
+const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Longest time to receive a body.
-const RECEIVE: Duration = Duration::from_secs(5);
+/// Timeout for receiving a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest time to commit a command. Callers move on after a second.
-const COMMIT: Duration = Duration::from_millis(900);
+/// Timeout for committing a command. Callers try another instance after a second.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Longest wait of a heartbeat for an election. Upstreams move on after a
-/// second without an answer, and follow one redirect within it.
-const LEADER_WAIT: Duration = Duration::from_millis(700);
+/// Maximum time for which a heartbeat waits for an election. Upstreams try another instance
+/// after a second without an answer, and follow one redirect within that time.
+const MAX_LEADER_WAIT: Duration = Duration::from_millis(700);
 
-/// Period of looking whether there is a leader.
-const LEADER_LOOK: Duration = Duration::from_millis(20);
+/// Interval of polling for a leader.
+const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time after its start in which a controller lets heartbeats wait. Later on one
-/// that knows no leader may be cut off, and the upstream finds a better one.
-const STARTING: Duration = Duration::from_secs(3);
+/// Time after its start in which a controller lets heartbeats wait for a leader. Later, a
+/// controller that knows no leader may be cut off, and the upstream should try another one.
+const STARTUP_PHASE: Duration = Duration::from_secs(3);
 
-/// Seconds after which a caller may try again.
-const RETRY: HeaderValue = HeaderValue::from_static("0.3");
+/// Value of `Retry-After`, in seconds.
+const RETRY_DELAY: HeaderValue = HeaderValue::from_static("0.3");
 
-/// Answers one call, if a controller runs.
+/// Answers a request; with 503 while no controller is running.
 pub(super) async fn answer(
     controller: Option<Arc<Controller>>,
     request: Request<Incoming>,
@@ -67,7 +67,7 @@
         let Some(decoded) = Call::decode(head.method.as_str(), path) else {
             return failure(StatusCode::NOT_FOUND, "there is no such call");
         };
-        let Ok(body) = http::receive(body, MAX_BODY, RECEIVE).await else {
+        let Ok(body) = http::receive(body, MAX_BODY_BYTES, BODY_TIMEOUT).await else {
             return failure(StatusCode::BAD_REQUEST, "the body can't be read in full");
         };
         if self.shutting_down.load(Ordering::Relaxed) {
@@ -83,18 +83,22 @@
         }
     }
 
-    /// Takes a configuration; acknowledges it once a majority has it on disk.
+    /// Replaces the configuration. Acknowledges it once a majority has it on disk.
     async fn replace(&self, path: &str, body: Bytes) -> Response<Reply> {
         let checked = configuration::decode(&body)
             .and_then(|c| c.check().map(|()| c.version).map_err(|e| e.to_string()));
         let version = match checked {
             Ok(version) => version,
             Err(reason) => {
-                tracing::warn!(event = event::CONFIGURATION_REFUSED.id, reason, "refused");
+                tracing::warn!(
+                    event = event::CONFIGURATION_REFUSED.id,
+                    reason,
+                    "configuration refused"
+                );
                 return failure(StatusCode::BAD_REQUEST, &reason);
             }
         };
-        // What is committed stays, so this holds whoever leads by now.
+        // Committed configurations are never reverted, so this is true on any controller.
         if self.register.version() >= version {
             return empty(StatusCode::OK);
         }
@@ -111,13 +115,12 @@
             took_ms = took,
             "configuration decided"
         );
-        outcome.map_or_else(|refusal| refusal, |()| empty(StatusCode::OK))
+        outcome.map_or_else(|response| response, |()| empty(StatusCode::OK))
     }
 
-    /// Answers with the newest configuration, or with 503 when no quorum can
-    /// tell which it is.
+    /// Returns the latest configuration, or 503 if no quorum confirms which one that is.
     async fn fetch(&self) -> Response<Reply> {
-        if !matches!(timeout(COMMIT, self.confirm_read()).await, Ok(true)) {
+        if !matches!(timeout(COMMIT_TIMEOUT, self.confirm_read()).await, Ok(true)) {
             return unavailable("no quorum confirms the configuration");
         }
         match self.register.current() {
@@ -127,14 +130,14 @@
     }
 
     async fn heartbeat(&self, path: &str, id: &str, body: &[u8]) -> Response<Reply> {
-        let Some(news) = heartbeat::decode(id, body) else {
+        let Some(announcement) = heartbeat::decode(id, body) else {
             return failure(StatusCode::BAD_REQUEST, "this names no usable upstream");
         };
-        if news.leaving {
-            return self.depart(path, id, news.born).await;
+        if announcement.leaving {
+            return self.depart(path, id, announcement.born).await;
         }
         self.await_leader().await;
-        if !self.handle_announcement(news).await {
+        if !self.handle_announcement(announcement).await {
             return self.redirect(path);
         }
         json(StatusCode::OK, call::next_heartbeat(self.control).into())
@@ -147,23 +150,28 @@
             };
             state.upstream(id).map(|e| e.last.born)
         };
-        // An upstream that this leader hasn't heard has left in every start
-        // before now; a later start is born later.
+        // If this leader has no heartbeat of the upstream, all incarnations up to now have left;
+        // a later one has a later start time.
         self.depart(path, id, born.unwrap_or_else(wall_millis))
             .await
     }
 
-    /// Notes on the log that a start gets no more work, then acknowledges.
+    /// Commits that an incarnation receives no more requests, then acknowledges.
     async fn depart(&self, path: &str, id: &str, born: u64) -> Response<Reply> {
         let known = match self.state_if_leading() {
             Some(state) => state.has_left(id, born),
             None => return self.redirect(path),
         };
         if !known {
-            if let Err(refusal) = self.commit(register::depart(id, born), path).await {
-                return refusal;
+            if let Err(response) = self.commit(register::depart(id, born), path).await {
+                return response;
             }
-            tracing::info!(event = event::UPSTREAM_LEFT.id, upstream = id, born, "left");
+            tracing::info!(
+                event = event::UPSTREAM_LEFT.id,
+                upstream = id,
+                born,
+                "upstream left"
+            );
         }
         json(StatusCode::OK, call::next_heartbeat(self.control).into())
     }
@@ -173,8 +181,8 @@
         let Some(fingerprint) = Fingerprint::parse(fingerprint) else {
             return failure(StatusCode::BAD_REQUEST, "this is no fingerprint");
         };
-        if let Err(refusal) = self.commit(register::lift(&fingerprint), path).await {
-            return refusal;
+        if let Err(response) = self.commit(register::lift(&fingerprint), path).await {
+            return response;
         }
         if let Some(mut state) = self.state_if_leading() {
             state.forget_crashes(&fingerprint);
@@ -188,7 +196,11 @@
         empty(StatusCode::OK)
     }
 
-    /// Commits a command, or gives the answer to send instead.
+    /// Commits a command.
+    ///
+    /// # Errors
+    ///
+    /// The response to send if it is not known to be committed.
     async fn commit(&self, command: Bytes, path: &str) -> Result<(), Response<Reply>> {
         if self.leader_info().term.is_none() {
             return Err(self.redirect(path));
@@ -198,29 +210,29 @@
             let _ = reply.send(outcome.is_ok());
         };
         self.voter.propose(GROUP, command, Box::new(done));
-        match timeout(COMMIT, answer).await {
+        match timeout(COMMIT_TIMEOUT, answer).await {
             Ok(Ok(true)) => Ok(()),
-            // It may still be committed: the caller sends it again.
+            // It may still be committed. The caller sends it again.
             _ => Err(unavailable("not committed by a majority in time")),
         }
     }
 
-    /// Lets a heartbeat wait for an election that is under way.
+    /// Waits for a running election before a heartbeat is handled.
     ///
-    /// After a restart of all, upstreams that are turned away come back up to a
-    /// heartbeat period later, and the new leader knows no whole pipeline until
-    /// then: the layers were complete 0.7 s after the election.
+    /// After a restart of all controllers, upstreams that are turned away retry up to a heartbeat
+    /// period later. Until then the new leader knows no complete pipeline: the layers were complete
+    /// only 0.7 s after the election.
     async fn await_leader(&self) {
         let began = self.now();
-        if began.since(self.started) >= STARTING {
+        if began.since(self.started) >= STARTUP_PHASE {
             return;
         }
-        while self.leader_info().leader.is_none() && self.now().since(began) < LEADER_WAIT {
-            sleep(LEADER_LOOK).await;
+        while self.leader_info().leader.is_none() && self.now().since(began) < MAX_LEADER_WAIT {
+            sleep(LEADER_POLL_INTERVAL).await;
         }
     }
 
-    /// Sends the caller to the leader.
+    /// Redirects the caller to the leader.
     fn redirect(&self, path: &str) -> Response<Reply> {
         let leader = self.leader_info().leader;
         let control = leader.and_then(|l| control_address(l, self.control.port()));
@@ -229,7 +241,8 @@
         };
         let mut response = empty(StatusCode::TEMPORARY_REDIRECT);
         let location = call::elsewhere(control, path);
-        let location = HeaderValue::try_from(location).expect("a path that was received");
+        let location =
+            HeaderValue::try_from(location).expect("a received path is a valid header value");
         response.headers_mut().insert(LOCATION, location);
         response
     }
@@ -255,6 +268,6 @@
 
 fn unavailable(reason: &str) -> Response<Reply> {
     let mut response = failure(StatusCode::SERVICE_UNAVAILABLE, reason);
-    response.headers_mut().insert(RETRY_AFTER, RETRY);
+    response.headers_mut().insert(RETRY_AFTER, RETRY_DELAY);
     response
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -246,8 +246,8 @@
     let control = startup::listen(addr, "operators and upstreams")?;
     let slot = Arc::clone(slot);
     let bounds = Bounds {
-        head: call::MAX_HEAD,
-        receive: call::IDLE,
+        head: call::MAX_HEAD_BYTES,
+        receive: call::IDLE_TIMEOUT,
     };
     runtime.spawn(http::accept(control, bounds, move |request| {
         call::answer(slot.0.load_full(), request)
