--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -1,7 +1,7 @@
-//! The operator's whole configuration, as one numbered version.
+//! The operator's configuration, as one numbered version.
 //!
-//! The highest version is in force. A version is checked as a whole, accepted
-//! as a whole, and never changed afterwards.
+//! The highest version is in force. A version is validated and accepted as a whole, and never
+//! changes afterwards.
 
 use std::time::Duration;
 
@@ -20,22 +20,22 @@
     pub(crate) routes: Vec<Route>,
     pub(crate) services: Vec<Service>,
     pub(crate) limits: Limits,
-    /// `None` where requests need no key.
+    /// `None` if requests need no key.
     pub(crate) organisations: Option<Vec<Organisation>>,
 }
 
-/// What may be repeated of a request.
+/// Which parts of a request may be run again after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryPolicy {
-    /// Nothing: it runs at most once.
+    /// None: the request runs at most once.
     Never,
-    /// All of it, as often as it takes.
+    /// The whole request, any number of times.
     Always,
-    /// A run that broke off may go on behind its last event elsewhere.
+    /// An interrupted run may be resumed on another upstream after its last event.
     Resume,
 }
 
-/// Which requests go where, and how.
+/// A rule that assigns requests to services.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Route {
     pub(crate) name: String,
@@ -43,62 +43,61 @@
     /// Begins and ends with a slash.
     pub(crate) prefix: String,
     pub(crate) retry_policy: RetryPolicy,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub(crate) streams: bool,
-    /// Longest time that a request is kept waiting. Above zero.
+    /// Timeout of a request. Above zero.
     pub(crate) timeout: Duration,
-    /// Time within which an answer, or a stream's first event, is worth most.
+    /// Latency objective for the response, or for the first event of a stream.
     pub(crate) objective: Duration,
-    /// Longest pause between two events that is still on time.
+    /// Latency objective for the gap between two events.
     pub(crate) pause: Duration,
-    /// 0 goes first.
+    /// 0 is the highest.
     pub(crate) priority: u8,
-    /// Never empty; the weights sum up to more than zero.
+    /// Not empty; the sum of the weights is above zero.
     pub(crate) targets: Vec<Target>,
-    /// Most upstreams that may run one attempt of a client.
+    /// Maximum number of upstreams that may run one attempt of a client.
     pub(crate) attempts: u32,
     /// Whether requests need no key.
     pub(crate) public: bool,
 }
 
-/// A share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Target {
     pub(crate) service: String,
     pub(crate) weight: f64,
 }
 
-/// A group of upstreams that serve the same.
+/// A group of upstreams that serve the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Service {
     pub(crate) name: String,
-    /// The model that its engines share by layers, or `None` of a plain
-    /// service.
+    /// The model whose layers are distributed over its engines; `None` for a plain service.
     pub(crate) model: Option<Model>,
 }
 
-/// A model and the speed of the engines that hold it.
+/// A model, and the cost of running it.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Model {
     /// Above zero.
     pub(crate) layers: u32,
     /// Memory of one layer's weights, in megabytes.
     pub(crate) layer_mb: f64,
-    /// Memory of one token in one layer, in megabytes.
+    /// Memory of one token's key-value cache in one layer, in megabytes.
     pub(crate) token_mb: f64,
-    /// Milliseconds of a step through all layers.
+    /// Duration of a decoding step through all layers, in milliseconds.
     pub(crate) step_ms: f64,
-    /// Milliseconds that each running request adds to a step.
+    /// Milliseconds added to a step by each running request.
     pub(crate) sequence_ms: f64,
-    /// Milliseconds that each token of context adds to a step.
+    /// Milliseconds added to a step by each token of context.
     pub(crate) context_ms: f64,
-    /// Milliseconds to read a prompt token through all layers.
+    /// Duration of reading one prompt token through all layers, in milliseconds.
     pub(crate) read_ms: f64,
-    /// Milliseconds for which a token occupies the link between two domains.
+    /// Milliseconds for which a token occupies the link between two failure domains.
     pub(crate) crossing_ms: f64,
-    /// Mean tokens of a prompt.
+    /// Mean number of tokens of a prompt.
     pub(crate) usual_prompt: f64,
-    /// Mean tokens of an answer.
+    /// Mean number of tokens of an answer.
     pub(crate) usual_answer: f64,
     pub(crate) accelerators: Vec<Accelerator>,
 }
@@ -109,42 +108,42 @@
     pub(crate) name: String,
     /// Memory for layers and requests, in megabytes.
     pub(crate) size_mb: f64,
-    /// Factor on the time of a step.
+    /// Factor on the duration of a step: higher is slower.
     pub(crate) step_factor: f64,
-    /// Factor on the time of reading.
+    /// Factor on the duration of reading a prompt: higher is slower.
     pub(crate) read_factor: f64,
 }
 
 impl Model {
-    /// The accelerator of this name.
+    /// Returns the accelerator with this name.
     pub(crate) fn accelerator(&self, name: &str) -> Option<&Accelerator> {
         self.accelerators.iter().find(|a| a.name == name)
     }
 
-    /// Tokens of a usual request, with its answer.
+    /// Returns the mean number of tokens of a request and its answer.
     pub(crate) fn usual_tokens(&self) -> f64 {
         self.usual_prompt + self.usual_answer
     }
 
-    /// Memory that a usual request takes in `layers` layers, in megabytes.
+    /// Returns the memory of a mean request in `layers` layers, in megabytes.
     pub(crate) fn usual_mb(&self, layers: u32) -> f64 {
         self.usual_tokens() * self.token_mb * f64::from(layers)
     }
 }
 
-/// Bounds on what a client may send.
+/// Limits on requests and connections of clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Limits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub(crate) head: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub(crate) body: usize,
-    /// Longest time for which a connection stays open without a request.
+    /// Time after which an idle connection is closed.
     pub(crate) idle: Duration,
 }
 
 impl Default for Limits {
-    /// The values of the users' deployments.
+    /// Returns the values of existing deployments.
     fn default() -> Self {
         Self {
             head: 16 << 10,
@@ -154,17 +153,17 @@
     }
 }
 
-/// Who sends requests, known by any of its keys.
+/// An organisation that sends requests, identified by any of its keys.
 #[derive(Clone, PartialEq)]
 pub(crate) struct Organisation {
     pub(crate) name: String,
     pub(crate) keys: Vec<String>,
-    /// Goes before the priority of the route.
+    /// Overrides the priority of the route.
     pub(crate) priority: Option<u8>,
 }
 
 impl std::fmt::Debug for Organisation {
-    /// Leaves the keys out, so that no log or dump can show them.
+    /// Omits the keys, so that they never appear in logs or dumps.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Organisation")
             .field("name", &self.name)
@@ -174,7 +173,7 @@
     }
 }
 
-/// Why a configuration can't be in force.
+/// Reason for rejecting a configuration.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub(crate) enum ConfigurationError {
     #[snafu(display("two routes have the host {host} and the prefix {prefix}; drop one"))]
@@ -190,7 +189,7 @@
 }
 
 impl Configuration {
-    /// Checks what the format alone doesn't ensure.
+    /// Validates the constraints that the format does not ensure.
     pub(crate) fn check(&self) -> Result<(), ConfigurationError> {
         let services: HashSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
         let mut places = HashSet::default();
@@ -207,7 +206,7 @@
         self.check_keys()
     }
 
-    /// The models, each with the name of the service that generates by it.
+    /// Returns the models with the names of their services.
     pub(crate) fn models(&self) -> impl Iterator<Item = (&str, &Model)> {
         let services = self.services.iter();
         services.filter_map(|s| Some((s.name.as_str(), s.model.as_ref()?)))
--- a/src/configuration/table.rs
+++ b/src/configuration/table.rs
@@ -1,11 +1,11 @@
-//! A configuration made ready for look-ups.
+//! Lookup of routes, organisations and services in a configuration.
 
 use std::sync::Arc;
 
 use super::{Configuration, Organisation, Route, Service, Target};
 use crate::collections::HashMap;
 
-/// A checked configuration with its indexes.
+/// A valid configuration with its indexes.
 #[derive(Debug)]
 pub(crate) struct RoutingTable {
     pub(crate) configuration: Configuration,
@@ -16,14 +16,14 @@
     services: HashMap<String, usize>,
 }
 
-/// What a look-up by host and path found.
+/// Result of [`RoutingTable::find_route`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RouteMatch<'a> {
     pub(crate) route: &'a Route,
-    /// Whom the key belongs to. `None` when there is no such key, or none is
-    /// needed.
+    /// Organisation that owns the key; `None` if the key is missing or unknown, or if the
+    /// configuration requires none.
     pub(crate) organisation: Option<&'a Organisation>,
-    /// Whether the request may pass without a key.
+    /// Whether the request needs no key.
     pub(crate) public: bool,
 }
 
@@ -51,7 +51,7 @@
         })
     }
 
-    /// The route for a request, and whose it is.
+    /// Returns the route for a request, and the organisation that owns its key.
     pub(crate) fn find_route(
         &self,
         host: &str,
@@ -71,29 +71,29 @@
         })
     }
 
-    /// The service of this name.
+    /// Returns the service with this name.
     pub(crate) fn service(&self, name: &str) -> Option<&Service> {
-        let at = self.services.get(name)?;
-        Some(&self.configuration.services[*at])
+        let index = self.services.get(name)?;
+        Some(&self.configuration.services[*index])
     }
 }
 
 impl Route {
-    /// The target for a request; `draw` lies in [0, 1).
+    /// Selects a target by weight. `draw` is a random number in [0, 1).
     pub(crate) fn target(&self, draw: f64) -> &Target {
         let total: f64 = self.targets.iter().map(|t| t.weight).sum();
-        let mut left = draw * total;
-        let mut weighed = self.targets.iter().filter(|t| t.weight > 0.0);
-        let mut found = weighed
+        let mut remaining = draw * total;
+        let mut weighted = self.targets.iter().filter(|t| t.weight > 0.0);
+        let mut selected = weighted
             .next()
-            .expect("the weights sum up to more than zero");
-        for target in weighed {
-            if left < found.weight {
+            .expect("the sum of the weights is above zero");
+        for target in weighted {
+            if remaining < selected.weight {
                 break;
             }
-            left -= found.weight;
-            found = target;
+            remaining -= selected.weight;
+            selected = target;
         }
-        found
+        selected
     }
 }
--- a/src/role.rs
+++ b/src/role.rs
@@ -1,4 +1,4 @@
-//! What the entry and the controller role share: settings, start and end.
+//! Code shared by the entry and the controller role: settings, startup and shutdown.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -19,40 +19,40 @@
 use crate::store::StoreError;
 use crate::{event, log};
 
-/// Secret that tells frames of this fleet from others. The platform gives
-/// instances no secret of their own, so this guards against frames that went
-/// astray, not against an attacker inside the network.
+/// Secret that distinguishes frames of this fleet from others. The platform gives instances no
+/// secret of their own, so this protects against misdirected frames, not against an attacker
+/// inside the network.
 pub(crate) const FLEET_SECRET: &[u8] = b"laburnumquay on the users' platform";
 
-/// Longest head of a question for metrics, in bytes.
-const METRICS_HEAD: usize = 8 << 10;
+/// Maximum size of the head of a metrics request.
+const MAX_METRICS_HEAD: usize = 8 << 10;
 
-/// Longest time for which a reader of metrics may keep its connection.
-const METRICS_IDLE: Duration = Duration::from_secs(20);
+/// Time after which an idle connection to the metrics port is closed.
+const METRICS_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Part of the revocation bound for which keys may be used after the last
-/// confirmation. What remains covers a request on its way to an upstream.
-const LEASE_SHARE: f64 = 0.7;
+/// Fraction of the revocation bound for which keys may be used after the last confirmation. The
+/// rest covers requests on their way to an upstream.
+const KEY_LEASE_FRACTION: f64 = 0.7;
 
 /// Settings of `laburnumquay entry` and `laburnumquay controller`.
 #[derive(Clone, Debug)]
 pub(crate) struct RoleSettings {
     /// The platform's settings file.
     pub(crate) file: PathBuf,
-    /// Least election timeout of the voters.
+    /// Minimum election timeout of the voters.
     pub(crate) election: Duration,
-    /// Period at which an entry instance asks the leader.
+    /// Interval at which an entry instance polls the leader.
     pub(crate) poll: Duration,
-    /// Port for metrics, if any.
+    /// Port for metrics; `None` if they are not served.
     pub(crate) metrics: Option<u16>,
 }
 
 impl RoleSettings {
-    /// Reads and checks the arguments.
+    /// Reads and validates the arguments.
     ///
     /// # Errors
     ///
-    /// [`Error::Settings`] with every fault found.
+    /// [`Error::Settings`] with all faults.
     pub(crate) fn from_matches(matches: &ArgMatches) -> Result<Self> {
         let millis = |name: &str| {
             let value = matches.get_one::<u64>(name).copied();
@@ -88,22 +88,26 @@
     }
 }
 
-/// How long keys may be used after the last confirmation.
+/// Returns the time for which keys may be used after the last confirmation.
 pub(crate) fn key_lease(boot: &Boot) -> Duration {
-    boot.bounds.revoke.mul_f64(LEASE_SHARE)
+    boot.bounds.revoke.mul_f64(KEY_LEASE_FRACTION)
 }
 
-/// The number of the instance on this machine.
+/// Returns the id of the instance at an address.
 pub(crate) fn instance_id(ip: Ipv4Addr) -> InstanceId {
     InstanceId(u32::from(ip).into())
 }
 
-/// The instances that the settings name as seeds.
+/// Returns the ids of the seeds in the settings.
 pub(crate) fn seeds(boot: &Boot) -> Vec<InstanceId> {
     boot.seeds.iter().map(|s| instance_id(*s.ip())).collect()
 }
 
-/// A value that the role can't do without.
+/// Returns a value that the role requires.
+///
+/// # Errors
+///
+/// [`Error::Settings`] if it is missing.
 pub(crate) fn required<T>(value: Option<T>, what: &str) -> Result<T> {
     value.ok_or_else(|| Error::Settings {
         faults: vec![format!(
@@ -113,8 +117,7 @@
     })
 }
 
-/// The runtime of a role. One thread, since a machine has one core: more would
-/// only take turns on it.
+/// Creates the runtime of a role. It has a single thread, since a machine has one core.
 pub(crate) fn runtime() -> Result<Runtime> {
     let built = Builder::new_current_thread().enable_all().build();
     built.map_err(|e| start_error("runtime", &e))
@@ -134,19 +137,19 @@
     );
 }
 
-/// Tells when the process was asked to end.
+/// Notification that the process was asked to stop.
 pub(crate) struct StopSignal(watch::Receiver<bool>);
 
 impl StopSignal {
-    /// Returns once the process was asked to end.
+    /// Waits until the process is asked to stop.
     pub(crate) async fn wait(mut self) {
         // The sender lives as long as the runtime.
         let _ = self.0.wait_for(|stop| *stop).await;
     }
 }
 
-/// Hears SIGTERM and SIGINT, and SIGHUP, upon which the settings file is read
-/// and checked again: seeds may have changed, and are used at the next need.
+/// Handles SIGTERM and SIGINT as requests to stop. On SIGHUP, the settings file is read and
+/// validated again: seeds may have changed, and are used the next time they are needed.
 pub(crate) fn handle_signals(runtime: &Runtime, settings: &RoleSettings) -> Result<StopSignal> {
     let _guard = runtime.enter();
     let open = |kind| signal(kind).map_err(|e| start_error("signal handler", &e));
@@ -177,19 +180,19 @@
     Ok(StopSignal(receiver))
 }
 
-/// How a voter's thread ended.
+/// How a voter's thread exited.
 pub(crate) enum VoterExit {
-    /// It was told to.
+    /// It was asked to stop.
     Stopped,
-    /// Its store failed; only what a new one reads from the files is durable.
+    /// Its store failed. Only data that is read back from the files is known to be durable.
     Failed(StoreError),
 }
 
-/// Hears of the end of the voter's thread.
+/// Waits for the voter's thread to exit.
 ///
 /// # Errors
 ///
-/// When it panicked.
+/// If it panicked, or the waiting thread cannot be started.
 pub(crate) async fn join_voter(thread: JoinHandle<Result<(), StoreError>>) -> Result<VoterExit> {
     let (sender, ended) = oneshot::channel();
     let waiter = std::thread::Builder::new().name("voter-watch".to_owned());
@@ -204,8 +207,8 @@
     }
 }
 
-/// Sums up left out log lines, and serves the metrics of this process on a port
-/// of the machine if one is set. `measure` sets the gauges before each answer.
+/// Logs the number of suppressed log lines, and serves the metrics of this process if a port is
+/// set. `measure` updates the gauges before each response.
 pub(crate) fn serve_metrics(
     settings: &RoleSettings,
     ip: Ipv4Addr,
@@ -220,8 +223,8 @@
     let listener = listen(SocketAddr::new(ip.into(), port), "readers of metrics")?;
     let _guard = runtime.enter();
     let bounds = Bounds {
-        head: METRICS_HEAD,
-        receive: METRICS_IDLE,
+        head: MAX_METRICS_HEAD,
+        receive: METRICS_IDLE_TIMEOUT,
     };
     runtime.spawn(http::accept(listener, bounds, move |_| {
         measure();
--- a/src/tests/configuration.rs
+++ b/src/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Tests of [`crate::configuration`]: look-ups.
+//! Tests of [`crate::configuration`]: lookups.
 
 use rstest::rstest;
 
@@ -15,8 +15,8 @@
 #[case::other_host("b.example", "/l/x", None)]
 fn find_route(#[case] host: &str, #[case] path: &str, #[case] name: Option<&str>) {
     let table = RoutingTable::new(decode(CONFIGURATION.as_bytes()).unwrap());
-    let found = table.find_route(host, path, Some("k1"));
-    assert_eq!(found.map(|f| f.route.name.as_str()), name);
+    let matched = table.find_route(host, path, Some("k1"));
+    assert_eq!(matched.map(|f| f.route.name.as_str()), name);
 }
 
 #[rstest]
@@ -27,9 +27,9 @@
 #[case::missing(None, None)]
 fn find_organisation(#[case] key: Option<&str>, #[case] name: Option<&str>) {
     let table = RoutingTable::new(decode(CONFIGURATION.as_bytes()).unwrap());
-    let found = table.find_route("a.example", "/l/x", key).unwrap();
-    assert_eq!(found.organisation.map(|o| o.name.as_str()), name);
-    assert!(!found.public);
+    let matched = table.find_route("a.example", "/l/x", key).unwrap();
+    assert_eq!(matched.organisation.map(|o| o.name.as_str()), name);
+    assert!(!matched.public);
 }
 
 #[rstest]
@@ -37,15 +37,14 @@
 #[case(0.89, "models")]
 #[case(0.91, "desk")]
 #[case(0.999, "desk")]
-fn target_weighed(#[case] draw: f64, #[case] service: &str) {
+fn target_by_weight(#[case] draw: f64, #[case] service: &str) {
     let decoded = decode(CONFIGURATION.as_bytes()).unwrap();
     assert_eq!(decoded.routes[0].target(draw).service, service);
 }
 
 #[test]
 fn target_without_weight() {
-    // A split with a weight of 0 at its end: nothing may go there, however
-    // the draw is rounded.
+    // The last target has a weight of 0. It must not be selected, however the draw is rounded.
     let mut decoded = decode(CONFIGURATION.as_bytes()).unwrap();
     decoded.routes[0].targets[1].weight = 0.0;
     assert_eq!(decoded.routes[0].target(0.999_999_999).service, "models");
--- a/src/tests/leader.rs
+++ b/src/tests/leader.rs
@@ -1,4 +1,4 @@
-//! Tests of the orders that the controller's board gives.
+//! Tests of the placement orders of the leading controller.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::roster::{Announcement, LayerRange};
 use crate::voter::StateMachine;
 
-const BEAT: Duration = Duration::from_millis(1200);
+const HEARTBEAT: Duration = Duration::from_millis(1200);
 
 fn configuration() -> Configuration {
     decode(CONFIGURATION.as_bytes()).unwrap()
@@ -32,8 +32,8 @@
     }
 }
 
-/// Engines, by host, and their layers: all are held, the first half twice.
-const HELD: [(u8, (u32, u32)); 5] = [
+/// Engines, by host, and their layers: all layers are held, the first two ranges twice.
+const ENGINES: [(u8, (u32, u32)); 5] = [
     (1, (0, 27)),
     (2, (27, 54)),
     (3, (54, 80)),
@@ -41,14 +41,14 @@
     (5, (27, 54)),
 ];
 
-/// A board whose term began at 0, and which hears all of `hosts` each beat
-/// until `end`.
-fn leader(register: &Register, hosts: &[u8], end: u64) -> LeaderState {
-    let mut leader = LeaderState::new(BEAT);
+/// Returns the state of a leader whose term began at 0, and which received a heartbeat of all
+/// `hosts` in each period until `end`.
+fn leader_state(register: &Register, hosts: &[u8], end: u64) -> LeaderState {
+    let mut leader = LeaderState::new(HEARTBEAT);
     leader.enter_term(at(0), 1, register);
     for (sequence, now) in (1..).zip((0..=end).step_by(1200)) {
         leader.enter_term(at(now), 1, register);
-        let heard = HELD.iter().filter(|(host, _)| hosts.contains(host));
+        let heard = ENGINES.iter().filter(|(host, _)| hosts.contains(host));
         for (host, layers) in heard {
             leader.announce(at(now), announcement(*host, sequence, Some(*layers)));
         }
@@ -59,11 +59,11 @@
 
 #[test]
 fn orders_while_others_join() {
-    // The operator replaces engines, one a second: a new one joins, an old one
-    // leaves. Orders waited for a moment in which none had joined lately, and
-    // for five seconds a layer was missing in each domain: all was refused.
+    // Guards against orders that wait until no engine has joined lately. While the operator
+    // replaced one engine per second, a layer was missing in each failure domain for five
+    // seconds, and all requests were refused.
     let (register, mut machine) = Register::new();
-    let mut leader = leader(&register, &[1, 2, 3, 4, 5], 12_000);
+    let mut leader = leader_state(&register, &[1, 2, 3, 4, 5], 12_000);
     assert_eq!(leader.orders(at(12_000), &configuration()), []);
     leader.announce(at(12_900), announcement(9, 1, None));
     machine.apply(1, &register::depart("i-3", 0));
@@ -74,10 +74,10 @@
 
 #[test]
 fn orders_after_first_burst() {
-    // All engines start at once and announce themselves within a beat. The
-    // fastest get their layers first, so all must be known before.
+    // All engines start at once and announce themselves within a heartbeat period. The fastest
+    // get their layers first, so all must be known before.
     let (register, _machine) = Register::new();
-    let mut leader = LeaderState::new(BEAT);
+    let mut leader = LeaderState::new(HEARTBEAT);
     leader.enter_term(at(0), 1, &register);
     for host in 1..=9 {
         let now = 5_000 + 150 * u64::from(host);
@@ -89,9 +89,9 @@
 
 #[test]
 fn orders_not_before_all_heard() {
-    // A new leader hears one engine late. Its layers aren't missing.
+    // A new leader receives the heartbeat of one engine late. Its layers are not missing.
     let (register, _machine) = Register::new();
-    let mut leader = leader(&register, &[1, 2, 4, 5], 2_400);
+    let mut leader = leader_state(&register, &[1, 2, 4, 5], 2_400);
     assert_eq!(leader.orders(at(2_900), &configuration()), []);
     leader.announce(at(2_950), announcement(3, 1, Some((54, 80))));
     assert_eq!(leader.orders(at(3_100), &configuration()), []);
@@ -99,11 +99,11 @@
 
 #[test]
 fn orders_after_no_answer() {
-    // An engine's layers are lost. The engine that is ordered to take them
-    // answers nothing, and nobody knows whether it obeys. It was waited for for
-    // six seconds, with a gap in the domain, while another was free.
+    // Guards against a gap that stays open while an engine does not answer its order. Layers are
+    // lost, and it is unknown whether the engine carries the order out. The leader waited six
+    // seconds for it, while another engine was free.
     let (register, mut machine) = Register::new();
-    let mut leader = leader(&register, &[1, 2, 3, 4, 5], 12_000);
+    let mut leader = leader_state(&register, &[1, 2, 3, 4, 5], 12_000);
     machine.apply(1, &register::depart("i-3", 0));
     leader.enter_term(at(12_100), 1, &register);
     let orders = leader.orders(at(12_100), &configuration());
@@ -116,9 +116,9 @@
     let again = |o: &&PlacementOrder| orders.iter().any(|before| before.engine == o.engine);
     assert_eq!(next.iter().find(again), None);
     assert!(next.iter().any(|o| o.range.contains(54)), "{next:?}");
-    // It may obey late. What it would give up must stay on another.
+    // It may carry the order out late. The layers that it would release must stay on another.
     let held = |l: u32| {
-        HELD.iter().any(|(host, (first, end))| {
+        ENGINES.iter().any(|(host, (first, end))| {
             let moved = orders.iter().chain(&next);
             let mut moved = moved.filter(|o| *o.engine == *format!("i-{host}"));
             let kept = moved.all(|o| o.range.contains(l));
--- a/src/tests/relay.rs
+++ b/src/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Tests of the heartbeats that a following controller passes on.
+//! Tests of the heartbeats that a following controller forwards.
 
 use std::time::Duration;
 
@@ -8,48 +8,48 @@
 use crate::relay::{FullHeartbeat, HeartbeatDigest, Heartbeats, HeartbeatsReply, Relay, digest};
 use crate::roster::{AnnounceOutcome, Announcement, LayerRange, Roster};
 
-const BEAT: Duration = Duration::from_millis(1200);
+const HEARTBEAT: Duration = Duration::from_millis(1200);
 
-fn news(host: u8, sequence: u64) -> Announcement {
+fn announcement(host: u8, sequence: u64) -> Announcement {
     leader::announcement(host, sequence, Some((3, 9)))
 }
 
-/// As the leader takes a batch.
-fn take(roster: &mut Roster, now: Time, batch: Heartbeats) -> HeartbeatsReply {
+/// Applies a batch as the leader does.
+fn apply_batch(roster: &mut Roster, now: Time, batch: Heartbeats) -> HeartbeatsReply {
     let unknown = batch.digests.iter().filter(|p| !roster.refresh(now, p));
     let unknown = unknown.map(|p| p.id.clone()).collect();
-    let news = batch
+    let announcements = batch
         .full
         .into_iter()
         .filter_map(FullHeartbeat::announcement);
-    for news in news {
-        roster.announce(now, news);
+    for announcement in announcements {
+        roster.announce(now, announcement);
     }
     HeartbeatsReply { unknown }
 }
 
-/// Passes all on that waits; returns who was answered in each batch.
-fn pass<W>(relay: &mut Relay<W>, roster: &mut Roster, now: Time) -> Vec<Vec<W>> {
+/// Forwards all queued heartbeats. Returns the acknowledged senders of each batch.
+fn forward<W>(relay: &mut Relay<W>, roster: &mut Roster, now: Time) -> Vec<Vec<W>> {
     let mut batches = Vec::new();
     while !relay.is_empty() {
         let batch = relay.batch();
         let count = batch.digests.len() + batch.full.len();
-        let taken = take(roster, now, batch);
-        batches.push(relay.acknowledge(count, &taken));
+        let reply = apply_batch(roster, now, batch);
+        batches.push(relay.acknowledge(count, &reply));
     }
     batches
 }
 
 #[test]
-fn news_whole() {
-    let sent = news(1, 7);
+fn full_heartbeat_round_trip() {
+    let sent = announcement(1, 7);
     assert_eq!(FullHeartbeat::from(&sent).announcement(), Some(sent));
     assert_eq!(FullHeartbeat::default().announcement(), None);
 }
 
 #[test]
-fn digest_tells_all_but_sequence() {
-    assert_eq!(digest(&news(1, 7)), digest(&news(1, 8)));
+fn digest_ignores_sequence_only() {
+    assert_eq!(digest(&announcement(1, 7)), digest(&announcement(1, 8)));
     let changes: [fn(&mut Announcement); 6] = [
         |n| n.born += 1,
         |n| n.layers = None,
@@ -59,49 +59,54 @@
         |n| n.address.set_port(1),
     ];
     for change in changes {
-        let mut other = news(1, 7);
+        let mut other = announcement(1, 7);
         change(&mut other);
-        assert_ne!(digest(&news(1, 7)), digest(&other));
+        assert_ne!(digest(&announcement(1, 7)), digest(&other));
     }
 }
 
 #[test]
-fn pass_unknown_in_full() {
-    // A follower passes heartbeats on to a leader that has just been elected and
-    // knows nothing. It must know all before they are acknowledged, and be told of
-    // those that it knows by a few bytes.
-    let (mut relay, mut roster) = (Relay::default(), Roster::new(BEAT));
-    (1..=3).for_each(|host| relay.push(news(host, 1), host));
+fn forward_unknown_in_full() {
+    // A new leader knows no upstreams: it must get their full announcements before the heartbeats
+    // are acknowledged. Later, digests are enough.
+    let (mut relay, mut roster) = (Relay::default(), Roster::new(HEARTBEAT));
+    (1..=3).for_each(|host| relay.push(announcement(host, 1), host));
     let none: Vec<u8> = Vec::new();
-    assert_eq!(pass(&mut relay, &mut roster, at(0)), [none, vec![1, 2, 3]]);
+    assert_eq!(
+        forward(&mut relay, &mut roster, at(0)),
+        [none, vec![1, 2, 3]]
+    );
     assert_eq!(roster.list().len(), 3);
-    (1..=3).for_each(|host| relay.push(news(host, 2), host));
-    assert_eq!(pass(&mut relay, &mut roster, at(1200)), [vec![1, 2, 3]]);
+    (1..=3).for_each(|host| relay.push(announcement(host, 2), host));
+    assert_eq!(forward(&mut relay, &mut roster, at(1200)), [vec![1, 2, 3]]);
     assert!(roster.list().iter().all(|e| e.heard == at(1200)));
 }
 
 #[test]
-fn pass_later_waits_for_next() {
-    // A heartbeat comes while a batch is under way. The leader hasn't seen it, so
-    // it mustn't be acknowledged with the batch.
+fn forward_later_in_next_batch() {
+    // A heartbeat that arrives while a batch is in flight must not be acknowledged with it, since
+    // the leader has not received it.
     let mut relay = Relay::default();
-    relay.push(news(1, 1), 1);
+    relay.push(announcement(1, 1), 1);
     let first = relay.batch();
-    relay.push(news(2, 1), 2);
+    relay.push(announcement(2, 1), 2);
     assert_eq!(first.digests.len(), 1);
     assert_eq!(relay.acknowledge(1, &HeartbeatsReply::default()), [1]);
-    assert_eq!(relay.batch().digests, [HeartbeatDigest::from(&news(2, 1))]);
+    assert_eq!(
+        relay.batch().digests,
+        [HeartbeatDigest::from(&announcement(2, 1))]
+    );
     assert_eq!(relay.abandon(), [2]);
     assert!(relay.is_empty());
 }
 
 #[test]
-fn pulse_of_change_not_taken() {
-    // An engine gives up layers. Taken for the proof of life of what was known,
-    // its heartbeat would leave requests going to layers that it refuses.
-    let mut roster = Roster::new(BEAT);
-    roster.announce(at(0), news(1, 1));
-    let mut changed = news(1, 2);
+fn refresh_changed() {
+    // An engine releases layers. If the digest of its changed announcement matched the old one,
+    // requests would still be sent to layers that it refuses.
+    let mut roster = Roster::new(HEARTBEAT);
+    roster.announce(at(0), announcement(1, 1));
+    let mut changed = announcement(1, 2);
     changed.layers = Some(LayerRange::new(3, 5));
     assert!(!roster.refresh(at(100), &HeartbeatDigest::from(&changed)));
     assert_eq!(roster.get("i-1").unwrap().heard, at(0));
@@ -109,26 +114,26 @@
 }
 
 #[test]
-fn pulse_old_or_ended() {
-    let mut roster = Roster::new(BEAT);
-    roster.announce(at(0), news(1, 4));
-    // One that was late on its way proves nothing now.
-    assert!(roster.refresh(at(900), &HeartbeatDigest::from(&news(1, 3))));
+fn refresh_old_or_retired() {
+    let mut roster = Roster::new(HEARTBEAT);
+    roster.announce(at(0), announcement(1, 4));
+    // A delayed heartbeat does not show that the upstream is live now.
+    assert!(roster.refresh(at(900), &HeartbeatDigest::from(&announcement(1, 3))));
     assert_eq!(roster.get("i-1").unwrap().heard, at(0));
-    // One that has left doesn't come back.
+    // An upstream that has left does not return.
     roster.retire(&"i-1".into(), 0);
-    assert!(roster.refresh(at(1000), &HeartbeatDigest::from(&news(1, 5))));
+    assert!(roster.refresh(at(1000), &HeartbeatDigest::from(&announcement(1, 5))));
     assert!(roster.get("i-1").is_none());
 }
 
 #[test]
-fn pulse_ends_lateness() {
-    let mut roster = Roster::new(BEAT);
-    roster.announce(at(0), news(1, 1));
+fn refresh_late() {
+    let mut roster = Roster::new(HEARTBEAT);
+    roster.announce(at(0), announcement(1, 1));
     roster.tick(at(3_000), &HashMap::default());
     assert!(roster.get("i-1").unwrap().late);
     let before = roster.changes().revision();
-    assert!(roster.refresh(at(3_100), &HeartbeatDigest::from(&news(1, 2))));
+    assert!(roster.refresh(at(3_100), &HeartbeatDigest::from(&announcement(1, 2))));
     assert!(!roster.get("i-1").unwrap().late);
     assert!(roster.changes().revision() > before);
 }
--- a/src/tests/roster.rs
+++ b/src/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Tests of [`crate::roster`], [`crate::register`] and the controller's board.
+//! Tests of [`crate::roster`], [`crate::register`] and the state of the leading controller.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -20,9 +20,9 @@
 use crate::sync::{Load, SyncRequest};
 use crate::voter::StateMachine;
 
-const BEAT: Duration = Duration::from_millis(1200);
+const HEARTBEAT: Duration = Duration::from_millis(1200);
 
-fn news(id: &str, sequence: u64) -> Announcement {
+fn announcement(id: &str, sequence: u64) -> Announcement {
     Announcement {
         id: id.into(),
         born: 0,
@@ -37,7 +37,7 @@
     }
 }
 
-fn none() -> HashMap<SocketAddrV4, usize> {
+fn no_suspects() -> HashMap<SocketAddrV4, usize> {
     HashMap::default()
 }
 
@@ -46,30 +46,32 @@
 }
 
 #[test]
-fn hear_old_sequence() {
-    let mut roster = Roster::new(BEAT);
-    assert_eq!(roster.announce(at(0), news("i-1", 2)), AnnounceOutcome::New);
+fn announce_old_sequence() {
+    let mut roster = Roster::new(HEARTBEAT);
     assert_eq!(
-        roster.announce(at(1), news("i-1", 1)),
+        roster.announce(at(0), announcement("i-1", 2)),
+        AnnounceOutcome::New
+    );
+    assert_eq!(
+        roster.announce(at(1), announcement("i-1", 1)),
         AnnounceOutcome::Stale
     );
     assert_eq!(
-        roster.announce(at(2), news("i-1", 3)),
+        roster.announce(at(2), announcement("i-1", 3)),
         AnnounceOutcome::Known
     );
 }
 
 #[test]
-fn hear_born_again() {
-    // An engine crashes and starts again under its id. It holds no layers any
-    // more and counts from 1; a request sent by what it said before would be
-    // refused by each engine of its path.
-    let mut roster = Roster::new(BEAT);
-    let mut old = news("i-1", 40);
+fn announce_restarted() {
+    // An engine crashes and restarts with the same id. It holds no layers, and its sequence
+    // numbers start at 1. A request planned with its old layers would be refused.
+    let mut roster = Roster::new(HEARTBEAT);
+    let mut old = announcement("i-1", 40);
     old.born = 1000;
     old.layers = Some(LayerRange::new(0, 7));
     roster.announce(at(0), old.clone());
-    let mut new = news("i-1", 1);
+    let mut new = announcement("i-1", 1);
     new.born = 2000;
     assert_eq!(roster.announce(at(10), new), AnnounceOutcome::New);
     assert_eq!(roster.get("i-1").unwrap().last.layers, None);
@@ -78,46 +80,46 @@
 }
 
 #[test]
-fn hear_delayed_predecessor() {
-    // A partition delays an engine's heartbeat. The engine crashes, another
-    // starts at its address and registers, then the old heartbeat arrives.
-    // Believed, every request to the address would name the wrong engine.
-    let mut roster = Roster::new(BEAT);
-    roster.announce(at(0), news("i-old", 9));
+fn announce_delayed_predecessor() {
+    // A partition delays an engine's heartbeat until the engine has crashed and another one has
+    // registered at its address. If it were applied, every request to the address would name the
+    // wrong engine.
+    let mut roster = Roster::new(HEARTBEAT);
+    roster.announce(at(0), announcement("i-old", 9));
     assert_eq!(
-        roster.announce(at(1000), news("i-new", 1)),
+        roster.announce(at(1000), announcement("i-new", 1)),
         AnnounceOutcome::New
     );
     assert_eq!(
-        roster.announce(at(1500), news("i-old", 10)),
+        roster.announce(at(1500), announcement("i-old", 10)),
         AnnounceOutcome::Stale
     );
     assert_eq!(ids(&roster), ["i-new"]);
 }
 
 #[test]
-fn hear_delayed_unknown() {
-    // The same, but a new leader has never heard of the old engine.
-    let mut roster = Roster::new(BEAT);
-    roster.announce(at(1000), news("i-new", 1));
+fn announce_delayed_unknown() {
+    // The same, with a new leader that does not know the old engine.
+    let mut roster = Roster::new(HEARTBEAT);
+    roster.announce(at(1000), announcement("i-new", 1));
     assert_eq!(
-        roster.announce(at(1500), news("i-old", 10)),
+        roster.announce(at(1500), announcement("i-old", 10)),
         AnnounceOutcome::Stale
     );
     assert_eq!(ids(&roster), ["i-new"]);
 }
 
 #[test]
-fn tick_silence() {
-    let mut roster = Roster::new(BEAT);
-    roster.announce(at(0), news("i-1", 1));
-    assert!(roster.tick(at(2600), &none()).is_empty());
+fn tick_silent() {
+    let mut roster = Roster::new(HEARTBEAT);
+    roster.announce(at(0), announcement("i-1", 1));
+    assert!(roster.tick(at(2600), &no_suspects()).is_empty());
     assert!(!roster.get("i-1").unwrap().late);
-    roster.tick(at(2700), &none());
+    roster.tick(at(2700), &no_suspects());
     assert!(roster.get("i-1").unwrap().late);
-    roster.announce(at(2800), news("i-1", 2));
+    roster.announce(at(2800), announcement("i-1", 2));
     assert!(!roster.get("i-1").unwrap().late);
-    assert_eq!(roster.tick(at(7700), &none()).len(), 1);
+    assert_eq!(roster.tick(at(7700), &no_suspects()).len(), 1);
     assert!(ids(&roster).is_empty());
 }
 
@@ -127,7 +129,7 @@
     machine.apply(1, &register::replace(4, Bytes::from_static(b"four")));
     machine.apply(2, &register::replace(3, Bytes::from_static(b"three")));
     assert_eq!(register.version(), 4);
-    // Two operators send version 5 at once: the first that is committed stays.
+    // Two operators send version 5 concurrently: the first to be committed is kept.
     machine.apply(3, &register::replace(5, Bytes::from_static(b"five")));
     machine.apply(4, &register::replace(5, Bytes::from_static(b"other")));
     assert_eq!(&register.current().unwrap().body[..], b"five");
@@ -153,21 +155,20 @@
 }
 
 #[test]
-fn lead_after_departure() {
-    // An engine says that it leaves, the leader acknowledges and dies. A
-    // heartbeat that was under way reaches the next leader, which must not
-    // hand the engine out again.
+fn enter_term_after_departure() {
+    // An engine's departure is acknowledged, then the leader crashes. A delayed heartbeat of the
+    // engine reaches the next leader, which must not offer the engine again.
     let (register, mut machine) = Register::new();
     machine.apply(1, &register::depart("i-1", 0));
-    let mut leader = LeaderState::new(BEAT);
+    let mut leader = LeaderState::new(HEARTBEAT);
     leader.enter_term(at(0), 2, &register);
     assert_eq!(
-        leader.announce(at(10), news("i-1", 12)),
+        leader.announce(at(10), announcement("i-1", 12)),
         AnnounceOutcome::Stale
     );
 }
 
-fn question(instance: u64, loads: Vec<Load>) -> SyncRequest {
+fn request(instance: u64, loads: Vec<Load>) -> SyncRequest {
     SyncRequest {
         instance,
         loads,
@@ -176,9 +177,9 @@
 }
 
 #[test]
-fn sync_sums_others() {
+fn sync_sums_loads() {
     let (register, _) = Register::new();
-    let mut leader = LeaderState::new(BEAT);
+    let mut leader = LeaderState::new(HEARTBEAT);
     leader.enter_term(at(0), 1, &register);
     let load = |memory| Load {
         engine: 7,
@@ -187,9 +188,9 @@
         entered: 0,
     };
     let age = Duration::ZERO;
-    leader.sync(at(1), question(1, vec![load(10)]), age, None, &register);
-    leader.sync(at(2), question(2, vec![load(20)]), age, None, &register);
-    let state = leader.sync(at(3), question(3, vec![load(40)]), age, None, &register);
+    leader.sync(at(1), request(1, vec![load(10)]), age, None, &register);
+    leader.sync(at(2), request(2, vec![load(20)]), age, None, &register);
+    let state = leader.sync(at(3), request(3, vec![load(40)]), age, None, &register);
     let loads = state.work.unwrap().loads;
     assert_eq!(loads.len(), 1);
     assert_eq!((loads[0].memory, loads[0].requests), (30, 2));
@@ -199,52 +200,52 @@
 #[test]
 fn sync_roster_once() {
     let (register, _) = Register::new();
-    let mut leader = LeaderState::new(BEAT);
+    let mut leader = LeaderState::new(HEARTBEAT);
     leader.enter_term(at(0), 1, &register);
-    leader.announce(at(1), news("i-1", 1));
-    let mut ask = question(1, Vec::new());
+    leader.announce(at(1), announcement("i-1", 1));
+    let mut ask = request(1, Vec::new());
     let first = leader.sync(at(2), ask.clone(), Duration::ZERO, None, &register);
     let roster = first.roster.unwrap();
     assert!(!roster.complete);
     (ask.term, ask.revision) = (roster.term, roster.revision);
     let again = leader.sync(at(3), ask.clone(), Duration::ZERO, None, &register);
     assert!(again.roster.is_none());
-    // It is told again once every upstream has had time to call.
+    // It is sent again once every upstream has had the time to send a heartbeat.
     let later = leader.sync(at(4000), ask, Duration::ZERO, None, &register);
     assert!(later.roster.unwrap().complete);
 }
 
 #[test]
-fn end_unknown_start() {
-    let mut roster = Roster::new(BEAT);
+fn retire_unknown() {
+    let mut roster = Roster::new(HEARTBEAT);
     let id: Arc<str> = "i-1".into();
     roster.retire(&id, 5);
-    let mut again = news("i-1", 1);
+    let mut again = announcement("i-1", 1);
     again.born = 6;
     assert_eq!(roster.announce(at(0), again), AnnounceOutcome::New);
 }
 
 #[test]
-fn sync_hides_given_up() {
-    // An engine is ordered to hold other layers. It takes nothing new for
-    // those that it gives up; requests sent there meanwhile would be refused.
-    let mut leader = LeaderState::new(BEAT);
+fn sync_hides_released_layers() {
+    // An engine is ordered to hold other layers. It accepts no new requests for those that it
+    // releases, so requests sent to them meanwhile would be refused.
+    let mut leader = LeaderState::new(HEARTBEAT);
     let (register, _) = Register::new();
     leader.enter_term(at(0), 1, &register);
     let decoded = crate::platform::configuration::decode(super::platform::CONFIGURATION.as_bytes());
     let configuration = decoded.unwrap();
     for i in 0..13 {
-        let mut news = news(&format!("i-{i}"), 1);
-        news.address.set_port(8000 + i);
-        // All hold the same few layers, so some must take others.
-        news.layers = Some(LayerRange::new(0, 7));
-        leader.announce(at(1), news);
+        let mut announcement = announcement(&format!("i-{i}"), 1);
+        announcement.address.set_port(8000 + i);
+        // All hold the same few layers, so some must load others.
+        announcement.layers = Some(LayerRange::new(0, 7));
+        leader.announce(at(1), announcement);
     }
     let orders = leader.orders(at(4000), &configuration);
     let moved = orders.iter().find(|o| o.range.first >= 7).unwrap();
     let state = leader.sync(
         at(4001),
-        question(1, Vec::new()),
+        request(1, Vec::new()),
         Duration::ZERO,
         None,
         &register,
@@ -255,18 +256,18 @@
 }
 
 #[test]
-fn tick_witnesses() {
-    // An engine goes dark. Its heartbeats may be late for good reasons for
-    // four seconds, but two instances have found it dead: every request that
-    // is sent there meanwhile stalls, and its layers are missing.
-    let mut roster = Roster::new(BEAT);
-    roster.announce(at(0), news("i-1", 1));
+fn tick_suspected() {
+    // An engine becomes unreachable. Heartbeats may be late for four seconds without a failure,
+    // but if two instances suspect the engine, waiting that long would stall all requests to it
+    // and leave its layers missing.
+    let mut roster = Roster::new(HEARTBEAT);
+    roster.announce(at(0), announcement("i-1", 1));
     let address = roster.get("i-1").unwrap().last.address;
     let one = HashMap::from_iter([(address, 1)]);
     let two = HashMap::from_iter([(address, 2)]);
     roster.tick(at(1400), &one);
     assert!(!roster.get("i-1").unwrap().late);
-    // An upstream that calls is never dropped on the word of others.
+    // An upstream that sends heartbeats is never removed because instances suspect it.
     assert!(roster.tick(at(1200), &two).is_empty());
     assert!(!roster.get("i-1").unwrap().late);
     roster.tick(at(1400), &two);
@@ -274,8 +275,8 @@
     assert_eq!(roster.tick(at(2400), &two).len(), 1);
 }
 
-/// What instances know who ask a board until it has nothing more to tell.
-fn follow(leader: &mut LeaderState, now: Time, view: &mut View, register: &Register) -> usize {
+/// Syncs a view until the leader has no more changes. Returns the size of the largest reply.
+fn sync_fully(leader: &mut LeaderState, now: Time, view: &mut View, register: &Register) -> usize {
     let mut most = 0;
     loop {
         let (term, revision) = view.roster();
@@ -288,55 +289,55 @@
         };
         let state = leader.sync(now, ask, Duration::ZERO, None, register);
         most = most.max(state.encoded_len());
-        assert!(view.apply(now, state, BEAT));
+        assert!(view.apply(now, state, HEARTBEAT));
         if !view.has_more() {
             return most;
         }
     }
 }
 
-fn known(view: &View) -> Vec<&str> {
+fn known_ids(view: &View) -> Vec<&str> {
     let mut ids: Vec<_> = view.services.values().flatten().map(|u| &*u.id).collect();
     ids.sort_unstable();
     ids
 }
 
 fn member(i: u16, sequence: u64) -> Announcement {
-    let mut news = news(&format!("i-{i:04}"), sequence);
+    let mut announcement = announcement(&format!("i-{i:04}"), sequence);
     let [high, low] = i.to_be_bytes();
-    news.address.set_ip([10, 2, high, low].into());
-    news
+    announcement.address.set_ip([10, 2, high, low].into());
+    announcement
 }
 
 #[test]
 fn sync_large_fleet() {
-    // 300 instances before 3,000 engines: the leader answered each change with
-    // the whole roster, 230 KB to each instance. Its link was full for seconds,
-    // what waited for it took 257 MB, and the process was ended for memory.
+    // Guards against replies that contain the whole roster. With 300 instances and 3,000 engines,
+    // each change sent 230 KB to each instance: the leader's link was saturated for seconds,
+    // queued replies took 257 MB, and the process was killed for its memory.
     let (register, _) = Register::new();
-    let mut leader = LeaderState::new(BEAT);
+    let mut leader = LeaderState::new(HEARTBEAT);
     leader.enter_term(at(0), 1, &register);
     for i in 0..3000 {
         leader.announce(at(1), member(i, 1));
     }
     let mut view = View::new();
-    let most = follow(&mut leader, at(10), &mut view, &register);
-    assert_eq!(known(&view).len(), 3000);
+    let most = sync_fully(&mut leader, at(10), &mut view, &register);
+    assert_eq!(known_ids(&view).len(), 3000);
     assert!(most < 16_000, "{most} bytes in one answer");
     leader.announce(at(20), member(3000, 1));
-    let change = follow(&mut leader, at(30), &mut view, &register);
-    assert_eq!(known(&view).len(), 3001);
+    let change = sync_fully(&mut leader, at(30), &mut view, &register);
+    assert_eq!(known_ids(&view).len(), 3001);
     assert!(change < 2_000, "{change} bytes for one change");
 }
 
 #[test]
 fn sync_random_changes() {
-    // Upstreams come, go and change while one instance asks now and then, one
-    // falls behind, and the leader changes: both end up with the roster.
+    // Upstreams join, leave and change while one instance syncs often, another rarely, and the
+    // leader changes. Both must end up with the leader's roster.
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (register, _) = Register::new();
-        let mut leader = LeaderState::new(BEAT);
+        let mut leader = LeaderState::new(HEARTBEAT);
         let mut views = [View::new(), View::new()];
         let (mut term, mut now) = (1, 0);
         leader.enter_term(at(now), term, &register);
@@ -348,15 +349,15 @@
                     leader.enter_term(at(now), term, &register);
                 }
                 1..8 => {
-                    follow(&mut leader, at(now), &mut views[0], &register);
+                    sync_fully(&mut leader, at(now), &mut views[0], &register);
                 }
                 8 => {
-                    follow(&mut leader, at(now), &mut views[1], &register);
+                    sync_fully(&mut leader, at(now), &mut views[1], &register);
                 }
                 _ => {
-                    let mut news = member(rng.random_range(0..400), step);
-                    news.slots = rng.random_range(1..3);
-                    leader.announce(at(now), news);
+                    let mut announcement = member(rng.random_range(0..400), step);
+                    announcement.slots = rng.random_range(1..3);
+                    leader.announce(at(now), announcement);
                 }
             }
             leader.tick(at(now));
@@ -365,47 +366,47 @@
         leader.announce(at(now), member(500, 1));
         leader.tick(at(now));
         for view in &mut views {
-            follow(&mut leader, at(now), view, &register);
+            sync_fully(&mut leader, at(now), view, &register);
             assert!(view.is_complete(), "seed {seed}");
         }
-        assert_eq!(known(&views[0]), known(&views[1]), "seed {seed}");
-        let all = known(&views[0]).into_iter();
+        assert_eq!(known_ids(&views[0]), known_ids(&views[1]), "seed {seed}");
+        let all = known_ids(&views[0]).into_iter();
         assert!(
             all.into_iter().all(|id| leader.upstream(id).is_some()),
             "seed {seed}"
         );
         assert_eq!(
             leader.counts().upstreams.values().sum::<u32>() as usize,
-            known(&views[0]).len()
+            known_ids(&views[0]).len()
         );
     }
 }
 
 #[test]
-fn sync_forgotten_departures() {
-    // An instance is cut off while more upstreams leave than are remembered.
-    // Told only what is remembered, it would go on sending to the others.
+fn sync_forgotten_removals() {
+    // An instance is cut off while more upstreams are removed than the change log keeps. If it
+    // were sent only the logged removals, it would still use the other upstreams.
     let (register, _) = Register::new();
-    let mut leader = LeaderState::new(BEAT);
+    let mut leader = LeaderState::new(HEARTBEAT);
     leader.enter_term(at(0), 1, &register);
     leader.announce(at(1), member(0, 1));
     let mut view = View::new();
-    follow(&mut leader, at(4000), &mut view, &register);
-    assert_eq!(known(&view), ["i-0000"]);
+    sync_fully(&mut leader, at(4000), &mut view, &register);
+    assert_eq!(known_ids(&view), ["i-0000"]);
     leader.tick(at(5000));
     for i in 1..=5000 {
         leader.announce(at(5000), member(i, 1));
     }
     leader.tick(at(11_000));
     leader.announce(at(11_000), member(6000, 1));
-    follow(&mut leader, at(11_000), &mut view, &register);
-    assert_eq!(known(&view), ["i-6000"]);
+    sync_fully(&mut leader, at(11_000), &mut view, &register);
+    assert_eq!(known_ids(&view), ["i-6000"]);
 }
 
 #[test]
-fn reports_tell_seldom() {
-    // 300 instances before 3,000 busy engines: told of all work in each answer,
-    // they would be sent 72 MB a second, over three times the leader's link.
+fn reports_sent_rarely() {
+    // With 300 instances and 3,000 busy engines, sending all loads in each reply would take 72 MB
+    // a second, over three times the capacity of the leader's link.
     let mut reports = Reports::default();
     let loads = |i: u64| (0..10).map(move |k| (i * 10 + k) % 3000);
     let load = |engine| Load {
@@ -418,7 +419,7 @@
     for now in (0..20_000).step_by(250) {
         for i in 0..300 {
             let own = loads(i).map(load).collect();
-            reports.record(at(now), question(i, own));
+            reports.record(at(now), request(i, own));
             let told = reports.others_load(at(now), i);
             bytes += told.map_or(0, |w| w.encoded_len());
         }
@@ -430,18 +431,18 @@
 }
 
 #[test]
-fn reports_sum_asking() {
-    // The room is divided among the requests that ask for it at all instances.
+fn reports_sum_room_requests() {
+    // Free memory is shared among the requests that ask for it at all instances.
     let mut reports = Reports::default();
     for (instance, room_requests) in [(1, 4), (2, 3), (1, 2)] {
         let ask = SyncRequest {
             room_requests,
-            ..question(instance, Vec::new())
+            ..request(instance, Vec::new())
         };
         reports.record(at(0), ask);
     }
     assert_eq!(reports.others_load(at(1), 1).unwrap().room_requests, 5);
-    reports.record(at(2_500), question(3, Vec::new()));
+    reports.record(at(2_500), request(3, Vec::new()));
     reports.tick(at(2_600));
     assert_eq!(reports.others_load(at(2_600), 3).unwrap().room_requests, 0);
 }
@@ -455,19 +456,19 @@
         requests,
         entered: 0,
     };
-    reports.record(at(0), question(1, vec![load(10, 1)]));
-    reports.record(at(0), question(2, vec![load(20, 2)]));
-    reports.record(at(1), question(1, vec![load(30, 3)]));
+    reports.record(at(0), request(1, vec![load(10, 1)]));
+    reports.record(at(0), request(2, vec![load(20, 2)]));
+    reports.record(at(1), request(1, vec![load(30, 3)]));
     assert_eq!(
         (reports.load_of(7).memory, reports.load_of(7).requests),
         (50, 5)
     );
-    reports.record(at(2), question(1, Vec::new()));
+    reports.record(at(2), request(1, Vec::new()));
     assert_eq!(
         (reports.load_of(7).memory, reports.load_of(7).requests),
         (20, 2)
     );
-    reports.record(at(2), question(2, vec![load(5, 0)]));
+    reports.record(at(2), request(2, vec![load(5, 0)]));
     assert_eq!(
         (reports.load_of(7).memory, reports.load_of(7).requests),
         (0, 0)
