--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -13,8 +13,8 @@
 use crate::clock::{Time, micros};
 use crate::collections::{HashMap, HashSet};
 use crate::configuration::{Configuration, Model};
-use crate::decide::load::scatter;
-use crate::decide::pace::Turns;
+use crate::decide::load::unit_hash;
+use crate::decide::pace::Rotation;
 use crate::decide::placement::{self, Worker};
 use crate::decide::quarantine::{Crashes, CrashingRequest};
 use crate::decide::rate::RateLimiter;
@@ -101,7 +101,7 @@
     /// Number of the register's departures that are applied to the roster.
     departures_seen: u64,
     reports: Reports,
-    turns: Turns,
+    rotation: Rotation,
     crashes: Crashes,
     rate_limiter: RateLimiter,
     /// Orders by engine. Each change marks the upstream as changed in the roster, since
@@ -119,7 +119,7 @@
             roster: Roster::new(heartbeat),
             departures_seen: 0,
             reports: Reports::default(),
-            turns: Turns::default(),
+            rotation: Rotation::default(),
             crashes: Crashes::default(),
             rate_limiter: RateLimiter::default(),
             pending: HashMap::default(),
@@ -190,26 +190,26 @@
     pub(crate) fn sync(
         &mut self,
         now: Time,
-        ask: SyncRequest,
+        request: SyncRequest,
         age: Duration,
         current: Option<VersionedConfiguration>,
         register: &Register,
     ) -> SyncReply {
         let current_version = current.as_ref().map_or(0, |c| c.version);
-        let other_version = current.filter(|c| c.version != ask.version);
-        let up_to_date = ask.term == self.term
-            && ask.revision == self.roster.changes().revision()
-            && ask.complete == self.is_complete(now);
-        let roster = (!up_to_date).then(|| self.roster_delta(now, &ask, register));
-        let instance = ask.instance;
-        self.record_runs(now, &ask);
+        let other_version = current.filter(|c| c.version != request.version);
+        let up_to_date = request.term == self.term
+            && request.revision == self.roster.changes().revision()
+            && request.complete == self.is_complete(now);
+        let roster = (!up_to_date).then(|| self.roster_delta(now, &request, register));
+        let instance = request.instance;
+        self.record_runs(now, &request);
         let instances = self.reports.len() as u32;
-        for limit in &ask.limits {
+        for limit in &request.limits {
             let (address, update) = (limit.address, limit.update(now));
             self.rate_limiter
                 .apply(now, address, update, instances, 0.0);
         }
-        self.reports.record(now, ask);
+        self.reports.record(now, request);
         SyncReply {
             age: micros(age),
             version: current_version,
@@ -226,18 +226,18 @@
         }
     }
 
-    /// A subset of the latest limit updates, for the answer to an instance.
+    /// Returns a subset of the latest limit updates, for the reply to an instance.
     fn limit_records(&self, now: Time, instance: u64) -> Vec<LimitRecord> {
-        let draw = scatter(now.0.wrapping_add(instance));
+        let draw = unit_hash(now.0.wrapping_add(instance));
         let updates = self.rate_limiter.message_updates(draw);
         let record = |(address, update)| LimitRecord::new(now, address, update);
         updates.map(record).collect()
     }
 
     /// Records the cut and harmless runs that an instance reports.
-    fn record_runs(&mut self, now: Time, ask: &SyncRequest) {
+    fn record_runs(&mut self, now: Time, request: &SyncRequest) {
         let at = |age| now - Duration::from_micros(age);
-        for cut in &ask.cut {
+        for cut in &request.cut {
             let Ok(fingerprint) = Fingerprint::try_from(&*cut.fingerprint) else {
                 continue;
             };
@@ -249,7 +249,7 @@
             self.crashes
                 .record_crash(at(cut.age), engine, fingerprint, organisation);
         }
-        for run in &ask.harmless {
+        for run in &request.harmless {
             if let Ok(fingerprint) = Fingerprint::try_from(&*run.fingerprint) {
                 self.crashes.record_harmless(at(run.age), fingerprint);
             }
@@ -275,11 +275,11 @@
         self.crashes.forget(fingerprint);
     }
 
-    /// Returns the next page of roster changes that the sender of `ask` lacks.
-    fn roster_delta(&self, now: Time, ask: &SyncRequest, register: &Register) -> RosterDelta {
+    /// Returns the next page of roster changes that the sender of `request` lacks.
+    fn roster_delta(&self, now: Time, request: &SyncRequest, register: &Register) -> RosterDelta {
         let changes = self.roster.changes();
-        let known = if ask.term == self.term {
-            ask.revision
+        let known = if request.term == self.term {
+            request.revision
         } else {
             0
         };
@@ -312,17 +312,17 @@
 
     /// Returns the layers of an upstream without those that it was ordered to release:
     /// it accepts no new requests for them.
-    fn retained_layers(&self, start: &Announcement) -> Option<LayerRange> {
-        match self.pending_of(start) {
-            Some(pending) => start.layers?.intersection(pending.range),
-            None => start.layers,
+    fn retained_layers(&self, announcement: &Announcement) -> Option<LayerRange> {
+        match self.pending_of(announcement) {
+            Some(pending) => announcement.layers?.intersection(pending.range),
+            None => announcement.layers,
         }
     }
 
     /// Returns the pending order of an upstream.
-    fn pending_of(&self, start: &Announcement) -> Option<&PendingOrder> {
-        let pending = self.pending.get(&start.id);
-        pending.filter(|p| p.born == start.born)
+    fn pending_of(&self, announcement: &Announcement) -> Option<&PendingOrder> {
+        let pending = self.pending.get(&announcement.id);
+        pending.filter(|p| p.born == announcement.born)
     }
 
     /// Whether enough upstreams are known to issue orders.
@@ -439,7 +439,7 @@
         };
         let list = self.roster.list().into_iter();
         let engines: Vec<&Entry> = list.filter(is_queried).collect();
-        let selected = self.turns.take(&engines).into_iter();
+        let selected = self.rotation.next_batch(&engines).into_iter();
         selected
             .map(|e| PaceQuery {
                 engine: e.last.id.clone(),
--- /dev/null
+++ b/src/decide/stall.rs
@@ -0,0 +1,83 @@
+//! Decides when to act on an attempt that sends nothing.
+//!
+//! Load pattern: an engine in the middle of the paths of many streams dies. Each stream pauses,
+//! and its caller tolerates a pause of a fifth of a second. New requests that would pass through
+//! the engine are refused within milliseconds, so it is soon known to be dead; otherwise the
+//! first engine of the path reports it some time later.
+
+use std::time::Duration;
+
+/// Silence after which an attempt is rerouted around an engine that is known to be dead. A living
+/// engine usually sends events sooner, and an allowed pause of 200 ms has not passed yet.
+const REROUTE_AFTER: Duration = Duration::from_millis(100);
+
+/// Interval at which to check whether a dead engine is known by now.
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
+
+/// Silence after which the first engine is queried. Its report lags by 200 ms; events usually
+/// arrive every 30 to 80 ms.
+pub(crate) const QUERY_AFTER: Duration = Duration::from_millis(260);
+
+/// Interval of further queries.
+const QUERY_INTERVAL: Duration = Duration::from_millis(160);
+
+/// Action on a silent attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Step {
+    /// Reroute the attempt around an engine that is known to be dead, if there is one.
+    Avoid,
+    /// Query the first engine for what the attempt waits for.
+    Ask,
+    /// Only wait.
+    Wait,
+}
+
+/// Schedules the actions while the next event of an attempt is awaited.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct StallTimer {
+    timeout: Duration,
+    /// Whether the attempt can be rerouted around an engine.
+    reroutable: bool,
+    /// Whether a reroute around a known dead engine was tried.
+    rerouted: bool,
+}
+
+impl StallTimer {
+    /// Creates a timer that awaits an event for at most `timeout`.
+    pub(crate) fn new(timeout: Duration, reroutable: bool) -> Self {
+        Self {
+            timeout,
+            reroutable,
+            rerouted: false,
+        }
+    }
+
+    /// Returns the action after silence for `waited`.
+    pub(crate) fn step(&self, waited: Duration) -> Step {
+        match self.reroutable {
+            false => Step::Wait,
+            true if waited >= QUERY_AFTER || waited >= self.timeout => Step::Ask,
+            true if self.rerouted => Step::Wait,
+            true => Step::Avoid,
+        }
+    }
+
+    /// Records that a reroute around a known dead engine was tried. It is not tried again before
+    /// the first engine reports more.
+    pub(crate) fn record_reroute(&mut self) {
+        self.rerouted = true;
+    }
+
+    /// Returns the time until the next action, or `None` after the timeout.
+    pub(crate) fn next_wait(&self, waited: Duration) -> Option<Duration> {
+        let left = self.timeout.saturating_sub(waited);
+        let next = match self.reroutable {
+            false => left,
+            true if waited >= QUERY_AFTER => QUERY_INTERVAL,
+            true if self.rerouted => QUERY_AFTER - waited,
+            true if waited >= REROUTE_AFTER => CHECK_INTERVAL.min(QUERY_AFTER - waited),
+            true => REROUTE_AFTER - waited,
+        };
+        Some(next.min(left)).filter(|wait| !wait.is_zero())
+    }
+}
--- a/src/tests/decide/path.rs
+++ b/src/tests/decide/path.rs
@@ -1,7 +1,7 @@
-//! Tests of the choice of paths, and of what bounds them.
+//! Tests of the choice of paths and of the limits on them.
 
 use super::{at, model};
-use crate::decide::link::LinkPart;
+use crate::decide::link::LinkShare;
 use crate::decide::load::{Loads, Speed};
 use crate::decide::path::{self, Candidate, Hop, NoPath, Start, Work};
 use crate::roster::LayerRange;
@@ -12,10 +12,10 @@
     answer: 170.0,
     token_mb: 0.007_375,
     crossing_ms: 0.0215,
-    crosses: true,
-    home: 0,
-    spare: 0.0,
-    turns: false,
+    may_cross: true,
+    caller_domain: 0,
+    headroom: 0.0,
+    obeys_quota: false,
 };
 
 fn candidate(first: u32, end: u32) -> Candidate {
@@ -26,16 +26,16 @@
         read_ms: 0.001,
         memory_mb: 10_000.0,
         room_mb: 10_000.0,
-        used: 0.0,
-        open: true,
-        enters: true,
-        penalty: 1.0,
+        utilisation: 0.0,
+        has_quota: true,
+        may_enter: true,
+        cost_factor: 1.0,
     }
 }
 
 fn choose(candidates: &[Candidate]) -> Result<Vec<(usize, u32, u32)>, NoPath> {
     let hops = path::choose(80, Start::Caller, candidates, &WORK, |_| 1.0)?;
-    assert!(path::is_whole(0, 80, candidates, &hops));
+    assert!(path::is_complete(0, 80, candidates, &hops));
     let parts = hops.iter().map(|h| (h.engine, h.range.first, h.range.end));
     Ok(parts.collect())
 }
@@ -50,7 +50,7 @@
 #[test]
 fn choose_missing_layer() {
     let none = choose(&[candidate(0, 50), candidate(60, 80)]);
-    assert_eq!(none, Err(NoPath::Missing(50)));
+    assert_eq!(none, Err(NoPath::MissingLayer(50)));
 }
 
 #[test]
@@ -60,10 +60,10 @@
     assert_eq!(choose(&[candidate(0, 40), full]), Err(NoPath::Full));
 }
 
+/// Guards against overfilling an engine in a burst while another one with the same layers has room;
+/// the full engine would interrupt its newest request.
 #[test]
 fn choose_copy_with_room() {
-    // A burst fills one of two engines with the same layers. Requests must go
-    // through the other; the engine would interrupt the newest otherwise.
     let mut full = candidate(40, 80);
     full.room_mb = 1.0;
     let parts = choose(&[candidate(0, 40), full, candidate(40, 80)]).unwrap();
@@ -76,7 +76,7 @@
     far.domain = 1;
     far.step_ms = 0.09;
     let parts = choose(&[far, candidate(0, 40), candidate(40, 80)]);
-    // The whole path elsewhere crosses no boundary between domains.
+    // A whole path in another domain crosses no boundary between domains.
     assert_eq!(parts.unwrap(), [(0, 0, 80)]);
     let mut far = candidate(40, 80);
     far.domain = 1;
@@ -85,10 +85,10 @@
     assert_eq!(parts.unwrap(), [(1, 0, 40), (2, 40, 80)]);
 }
 
+/// The only local engine with some layers dies. Until others have loaded them, requests use a copy
+/// in another domain.
 #[test]
-fn choose_far_copy() {
-    // The only engine with some layers dies. Until others have loaded them,
-    // requests go through a copy in another domain.
+fn choose_remote_copy() {
     let mut far = candidate(0, 80);
     far.domain = 1;
     far.step_ms = 5.0;
@@ -96,11 +96,10 @@
     assert_eq!(parts[1], (0, 30, 50));
 }
 
+/// The caller's domain has lost layers 50 to 60, and the other domain is loaded. Crossing there and
+/// back would occupy the shared link; the whole path in the other domain doesn't use it.
 #[test]
 fn choose_other_domain_whole() {
-    // The caller's domain has lost layers 50 to 60, and the other is loaded.
-    // Crossing there and back would occupy the link that all share; the whole
-    // path in the other domain uses none of it.
     let mut far = candidate(0, 80);
     far.domain = 1;
     far.step_ms = 0.2;
@@ -114,7 +113,7 @@
     far.domain = 1;
     let candidates = [candidate(0, 40), far];
     let home = Work {
-        crosses: false,
+        may_cross: false,
         ..WORK
     };
     let none = path::choose(80, Start::Caller, &candidates, &home, |_| 1.0);
@@ -123,29 +122,29 @@
     assert_eq!(path::crossings(&candidates, &hops.unwrap()), 1);
 }
 
+/// An engine on the path of a running request dies. The first engine stays, since it has the
+/// caller's connection; only the rest of the path is chosen again.
 #[test]
-fn choose_behind_engine() {
-    // An engine of a running request's path dies. The first engine stays, as
-    // it has the caller's connection; only the rest is chosen anew.
+fn choose_after_engine() {
     let candidates = [candidate(40, 80), candidate(20, 60)];
-    let start = Start::Behind {
+    let start = Start::After {
         layer: 30,
         domain: 0,
     };
     let hops = path::choose(80, start, &candidates, &WORK, |_| 1.0).unwrap();
-    assert!(path::is_whole(30, 80, &candidates, &hops));
+    assert!(path::is_complete(30, 80, &candidates, &hops));
     assert_eq!(hops[0].engine, 1);
 }
 
+/// Guards against a full link when many requests cross at once: all instances together must leave
+/// half of it free, or every token on it is delayed.
 #[test]
-fn take_link_bounded() {
-    // Many requests would cross at once. All instances together must leave
-    // half of the link free, or every token on it waits.
+fn try_acquire_link_bounded() {
     let mut used = 0.0;
     for _ in 0..9 {
-        let mut part = LinkPart::new(at(0));
+        let mut share = LinkShare::new(at(0));
         for i in 0..1000 {
-            if part.take(at(i * 10), 9, 20.8) {
+            if share.try_acquire(at(i * 10), 9, 20.8) {
                 used += 20.8;
             }
         }
@@ -157,18 +156,18 @@
 }
 
 #[test]
-fn choose_first_entered() {
+fn choose_may_enter() {
     let mut full = candidate(0, 40);
-    full.enters = false;
+    full.may_enter = false;
     let other = candidate(0, 40);
     let parts = choose(&[full, other, candidate(40, 80)]).unwrap();
     assert_eq!(parts[0].0, 1);
 }
 
+/// Guards against naming an engine twice, which engines refuse. A slow engine holds all layers, a
+/// fast one a part in the middle.
 #[test]
 fn choose_engine_once() {
-    // A slow engine holds all, a fast one a part in the middle: there and
-    // back would name the slow one twice, which engines refuse.
     let mut slow = candidate(0, 80);
     slow.step_ms = 0.2;
     let mut fast = candidate(30, 50);
@@ -178,38 +177,38 @@
 }
 
 #[test]
-fn leave_frees_all() {
+fn release_frees_all() {
     let mut loads = Loads::default();
     let hop = Hop {
         engine: 0,
         range: LayerRange::new(0, 7),
     };
     let booked = [(5, hop)];
-    loads.enter(&booked, &WORK);
-    loads.enter(&booked, &WORK);
-    let told = Load {
+    loads.book(&booked, &WORK);
+    loads.book(&booked, &WORK);
+    let reported = Load {
         engine: 5,
         memory: 10,
         requests: 3,
         entered: 1,
     };
-    loads.learn(&[told], 0.0);
+    loads.update(&[reported], 0.0);
     assert!((loads.at(5).requests - 5.0).abs() < 1e-9);
     assert!((loads.at(5).entered - 3.0).abs() < 1e-9);
-    loads.leave(&booked, &WORK);
-    loads.leave(&booked, &WORK);
+    loads.release(&booked, &WORK);
+    loads.release(&booked, &WORK);
     assert!(loads.report().is_empty());
     assert!((loads.at(5).memory - 10.0).abs() < 1e-9);
 }
 
 #[test]
-fn speed_of_brimful() {
+fn speed_of_full_engine() {
     let model = model();
     let t4 = model.accelerator("t4").unwrap();
     let loads = Loads::default();
     let seven = Speed::new(&model, t4, LayerRange::new(0, 7), loads.at(1));
     let eight = Speed::new(&model, t4, LayerRange::new(0, 8), loads.at(1));
-    // Some 41,000 tokens of room with seven layers, 6,800 with eight.
+    // The room is about 41,000 tokens with seven layers and 6,800 with eight.
     assert!(seven.room_mb > 4.0 * eight.room_mb);
     assert!(eight.room_mb > 0.0);
 }
