--- a/src/controller/call.rs
+++ b/src/controller/call.rs
@@ -148,7 +148,7 @@
             let Some(state) = self.state_if_leading() else {
                 return self.redirect(path);
             };
-            state.upstream(id).map(|e| e.last.born)
+            state.upstream(id).map(|e| e.announcement.born)
         };
         // If this leader has no heartbeat of the upstream, all incarnations up to now have left;
         // a later one has a later start time.
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -22,7 +22,9 @@
 use crate::fingerprint::Fingerprint;
 use crate::register::{Quarantined, Register, VersionedConfiguration};
 use crate::relay::HeartbeatDigest;
-use crate::roster::{AnnounceOutcome, Announcement, Entry, LOST_HEARTBEATS, LayerRange, Roster};
+use crate::roster::{
+    AnnounceOutcome, Announcement, LOST_HEARTBEATS, LayerRange, Roster, RosterEntry,
+};
 use crate::sync::{LimitRecord, RosterDelta, SyncReply, SyncRequest, UpstreamRecord, address_key};
 
 /// Heartbeat periods after which a new leader has received a heartbeat of every live
@@ -159,7 +161,7 @@
     }
 
     /// Returns the upstream with this id.
-    pub(crate) fn upstream(&self, id: &str) -> Option<&Entry> {
+    pub(crate) fn upstream(&self, id: &str) -> Option<&RosterEntry> {
         self.roster.get(id)
     }
 
@@ -290,7 +292,10 @@
         for (changed, id) in page {
             revision = changed;
             match self.roster.get(id) {
-                Some(e) => upstreams.push(UpstreamRecord::new(e, self.retained_layers(&e.last))),
+                Some(e) => upstreams.push(UpstreamRecord::new(
+                    e,
+                    self.retained_layers(&e.announcement),
+                )),
                 None => removed.push(id.to_string()),
             }
         }
@@ -366,13 +371,14 @@
     }
 
     /// Returns the upstreams of a service, ordered by id.
-    fn members(&self, service: &str) -> impl Iterator<Item = &Entry> {
+    fn members(&self, service: &str) -> impl Iterator<Item = &RosterEntry> {
         let list = self.roster.list().into_iter();
-        list.filter(move |e| e.last.service == service)
+        list.filter(move |e| e.announcement.service == service)
     }
 
     fn holds_layers(&self, service: &str) -> bool {
-        self.members(service).any(|e| e.last.layers.is_some())
+        self.members(service)
+            .any(|e| e.announcement.layers.is_some())
     }
 
     fn plan_orders(&self, service: &str, model: &Model) -> Vec<PlacementOrder> {
@@ -382,11 +388,11 @@
             .unzip();
         let moves = placement::plan(model, &workers);
         let orders = moves.into_iter().map(|m| {
-            let last = &entries[m.worker].last;
+            let announcement = &entries[m.worker].announcement;
             PlacementOrder {
-                engine: last.id.clone(),
-                born: last.born,
-                address: last.address,
+                engine: announcement.id.clone(),
+                born: announcement.born,
+                address: announcement.address,
                 range: m.range,
                 fence: self.term,
             }
@@ -394,22 +400,22 @@
         orders.collect()
     }
 
-    fn worker(&self, entry: &Entry, model: &Model) -> Option<Worker> {
-        let last = &entry.last;
-        let accelerator = model.accelerator(last.kind.as_deref()?)?;
-        let pending = self.pending_of(last);
-        let used = self.reports.load_of(address_key(last.address));
+    fn worker(&self, entry: &RosterEntry, model: &Model) -> Option<Worker> {
+        let announcement = &entry.announcement;
+        let accelerator = model.accelerator(announcement.kind.as_deref()?)?;
+        let pending = self.pending_of(announcement);
+        let used = self.reports.load_of(address_key(announcement.address));
         Some(Worker {
-            domain: last.domain.clone(),
+            domain: announcement.domain.clone(),
             size_mb: accelerator.size_mb,
             step_factor: accelerator.step_factor,
             read_factor: accelerator.read_factor,
             used_mb: f64::from(used.memory),
             held: match pending {
                 Some(pending) if pending.expected => Some(pending.range),
-                _ => self.retained_layers(last),
+                _ => self.retained_layers(announcement),
             },
-            loaded: last.layers,
+            loaded: announcement.layers,
             busy: pending.is_some(),
         })
     }
@@ -423,8 +429,8 @@
     ) -> BTreeMap<String, Vec<LayerRange>> {
         let mut held: BTreeMap<String, Vec<LayerRange>> = BTreeMap::new();
         for entry in self.members(service) {
-            let ranges = held.entry(entry.last.domain.clone()).or_default();
-            ranges.extend(entry.last.layers);
+            let ranges = held.entry(entry.announcement.domain.clone()).or_default();
+            ranges.extend(entry.announcement.layers);
         }
         let gaps = |ranges: Vec<LayerRange>| uncovered(model.layers, ranges);
         held.into_iter().map(|(d, r)| (d, gaps(r))).collect()
@@ -433,18 +439,18 @@
     /// Returns the engines to query for their pace now, in turn: those that process requests
     /// or were slow.
     pub(crate) fn next_pace_queries(&mut self) -> Vec<PaceQuery> {
-        let is_queried = |e: &&Entry| {
-            let used = self.reports.load_of(address_key(e.last.address));
-            e.last.layers.is_some() && (used.requests > 0 || e.pace > 1.0)
+        let is_queried = |e: &&RosterEntry| {
+            let used = self.reports.load_of(address_key(e.announcement.address));
+            e.announcement.layers.is_some() && (used.requests > 0 || e.pace > 1.0)
         };
         let list = self.roster.list().into_iter();
-        let engines: Vec<&Entry> = list.filter(is_queried).collect();
+        let engines: Vec<&RosterEntry> = list.filter(is_queried).collect();
         let selected = self.rotation.next_batch(&engines).into_iter();
         selected
             .map(|e| PaceQuery {
-                engine: e.last.id.clone(),
-                born: e.last.born,
-                address: e.last.address,
+                engine: e.announcement.id.clone(),
+                born: e.announcement.born,
+                address: e.announcement.address,
             })
             .collect()
     }
@@ -468,7 +474,7 @@
                 false if entry.pace > 1.0 => "slow",
                 false => "sound",
             };
-            let key = (entry.last.service.clone(), state);
+            let key = (entry.announcement.service.clone(), state);
             *counts.upstreams.entry(key).or_default() += 1;
         }
         counts
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -458,28 +458,31 @@
     /// Returns the configuration in force, compressed once for all instances.
     fn compressed_configuration(&self) -> Option<VersionedConfiguration> {
         let current = self.register.current()?;
-        let mut packed = self
+        let mut compressed = self
             .compressed_configuration
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if packed.as_ref().is_none_or(|p| p.version != current.version) {
-            *packed = Some(VersionedConfiguration {
+        if compressed
+            .as_ref()
+            .is_none_or(|p| p.version != current.version)
+        {
+            *compressed = Some(VersionedConfiguration {
                 version: current.version,
                 body: sync::pack(&current.body),
             });
         }
-        packed.clone()
+        compressed.clone()
     }
 
     /// Answers a sync request, or returns the leader.
-    fn sync(&self, ask: SyncRequest) -> Answer {
+    fn sync(&self, request: SyncRequest) -> Answer {
         let (Some(age), Some(mut state)) = (self.confirmation_age(), self.state_if_leading())
         else {
             return Answer::NotLeader(self.leader_info().leader.map_or(0, |l| l.0));
         };
         let current = self.compressed_configuration();
-        let known_quarantine = ask.quarantine_checksum;
-        let reply = state.sync(self.now(), ask, age, current, &self.register);
+        let known_quarantine = request.quarantine_checksum;
+        let reply = state.sync(self.now(), request, age, current, &self.register);
         drop(state);
         let members = self.status().into_iter().flat_map(|s| s.members);
         Answer::Sync(Box::new(SyncReply {
@@ -499,7 +502,7 @@
 
     fn request(&self, request: Request, reply: ReplySink) {
         let answer = match (request.ask, self.0.load_full()) {
-            (Some(Ask::Sync(ask)), Some(controller)) => controller.sync(ask),
+            (Some(Ask::Sync(request)), Some(controller)) => controller.sync(request),
             (Some(Ask::Heartbeats(batch)), Some(controller)) => {
                 controller.receive_heartbeats(batch)
             }
--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -53,8 +53,8 @@
     }
 
     /// Replaces the report of an instance.
-    pub(crate) fn record(&mut self, now: Time, ask: SyncRequest) {
-        let mut loads = ask.loads;
+    pub(crate) fn record(&mut self, now: Time, request: SyncRequest) {
+        let mut loads = request.loads;
         // `sums` has no entries for engines without requests.
         loads.retain(|l| l.requests > 0);
         for load in &loads {
@@ -66,19 +66,19 @@
             sum.requests += load.requests;
             sum.entered += load.entered;
         }
-        self.room_requests += ask.room_requests;
-        let before = self.latest.remove(&ask.instance);
+        self.room_requests += request.room_requests;
+        let before = self.latest.remove(&request.instance);
         if let Some(before) = &before {
             self.subtract(before);
         }
         let report = Report {
             at: now,
             loads,
-            suspects: ask.suspects,
-            room_requests: ask.room_requests,
+            suspects: request.suspects,
+            room_requests: request.room_requests,
             last_sent: before.and_then(|b| b.last_sent),
         };
-        self.latest.insert(ask.instance, report);
+        self.latest.insert(request.instance, report);
     }
 
     fn subtract(&mut self, report: &Report) {
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -36,16 +36,26 @@
 const BROADCAST_SILENCE: f64 = 0.25;
 
 /// Sequence number from which an unknown upstream at a taken address does not count as the
-/// successor there. A new upstream begins at 1, and its first calls may be lost.
+/// successor there. A new upstream begins at 1, and its first call or two may be lost.
 const ESTABLISHED_SEQUENCE: u64 = 4;
 
 /// Layers `first` (inclusive) to `end` (exclusive). Never empty.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+#[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct LayerRange {
     pub(crate) first: u32,
     pub(crate) end: u32,
 }
 
+impl std::fmt::Debug for LayerRange {
+    /// Writes the name `Range`, which log fields contain.
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.debug_struct("Range")
+            .field("first", &self.first)
+            .field("end", &self.end)
+            .finish()
+    }
+}
+
 impl LayerRange {
     pub(crate) fn new(first: u32, end: u32) -> Self {
         debug_assert!(first < end, "layer range is empty");
@@ -97,11 +107,11 @@
 
 /// One upstream in the roster.
 #[derive(Clone, Debug)]
-pub(crate) struct Entry {
+pub(crate) struct RosterEntry {
     /// Latest announcement.
-    pub(crate) last: Announcement,
+    pub(crate) announcement: Announcement,
     /// Time of the latest heartbeat.
-    pub(crate) heard: Time,
+    pub(crate) last_heartbeat: Time,
     /// Whether it is avoided because its heartbeats are late.
     pub(crate) late: bool,
     /// Factor on the usual duration of its work: 1 is normal speed, higher is slower.
@@ -125,7 +135,7 @@
 #[derive(Debug)]
 pub(crate) struct Roster {
     heartbeat: Duration,
-    entries: HashMap<Arc<str>, Entry>,
+    entries: HashMap<Arc<str>, RosterEntry>,
     /// Ids of `entries` by address; each address has one upstream.
     addresses: HashMap<SocketAddrV4, Arc<str>>,
     /// Incarnations that must not return, since they left or were replaced at their address:
@@ -158,7 +168,7 @@
             return AnnounceOutcome::Stale;
         }
         let entry = self.entries.get(&announcement.id);
-        let known = entry.map(|e| &e.last);
+        let known = entry.map(|e| &e.announcement);
         let fresh = known.is_none_or(|k| k.born < announcement.born);
         if known.is_some_and(|k| (k.born, k.sequence) >= (announcement.born, announcement.sequence))
         {
@@ -167,18 +177,21 @@
         let changed = known.is_none_or(|k| is_notable(k, &announcement));
         let pace = entry.filter(|_| !fresh).map_or(1.0, |e| e.pace);
         self.evict_holder(&announcement);
-        let entry = Entry {
-            heard: now,
+        let entry = RosterEntry {
+            last_heartbeat: now,
             late: false,
             suspected: false,
             pace,
-            last: announcement,
+            announcement,
         };
-        let id = entry.last.id.clone();
-        let address = entry.last.address;
+        let id = entry.announcement.id.clone();
+        let address = entry.announcement.address;
         let before = self.entries.insert(id.clone(), entry);
-        if let Some(before) = before.as_ref().filter(|b| b.last.address != address) {
-            self.addresses.remove(&before.last.address);
+        if let Some(before) = before
+            .as_ref()
+            .filter(|b| b.announcement.address != address)
+        {
+            self.addresses.remove(&before.announcement.address);
         }
         self.addresses.insert(address, id.clone());
         if changed || before.is_some_and(|b| b.late || b.suspected) {
@@ -200,18 +213,18 @@
         let Some(entry) = self.entries.get_mut(&*digest.id) else {
             return false;
         };
-        let last = &mut entry.last;
-        if last.born != digest.born || relay::digest(last) != digest.digest {
+        let known = &mut entry.announcement;
+        if known.born != digest.born || relay::digest(known) != digest.digest {
             return false;
         }
-        if last.sequence >= digest.sequence {
+        if known.sequence >= digest.sequence {
             return true;
         }
-        last.sequence = digest.sequence;
-        entry.heard = now;
+        known.sequence = digest.sequence;
+        entry.last_heartbeat = now;
         let late = std::mem::take(&mut entry.late);
         if std::mem::take(&mut entry.suspected) || late {
-            let id = entry.last.id.clone();
+            let id = entry.announcement.id.clone();
             self.changes.note_change(&id);
         }
         true
@@ -226,7 +239,10 @@
     pub(crate) fn retire(&mut self, id: &Arc<str>, born: u64) {
         let latest = self.retired.entry(id.clone()).or_default();
         *latest = (*latest).max(born);
-        let present = self.entries.get(id).is_some_and(|e| e.last.born <= born);
+        let present = self
+            .entries
+            .get(id)
+            .is_some_and(|e| e.announcement.born <= born);
         if present {
             self.remove(id);
         }
@@ -234,7 +250,7 @@
 
     fn remove(&mut self, id: &Arc<str>) {
         if let Some(entry) = self.entries.remove(id) {
-            self.addresses.remove(&entry.last.address);
+            self.addresses.remove(&entry.announcement.address);
             self.changes.note_removal(id);
         }
     }
@@ -248,24 +264,30 @@
 
     /// Sets the layers of an incarnation, learned from another source than its heartbeats.
     pub(crate) fn set_layers(&mut self, id: &str, born: u64, range: LayerRange) {
-        let entry = self.entries.get_mut(id).filter(|e| e.last.born == born);
+        let entry = self
+            .entries
+            .get_mut(id)
+            .filter(|e| e.announcement.born == born);
         let Some(entry) = entry else { return };
-        if entry.last.layers != Some(range) {
-            entry.last.layers = Some(range);
-            let id = entry.last.id.clone();
+        if entry.announcement.layers != Some(range) {
+            entry.announcement.layers = Some(range);
+            let id = entry.announcement.id.clone();
             self.changes.note_change(&id);
         }
     }
 
     /// Sets the pace of an incarnation. Returns whether it changed enough to notify instances.
     pub(crate) fn set_pace(&mut self, id: &str, born: u64, reported: f64) -> bool {
-        let entry = self.entries.get_mut(id).filter(|e| e.last.born == born);
+        let entry = self
+            .entries
+            .get_mut(id)
+            .filter(|e| e.announcement.born == born);
         let Some(entry) = entry else { return false };
         let Some(pace) = pace::significant_change(entry.pace, reported) else {
             return false;
         };
         entry.pace = pace;
-        let id = entry.last.id.clone();
+        let id = entry.announcement.id.clone();
         self.changes.note_change(&id);
         true
     }
@@ -278,15 +300,18 @@
         now: Time,
         suspects: &HashMap<SocketAddrV4, usize>,
     ) -> Vec<Arc<str>> {
-        let mut dropped = Vec::new();
+        let mut removed = Vec::new();
         for (id, entry) in &mut self.entries {
-            let witnesses = suspects.get(&entry.last.address).copied().unwrap_or(0);
+            let witnesses = suspects
+                .get(&entry.announcement.address)
+                .copied()
+                .unwrap_or(0);
             let (late, lost) = match witnesses >= MIN_WITNESSES {
                 true => (SUSPECT_LATE_HEARTBEATS, SUSPECT_LOST_HEARTBEATS),
                 false => (LATE_HEARTBEATS, LOST_HEARTBEATS),
             };
             let (late, lost) = (self.heartbeat.mul_f64(late), self.heartbeat.mul_f64(lost));
-            let silent = now.since(entry.heard);
+            let silent = now.since(entry.last_heartbeat);
             if silent >= late && !entry.late {
                 entry.late = true;
                 self.changes.note_change(id);
@@ -298,24 +323,24 @@
                 self.changes.note_change(id);
             }
             if silent >= lost {
-                dropped.push(id.clone());
+                removed.push(id.clone());
             }
         }
-        for id in &dropped {
+        for id in &removed {
             self.remove(id);
         }
-        dropped
+        removed
     }
 
     /// Returns the upstreams, ordered by id.
-    pub(crate) fn list(&self) -> Vec<&Entry> {
+    pub(crate) fn list(&self) -> Vec<&RosterEntry> {
         let mut list: Vec<_> = self.entries.values().collect();
-        list.sort_unstable_by(|a, b| a.last.id.cmp(&b.last.id));
+        list.sort_unstable_by(|a, b| a.announcement.id.cmp(&b.announcement.id));
         list
     }
 
     /// Returns the upstream with this id.
-    pub(crate) fn get(&self, id: &str) -> Option<&Entry> {
+    pub(crate) fn get(&self, id: &str) -> Option<&RosterEntry> {
         self.entries.get(id)
     }
 
@@ -326,8 +351,8 @@
 
     /// Whether no new upstream has appeared for 1.25 heartbeat periods.
     pub(crate) fn is_settled(&self, now: Time) -> bool {
-        let heartbeat = self.heartbeat.mul_f64(1.25);
-        self.last_join.is_some_and(|at| now.since(at) >= heartbeat)
+        let period = self.heartbeat.mul_f64(1.25);
+        self.last_join.is_some_and(|at| now.since(at) >= period)
     }
 
     /// Whether another upstream holds the address, and the announcement may be older than it.
@@ -339,23 +364,23 @@
         let Some(holder) = self.holder(announcement) else {
             return false;
         };
-        if announcement.born != holder.last.born {
-            return announcement.born < holder.last.born;
+        if announcement.born != holder.announcement.born {
+            return announcement.born < holder.announcement.born;
         }
-        let silent = now.since(holder.heard) >= self.heartbeat.mul_f64(LATE_HEARTBEATS);
+        let silent = now.since(holder.last_heartbeat) >= self.heartbeat.mul_f64(LATE_HEARTBEATS);
         announcement.sequence >= ESTABLISHED_SEQUENCE && !silent
     }
 
     /// Retires the upstream that held the address before.
     fn evict_holder(&mut self, announcement: &Announcement) {
         let before = self.holder(announcement);
-        if let Some((id, born)) = before.map(|e| (e.last.id.clone(), e.last.born)) {
+        if let Some((id, born)) = before.map(|e| (e.announcement.id.clone(), e.announcement.born)) {
             self.retire(&id, born);
         }
     }
 
     /// Returns another upstream at the address of the announcement.
-    fn holder(&self, announcement: &Announcement) -> Option<&Entry> {
+    fn holder(&self, announcement: &Announcement) -> Option<&RosterEntry> {
         let id = self.addresses.get(&announcement.address);
         self.entries.get(id.filter(|id| **id != announcement.id)?)
     }
--- a/src/sync.rs
+++ b/src/sync.rs
@@ -13,7 +13,7 @@
 use crate::clock::{Time, micros};
 use crate::decide::rate::LimitUpdate;
 use crate::decide::run_history::EngineStart;
-use crate::roster::{Announcement, Entry, LayerRange};
+use crate::roster::{Announcement, LayerRange, RosterEntry};
 
 /// Requests the changes that the sender lacks, and reports its load.
 #[derive(Clone, PartialEq, Message)]
@@ -299,7 +299,7 @@
 
 impl UpstreamRecord {
     /// Encodes an upstream, with `layers` in place of the layers that it holds.
-    pub(crate) fn new(entry: &Entry, layers: Option<LayerRange>) -> Self {
+    pub(crate) fn new(entry: &RosterEntry, layers: Option<LayerRange>) -> Self {
         let (first, end) = layers.map_or((0, 0), |l| (l.first, l.end));
         Self {
             first,
@@ -311,7 +311,7 @@
             } else {
                 0.0
             },
-            ..Self::from(&entry.last)
+            ..Self::from(&entry.announcement)
         }
     }
 
--- a/src/tests/relay.rs
+++ b/src/tests/relay.rs
@@ -79,7 +79,7 @@
     assert_eq!(roster.list().len(), 3);
     (1..=3).for_each(|host| relay.push(announcement(host, 2), host));
     assert_eq!(forward(&mut relay, &mut roster, at(1200)), [vec![1, 2, 3]]);
-    assert!(roster.list().iter().all(|e| e.heard == at(1200)));
+    assert!(roster.list().iter().all(|e| e.last_heartbeat == at(1200)));
 }
 
 #[test]
@@ -109,7 +109,7 @@
     let mut changed = announcement(1, 2);
     changed.layers = Some(LayerRange::new(3, 5));
     assert!(!roster.refresh(at(100), &HeartbeatDigest::from(&changed)));
-    assert_eq!(roster.get("i-1").unwrap().heard, at(0));
+    assert_eq!(roster.get("i-1").unwrap().last_heartbeat, at(0));
     assert_eq!(roster.announce(at(100), changed), AnnounceOutcome::Known);
 }
 
@@ -119,7 +119,7 @@
     roster.announce(at(0), announcement(1, 4));
     // A delayed heartbeat does not show that the upstream is live now.
     assert!(roster.refresh(at(900), &HeartbeatDigest::from(&announcement(1, 3))));
-    assert_eq!(roster.get("i-1").unwrap().heard, at(0));
+    assert_eq!(roster.get("i-1").unwrap().last_heartbeat, at(0));
     // An upstream that has left does not return.
     roster.retire(&"i-1".into(), 0);
     assert!(roster.refresh(at(1000), &HeartbeatDigest::from(&announcement(1, 5))));
--- a/src/tests/roster.rs
+++ b/src/tests/roster.rs
@@ -42,7 +42,11 @@
 }
 
 fn ids(roster: &Roster) -> Vec<&str> {
-    roster.list().into_iter().map(|e| &*e.last.id).collect()
+    roster
+        .list()
+        .into_iter()
+        .map(|e| &*e.announcement.id)
+        .collect()
 }
 
 #[test]
@@ -74,7 +78,7 @@
     let mut new = announcement("i-1", 1);
     new.born = 2000;
     assert_eq!(roster.announce(at(10), new), AnnounceOutcome::New);
-    assert_eq!(roster.get("i-1").unwrap().last.layers, None);
+    assert_eq!(roster.get("i-1").unwrap().announcement.layers, None);
     old.sequence = 41;
     assert_eq!(roster.announce(at(20), old), AnnounceOutcome::Stale);
 }
@@ -262,7 +266,7 @@
     // and leave its layers missing.
     let mut roster = Roster::new(HEARTBEAT);
     roster.announce(at(0), announcement("i-1", 1));
-    let address = roster.get("i-1").unwrap().last.address;
+    let address = roster.get("i-1").unwrap().announcement.address;
     let one = HashMap::from_iter([(address, 1)]);
     let two = HashMap::from_iter([(address, 2)]);
     roster.tick(at(1400), &one);
