--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -9,7 +9,7 @@
 
 use self::layout::Group;
 use crate::configuration::Model;
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 mod layout;
 mod relief;
@@ -69,9 +69,9 @@
     /// Memory that running requests use, in megabytes.
     pub(crate) used_mb: f64,
     /// Layers that it holds or is loading.
-    pub(crate) held: Option<Range>,
+    pub(crate) held: Option<LayerRange>,
     /// Layers that it has loaded.
-    pub(crate) loaded: Option<Range>,
+    pub(crate) loaded: Option<LayerRange>,
     /// Whether it has a pending order, so that it gets no other.
     pub(crate) busy: bool,
 }
@@ -81,7 +81,7 @@
 pub(crate) struct Move {
     /// Index of the engine.
     pub(crate) worker: usize,
-    pub(crate) range: Range,
+    pub(crate) range: LayerRange,
 }
 
 /// Returns the next moves towards a whole pipeline in each group of domains; none if no change
--- a/src/decide/placement/layout.rs
+++ b/src/decide/placement/layout.rs
@@ -5,7 +5,7 @@
     Worker, capacity, total,
 };
 use crate::configuration::Model;
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 pub(super) struct Group<'a> {
     pub(super) model: &'a Model,
@@ -14,7 +14,7 @@
     /// Number of usual requests for which engines reserve memory.
     pub(super) requests: f64,
     /// Layers of each worker after the moves so far.
-    pub(super) held: Vec<Option<Range>>,
+    pub(super) held: Vec<Option<LayerRange>>,
     /// Members that hold each layer, sorted by index.
     holders: Vec<Vec<usize>>,
     /// Number of tokens for which the holders of each layer together have memory.
@@ -32,7 +32,7 @@
         let enough = |&&r: &&f64| total(model, workers, members, r) >= model.layers;
         let least = RESERVED[RESERVED.len() - 1];
         let requests = RESERVED.iter().find(enough).copied().unwrap_or(least);
-        let held: Vec<Option<Range>> = workers.iter().map(|w| w.held).collect();
+        let held: Vec<Option<LayerRange>> = workers.iter().map(|w| w.held).collect();
         let layers = 0..model.layers;
         let mut group = Self {
             model,
@@ -55,7 +55,7 @@
     }
 
     /// Adds a member to the holders of some layers.
-    fn hold(&mut self, member: usize, range: Range) {
+    fn hold(&mut self, member: usize, range: LayerRange) {
         for layer in range.first..range.end.min(self.model.layers) {
             let holders = &mut self.holders[layer as usize];
             if let Err(at) = holders.binary_search(&member) {
@@ -117,7 +117,7 @@
             return;
         }
         let gap = self.gap();
-        let range = gap.map(|g| Range::new(g.first, g.end.min(g.first + most)));
+        let range = gap.map(|g| LayerRange::new(g.first, g.end.min(g.first + most)));
         let range = range.or_else(|| self.scarcest(most));
         let range = range.unwrap_or_else(|| self.slowest(most));
         self.assign(worker, range);
@@ -125,7 +125,7 @@
 
     /// Returns the `length` layers with the least room, if some layer's room is far below an equal
     /// division of the engines' room.
-    fn scarcest(&self, length: u32) -> Option<Range> {
+    fn scarcest(&self, length: u32) -> Option<LayerRange> {
         let fair = self.requests * f64::from(self.capacity) / f64::from(self.model.layers);
         let wanted = self.tokens(MIN_LAYER_ROOM.max(fair - MAX_ROOM_DEFICIT));
         let rooms = self.rooms();
@@ -163,11 +163,11 @@
 
     /// Returns the engine adjacent to a gap that has the most room after it has taken as much of
     /// the gap as it can, and its new range.
-    fn stretch(&self, gap: Range, reserved: &[f64]) -> Option<(usize, Range)> {
+    fn stretch(&self, gap: LayerRange, reserved: &[f64]) -> Option<(usize, LayerRange)> {
         // An engine that this plan already stretches may take more.
         let idle = |&i: &usize| !self.workers[i].busy && self.keeps_held(i);
         let free = || self.members.iter().copied().filter(idle);
-        let room = |(i, range): &(usize, Range)| self.room(*i, *range);
+        let room = |(i, range): &(usize, LayerRange)| self.room(*i, *range);
         reserved.iter().find_map(|&requests| {
             free()
                 .filter_map(|i| Some((i, self.stretched(i, gap, requests)?)))
@@ -177,7 +177,7 @@
 
     /// Returns the range of an engine that takes as much as it can of an adjacent gap and reserves
     /// memory for `requests`.
-    fn stretched(&self, worker: usize, gap: Range, requests: f64) -> Option<Range> {
+    fn stretched(&self, worker: usize, gap: LayerRange, requests: f64) -> Option<LayerRange> {
         let held = self.held[worker]?;
         let most = self
             .max_layers(worker, requests)
@@ -187,9 +187,9 @@
             return None;
         }
         if held.end == gap.first {
-            return Some(Range::new(held.first, gap.first + more));
+            return Some(LayerRange::new(held.first, gap.first + more));
         }
-        (held.first == gap.end).then(|| Range::new(gap.end - more, held.end))
+        (held.first == gap.end).then(|| LayerRange::new(gap.end - more, held.end))
     }
 
     /// Maximum number of layers that leave enough memory for the running requests.
@@ -201,7 +201,7 @@
 
     /// Returns the spare engine that fills a gap, or else the one that fills most of it, and its
     /// new range.
-    fn spare(&self, gap: Range) -> Option<(usize, Range)> {
+    fn spare(&self, gap: LayerRange) -> Option<(usize, LayerRange)> {
         let least = RESERVED[RESERVED.len() - 1];
         let fits = |i: &usize| self.max_layers(*i, least).min(gap.len());
         let spare = self.members.iter().copied().filter(|&i| self.is_spare(i));
@@ -209,7 +209,7 @@
         let used = |i: &usize| std::cmp::Reverse(self.workers[*i].used_mb as u64);
         let worker = spare.max_by_key(|i| (fits(i), used(i)))?;
         let most = fits(&worker);
-        (most > 0).then(|| (worker, Range::new(gap.first, gap.first + most)))
+        (most > 0).then(|| (worker, LayerRange::new(gap.first, gap.first + most)))
     }
 
     /// Whether an engine keeps all its layers under the moves so far.
@@ -240,7 +240,7 @@
         layers.all(|layer| enough(self.loaded_room_at(layer, worker)))
     }
 
-    pub(super) fn assign(&mut self, worker: usize, range: Range) {
+    pub(super) fn assign(&mut self, worker: usize, range: LayerRange) {
         let before = self.held[worker].replace(range);
         let held = range.first..range.end.min(self.model.layers);
         let Some(before) = before else {
@@ -279,32 +279,32 @@
     }
 
     /// Number of tokens for which an engine with `range` has memory.
-    pub(super) fn room(&self, worker: usize, range: Range) -> f64 {
+    pub(super) fn room(&self, worker: usize, range: LayerRange) -> f64 {
         let layers = f64::from(range.len());
         let memory = self.workers[worker].size_mb - layers * self.model.layer_mb;
         memory.max(0.0) / (layers * self.model.token_mb)
     }
 
     /// Returns the lowest contiguous layers without a holder.
-    fn gap(&self) -> Option<Range> {
+    fn gap(&self) -> Option<LayerRange> {
         let held = |layer: &u32| !self.holders[*layer as usize].is_empty();
         let first = (0..self.model.layers).find(|l| !held(l))?;
         let end = (first..self.model.layers).find(held);
-        Some(Range::new(first, end.unwrap_or(self.model.layers)))
+        Some(LayerRange::new(first, end.unwrap_or(self.model.layers)))
     }
 
     /// Returns the `length` layers with the lowest total speed of their holders.
-    fn slowest(&self, length: u32) -> Range {
+    fn slowest(&self, length: u32) -> LayerRange {
         lowest_window(&self.speeds, length)
     }
 }
 
 /// Returns the first `length` contiguous layers with the least sum of `values`, which has one
 /// value per layer.
-fn lowest_window(values: &[f64], length: u32) -> Range {
+fn lowest_window(values: &[f64], length: u32) -> LayerRange {
     let sum = |window: &[f64]| window.iter().sum::<f64>();
     let windows = values.windows(length as usize).map(sum).enumerate();
     let first = windows.min_by(|a, b| a.1.total_cmp(&b.1));
     let first = first.map_or(0, |(at, _)| at as u32);
-    Range::new(first, first + length)
+    LayerRange::new(first, first + length)
 }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -18,7 +18,7 @@
 use super::select::{Exclusions, Selection};
 use super::view::of_service;
 use crate::clock::{Time, millis};
-use crate::configuration::{Model, Repeat, Route, Table};
+use crate::configuration::{Model, RetryPolicy, Route, RoutingTable};
 use crate::decide::health;
 use crate::decide::load;
 use crate::decide::path::Work;
@@ -30,7 +30,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::metric;
 use crate::platform::headers;
-use crate::sync::key_address;
+use crate::sync::address_from_key;
 
 /// Timeout for connecting to an upstream. Connecting takes 1 to 2 ms; a lost packet would be
 /// sent again only after 1 s, and another upstream can be tried sooner.
@@ -94,7 +94,7 @@
 /// A request and the state of its attempts.
 pub(super) struct Run {
     pub(super) entry: Arc<Entry>,
-    pub(super) table: Arc<Table>,
+    pub(super) table: Arc<RoutingTable>,
     pub(super) call: Call,
     attempts: AttemptCounts,
     /// Upstreams at which the request failed; they are not tried again.
@@ -145,7 +145,7 @@
 }
 
 impl Run {
-    pub(super) fn new(entry: Arc<Entry>, table: Arc<Table>, call: Call) -> Self {
+    pub(super) fn new(entry: Arc<Entry>, table: Arc<RoutingTable>, call: Call) -> Self {
         entry
             .shared()
             .allowance
@@ -310,7 +310,7 @@
         tracing::info!(
             event = event::UPSTREAM_SUSPECTED.id,
             attempt = self.call.attempt,
-            address = %key_address(culprit),
+            address = %address_from_key(culprit),
             cause,
             left_ms = millis(self.left()),
             "upstream excluded"
@@ -331,7 +331,13 @@
         self.attempts.record(failure);
         let route = &self.call.route;
         let left = self.left();
-        let mut next = retry::next_step(route.repeat, route.attempts, self.attempts, failure, left);
+        let mut next = retry::next_step(
+            route.retry_policy,
+            route.attempts,
+            self.attempts,
+            failure,
+            left,
+        );
         if next == NextStep::Again && self.may_crash_engine(cause) {
             next = retry::give_up(self.attempts, failure);
         }
@@ -400,8 +406,8 @@
             "sent"
         );
         let cutoff = Cutoff::new(None, Arc::clone(&self.entry.clock));
-        let patience = match self.call.route.repeat {
-            Repeat::Never => self.left(),
+        let patience = match self.call.route.retry_policy {
+            RetryPolicy::Never => self.left(),
             _ => self.call.route.objective * FIRST_BYTE_FACTOR,
         };
         let sent = self.entry.now();
--- a/src/entry/follow.rs
+++ b/src/entry/follow.rs
@@ -13,7 +13,7 @@
 use crate::id::InstanceId;
 use crate::message::{Answer, Ask, Request};
 use crate::role;
-use crate::sync::{Sync, Work};
+use crate::sync::{FleetLoad, SyncRequest};
 
 /// Timeout for a controller's response. A lost packet is retransmitted after 200 ms.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
@@ -113,16 +113,16 @@
         };
         let answer = self.peers.call(target, request, ANSWER_TIMEOUT).await;
         match answer.map(|r| r.answer) {
-            Ok(Some(Answer::State(state))) => {
-                targets.add(state.voters.iter().copied().map(InstanceId));
+            Ok(Some(Answer::Sync(reply))) => {
+                targets.add(reply.voters.iter().copied().map(InstanceId));
                 targets.leader = Some(target);
-                if let Some(work) = &state.work {
-                    self.apply_work(work, state.counted);
+                if let Some(load) = &reply.work {
+                    self.apply_load(load, reply.entries_known);
                 }
-                self.acknowledge_runs(&state, last_cut);
-                self.apply_leader_limits(sent, &state.limits);
+                self.acknowledge_runs(&reply, last_cut);
+                self.apply_leader_limits(sent, &reply.limits);
                 let before = self.view().version();
-                let applied = self.apply_state(sent, *state);
+                let applied = self.apply_reply(sent, *reply);
                 let version = self.view().version();
                 if version != before {
                     tracing::info!(
@@ -153,31 +153,31 @@
     }
 
     /// Applies the load of the other instances. It is only a part of their load until the
-    /// leader has `counted` them.
-    fn apply_work(&self, work: &Work, counted: bool) {
+    /// leader has counted them.
+    fn apply_load(&self, load: &FleetLoad, entries_known: bool) {
         let waiting = self.queued.load(Ordering::Relaxed);
         let loads = &mut self.shared().loads;
-        loads.update(&work.loads, rand::rng().random());
+        loads.update(&load.loads, rand::rng().random());
         loads
             .demand
-            .update(counted.then_some(work.asking), waiting as u32);
+            .update(entries_known.then_some(load.room_requests), waiting as u32);
     }
 
-    fn sync_request(&self) -> Sync {
+    fn sync_request(&self) -> SyncRequest {
         let view = self.view();
         let (term, revision) = view.roster();
         let now = self.now();
         let shared = self.shared();
-        Sync {
+        SyncRequest {
             instance: self.id.0,
             version: view.version(),
             term,
             revision,
             complete: view.is_complete(),
             loads: shared.loads.report(),
-            asking: shared.loads.demand.local(),
+            room_requests: shared.loads.demand.local(),
             suspects: shared.health.suspects(now, self.boot.heartbeat),
-            ..Sync::default()
+            ..SyncRequest::default()
         }
     }
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -29,7 +29,7 @@
 use crate::platform::boot::Boot;
 use crate::role::{self, RoleSettings};
 use crate::startup;
-use crate::sync::State;
+use crate::sync::SyncReply;
 
 mod attempt;
 mod body;
@@ -114,16 +114,16 @@
 pub(crate) fn run(settings: &RoleSettings) -> Result<()> {
     let boot = settings.boot()?;
     let runtime = role::runtime()?;
-    let stop = role::signals(&runtime, settings)?;
+    let stop = role::handle_signals(&runtime, settings)?;
     let ip = boot.ip;
     let (close, closing) = watch::channel(false);
     let entry = Arc::new(Entry::new(settings, boot, runtime.handle().clone()));
     let measured = Arc::clone(&entry);
-    role::observe(settings, ip, &runtime, move || measured.measure())?;
+    role::serve_metrics(settings, ip, &runtime, move || measured.measure())?;
     let _guard = runtime.enter();
     entry.listen(closing)?;
     runtime.spawn(Arc::clone(&entry).follow());
-    role::started("entry", &entry.boot);
+    role::log_start("entry", &entry.boot);
     runtime.block_on(async {
         stop.wait().await;
         entry.drain(&close).await;
@@ -142,10 +142,10 @@
             window: bounds.retry_window,
         });
         Self {
-            id: role::instance(boot.ip),
+            id: role::instance_id(boot.ip),
             peers: Peers::on_port(FleetKey::new(role::FLEET_SECRET), runtime, boot.ports.0),
             poll_interval: settings.poll,
-            lease: role::lease(&boot),
+            lease: role::key_lease(&boot),
             settings: settings.clone(),
             clock: Arc::new(SystemClock),
             view: ArcSwap::from_pointee(View::new()),
@@ -211,10 +211,10 @@
     }
 
     /// Applies a leader's response. Only the polling task calls it.
-    fn apply_state(&self, sent: Time, state: State) -> bool {
+    fn apply_reply(&self, sent: Time, reply: SyncReply) -> bool {
         let before = self.view();
         let mut view = View::clone(&before);
-        let applied = view.apply(sent, state, self.lease);
+        let applied = view.apply(sent, reply, self.lease);
         self.forget_lifted(&before, &view);
         self.view.store(Arc::new(view));
         self.view_changed.notify_waiters();
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -5,7 +5,7 @@
 use crate::decide::health::HealthStatus;
 use crate::decide::load::{Contention, Loads, Speed};
 use crate::decide::path::{self, Candidate, Hop, Start, Work};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 /// Cost factor of an engine whose heartbeats are late.
 const LATE_PENALTY: f64 = 4.0;
@@ -140,7 +140,7 @@
 /// first engine is one of them: it holds the caller's connection and can't be replaced, and it
 /// refuses a path that names it with layers that it gives up.
 pub(crate) fn withdrawn(upstreams: &[Upstream], booked: &[(u64, Hop)]) -> Vec<u64> {
-    let stays = |key: u64, part: Range| {
+    let stays = |key: u64, part: LayerRange| {
         let mut same = upstreams.iter().filter(|u| u.key == key);
         same.any(|u| u.layers.is_some_and(|held| held.covers(part)))
     };
--- a/src/entry/reroute.rs
+++ b/src/entry/reroute.rs
@@ -15,14 +15,14 @@
 use super::attempt::{DEAD_ENGINE, Run};
 use super::select::Selection;
 use super::view::of_service;
-use crate::configuration::Repeat;
+use crate::configuration::RetryPolicy;
 use crate::decide::health::HealthStatus;
 use crate::decide::stall::{StallTimer, Step};
 use crate::engine::call;
 use crate::event;
 use crate::metric;
 use crate::platform::engine as order;
-use crate::sync::{address_key, key_address};
+use crate::sync::{address_from_key, address_key};
 
 /// Timeout of a report or an order.
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
@@ -49,7 +49,8 @@
         let since = self.entry.now();
         // A request that may not be repeated, or that has a single upstream, can't be
         // rerouted.
-        let can_reroute = self.call.route.repeat != Repeat::Never && selection.path.is_some();
+        let can_reroute =
+            self.call.route.retry_policy != RetryPolicy::Never && selection.path.is_some();
         let mut timer = StallTimer::new(patience, can_reroute);
         let mut wait = timer.next_wait(Duration::ZERO).unwrap_or_default();
         loop {
@@ -122,7 +123,7 @@
         tracing::info!(
             event = event::REQUEST_REROUTED.id,
             attempt = self.call.attempt,
-            around = ?engines.iter().map(|e| key_address(*e)).collect::<Vec<_>>(),
+            around = ?engines.iter().map(|e| address_from_key(*e)).collect::<Vec<_>>(),
             cause,
             path = path.text,
             status = status.map(|s| s.as_u16()),
--- a/src/entry/select.rs
+++ b/src/entry/select.rs
@@ -14,8 +14,8 @@
 use crate::decide::quarantine::suspect_may_enter;
 use crate::decide::refusal::Reason;
 use crate::fingerprint::Fingerprint;
-use crate::roster::Range;
-use crate::sync::key_address;
+use crate::roster::LayerRange;
+use crate::sync::address_from_key;
 
 /// Restrictions on the upstreams of an attempt.
 #[derive(Clone, Copy)]
@@ -216,7 +216,7 @@
         };
         let hop = Hop {
             engine: 0,
-            range: Range::new(0, 1),
+            range: LayerRange::new(0, 1),
         };
         Ok(self.book(
             upstream.clone(),
@@ -321,6 +321,9 @@
 
 /// Encodes a booked path for engines.
 fn encode(booked: &[(u64, Hop)]) -> String {
-    let named: Vec<_> = booked.iter().map(|(k, h)| (key_address(*k), *h)).collect();
+    let named: Vec<_> = booked
+        .iter()
+        .map(|(k, h)| (address_from_key(*k), *h))
+        .collect();
     crate::platform::engine::encode_path(&named)
 }
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -16,7 +16,7 @@
 use super::head;
 use super::reroute::Stall;
 use crate::clock::{Time, millis};
-use crate::configuration::Repeat;
+use crate::configuration::RetryPolicy;
 use crate::decide::migration::Migration;
 use crate::decide::retry::{Failure, NextStep};
 use crate::decide::run_history::HARMLESS_EVENTS;
@@ -155,7 +155,7 @@
     }
 
     async fn read(&mut self) -> Received {
-        if self.run.call.route.repeat != Repeat::Never {
+        if self.run.call.route.retry_policy != RetryPolicy::Never {
             self.leave_withdrawn().await;
         }
         let left = self.run.left();
@@ -163,8 +163,8 @@
             return Received::Broken;
         }
         let route = &self.run.call.route;
-        let patience = match (route.repeat, self.run.events) {
-            (Repeat::Never, _) => left,
+        let patience = match (route.retry_policy, self.run.events) {
+            (RetryPolicy::Never, _) => left,
             (_, 0) => route.objective * FIRST_BYTE_FACTOR,
             _ => route.pause * STALL_FACTOR,
         };
@@ -218,7 +218,7 @@
             return false;
         }
         self.buffer.clear();
-        if self.run.call.route.repeat == Repeat::Never {
+        if self.run.call.route.retry_policy == RetryPolicy::Never {
             return false;
         }
         let first = self.opened.selection.upstream.key;
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -7,13 +7,14 @@
 
 use crate::clock::Time;
 use crate::collections::{HashMap, HashSet};
-use crate::configuration::Table;
+use crate::configuration::RoutingTable;
 use crate::decide::run_history::EngineStart;
 use crate::fingerprint::Fingerprint;
 use crate::platform::configuration;
-use crate::roster::Range;
+use crate::roster::LayerRange;
 use crate::sync::{
-    QuarantineRecord, RefusedRecord, RosterRecord, State, UpstreamRecord, key_address, unpack,
+    QuarantineRecord, QuarantinedRecord, RosterDelta, SyncReply, UpstreamRecord, address_from_key,
+    unpack,
 };
 
 /// An upstream as reported by the leader.
@@ -27,7 +28,7 @@
     pub(crate) domain: String,
     pub(crate) slots: u32,
     pub(crate) kind: Option<String>,
-    pub(crate) layers: Option<Range>,
+    pub(crate) layers: Option<LayerRange>,
     /// Whether its heartbeats are late.
     pub(crate) late: bool,
     /// Ratio of its processing time to the usual one, at least 1.
@@ -66,7 +67,7 @@
 #[derive(Clone)]
 pub(crate) struct View {
     /// `None` before the first configuration.
-    pub(crate) table: Option<Arc<Table>>,
+    pub(crate) table: Option<Arc<RoutingTable>>,
     pub(crate) services: Arc<Services>,
     /// Time until which keys may be used.
     pub(crate) lease_end: Time,
@@ -172,38 +173,38 @@
 
     /// Applies the response to a sync request that was sent at `sent`. Returns whether it
     /// could be used.
-    pub(crate) fn apply(&mut self, sent: Time, state: State, lease: Duration) -> bool {
+    pub(crate) fn apply(&mut self, sent: Time, reply: SyncReply, lease: Duration) -> bool {
         // A deposed leader that doesn't know it yet may respond late. Versions never decrease.
-        if state.version < self.version() || self.is_out_of_sequence(&state) {
+        if reply.version < self.version() || self.is_out_of_sequence(&reply) {
             return false;
         }
-        if let Some(body) = &state.body {
+        if let Some(body) = &reply.body {
             // An undecodable configuration comes from another release: the current one stays
             // until its lease runs out.
             let decoded = unpack(body).and_then(|b| configuration::decode(&b).ok());
             let Some(decoded) = decoded else {
                 return false;
             };
-            self.table = Some(Table::new(decoded));
+            self.table = Some(RoutingTable::new(decoded));
         }
-        if state.version != self.version() {
+        if reply.version != self.version() {
             return false;
         }
-        if let Some(record) = state.roster {
+        if let Some(record) = reply.roster {
             self.merge_roster(record);
         }
-        if state.counted {
-            self.counted = Some(state.entries.max(1));
+        if reply.entries_known {
+            self.counted = Some(reply.entries.max(1));
         }
-        let fingerprints = state.suspects.iter();
+        let fingerprints = reply.suspects.iter();
         let fingerprints = fingerprints.filter_map(|f| Fingerprint::try_from(&**f).ok());
         self.suspects = fingerprints.collect();
-        if let Some(record) = state.quarantine {
+        if let Some(record) = reply.quarantine {
             self.set_quarantine(sent, &record);
         }
         // The leader's confirmation was `age` old when the request arrived, which was after it
         // was sent.
-        let age = Duration::from_micros(state.age);
+        let age = Duration::from_micros(reply.age);
         let lease_end = (sent + lease) - age;
         self.lease_end = self.lease_end.max(lease_end);
         true
@@ -212,9 +213,9 @@
     /// Replaces the quarantine. Remaining times count from when the sync request was sent,
     /// so a quarantine may end slightly early, never late.
     fn set_quarantine(&mut self, sent: Time, record: &QuarantineRecord) {
-        let request = |r: &RefusedRecord| {
+        let request = |r: &QuarantinedRecord| {
             let fingerprint = Fingerprint::try_from(&*r.fingerprint).ok()?;
-            Some((fingerprint, sent + Duration::from_millis(r.left)))
+            Some((fingerprint, sent + Duration::from_millis(r.remaining_ms)))
         };
         self.quarantine = Arc::new(record.requests.iter().filter_map(request).collect());
         self.quarantine_checksum = record.checksum;
@@ -222,8 +223,8 @@
 
     /// Whether the roster comes from a deposed leader, or continues from another revision than
     /// this view has.
-    fn is_out_of_sequence(&self, state: &State) -> bool {
-        let Some(roster) = &state.roster else {
+    fn is_out_of_sequence(&self, reply: &SyncReply) -> bool {
+        let Some(roster) = &reply.roster else {
             return false;
         };
         let fits = roster.since == 0 || (roster.term, roster.since) == self.roster();
@@ -232,14 +233,14 @@
 
     /// Merges a part of the roster. Until the roster is complete, upstreams that the leader
     /// hasn't reported stay, unless they have departed.
-    fn merge_roster(&mut self, record: RosterRecord) {
+    fn merge_roster(&mut self, record: RosterDelta) {
         let mut services = Services::clone(&self.services);
         let mut unreported = HashSet::clone(&self.unreported);
         if record.since == 0 {
             let known = services.values().flatten();
             unreported = known.map(|u| u.id.clone()).collect();
         }
-        let mut dropped: HashSet<&str> = record.gone.iter().map(String::as_str).collect();
+        let mut dropped: HashSet<&str> = record.removed.iter().map(String::as_str).collect();
         dropped.extend(record.upstreams.iter().map(|u| u.id.as_str()));
         let departed = record.departed.iter().map(|d| (d.id.as_str(), d.born));
         let departed: HashMap<&str, u64> = departed.collect();
@@ -276,7 +277,7 @@
             id: record.id.as_str().into(),
             born: record.born,
             key: record.address,
-            address: key_address(record.address),
+            address: address_from_key(record.address),
             domain: record.domain.clone(),
             slots: record.slots,
             kind: record.kind.clone(),
