--- a/src/catalogue.rs
+++ b/src/catalogue.rs
@@ -7,7 +7,7 @@
 
 pub use change::{Change, Expect, Operation, Outcome};
 pub use entry::{Class, Entry, EntryKey, Kind, Limits, Organisation, Pool, Route, Target};
-pub use machine::Past;
-pub(crate) use machine::{Book, CatalogueMachine, Feed, Shared};
+pub use machine::PastChange;
+pub(crate) use machine::{CatalogueHandle, CatalogueMachine, CatalogueState, Feed};
 pub(crate) use view::digest;
-pub use view::{Catalogue, Listed, Record};
+pub use view::{Catalogue, Listing, Record};
--- a/src/catalogue/machine.rs
+++ b/src/catalogue/machine.rs
@@ -37,7 +37,7 @@
 
 /// A change of the past.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
+pub struct PastChange {
     /// The operator's id for the change.
     pub id: String,
     /// What became of it.
@@ -46,7 +46,7 @@
 
 /// The whole replicated state, in the form that a snapshot has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct State {
+struct SavedState {
     /// Log index of the last command applied. Never falls.
     index: u64,
     /// Log index of the last accepted change. Never falls.
@@ -58,7 +58,7 @@
 
 /// The catalogue's state machine without its publication.
 #[derive(Debug, Default)]
-pub(crate) struct Book {
+pub(crate) struct CatalogueState {
     index: u64,
     revision: u64,
     records: BTreeMap<EntryKey, Record>,
@@ -69,7 +69,7 @@
     dropped: u64,
 }
 
-impl Book {
+impl CatalogueState {
     /// Log index of the last command applied.
     pub(crate) fn index(&self) -> u64 {
         self.index
@@ -210,12 +210,12 @@
     }
 
     /// Ids and outcomes of the last `most` changes, newest last.
-    pub(crate) fn history(&self, most: usize) -> Vec<Past> {
+    pub(crate) fn history(&self, most: usize) -> Vec<PastChange> {
         let skip = self.settled.len().saturating_sub(most);
         self.settled
             .iter()
             .skip(skip)
-            .map(|s| Past {
+            .map(|s| PastChange {
                 id: s.id.clone(),
                 outcome: s.outcome.clone(),
             })
@@ -224,7 +224,7 @@
 
     /// The state as bytes.
     pub(crate) fn snapshot(&self) -> Vec<u8> {
-        let state = State {
+        let state = SavedState {
             index: self.index,
             revision: self.revision,
             records: self.records.values().cloned().collect(),
@@ -235,7 +235,7 @@
 
     /// The book that `snapshot` describes, or `None` when it can't be read.
     pub(crate) fn from_snapshot(snapshot: &[u8]) -> Option<Self> {
-        let state: State = serde_json::from_slice(snapshot).ok()?;
+        let state: SavedState = serde_json::from_slice(snapshot).ok()?;
         let positions = (0..).zip(&state.settled);
         Some(Self {
             index: state.index,
@@ -353,11 +353,11 @@
 
 /// The catalogue's state machine as a voter runs it.
 pub(crate) struct CatalogueMachine {
-    shared: Arc<Shared>,
+    shared: Arc<CatalogueHandle>,
 }
 
 /// The part of the machine that other threads read.
-pub(crate) struct Shared {
+pub(crate) struct CatalogueHandle {
     /// The catalogue as applied on this voter.
     catalogue: ArcSwap<Catalogue>,
     inner: std::sync::Mutex<Inner>,
@@ -365,7 +365,7 @@
 
 #[derive(Default)]
 struct Inner {
-    book: Book,
+    state: CatalogueState,
     /// Recent commands, oldest first, without a gap.
     recent: VecDeque<(u64, Vec<u8>)>,
     /// Index behind which `recent` is complete.
@@ -374,8 +374,8 @@
 
 impl CatalogueMachine {
     /// An empty machine and the handle to read it by.
-    pub(crate) fn new() -> (Self, Arc<Shared>) {
-        let shared = Arc::new(Shared {
+    pub(crate) fn new() -> (Self, Arc<CatalogueHandle>) {
+        let shared = Arc::new(CatalogueHandle {
             catalogue: ArcSwap::from_pointee(Catalogue::default()),
             inner: std::sync::Mutex::default(),
         });
@@ -392,36 +392,37 @@
     /// The reply is an [`Outcome`] in JSON.
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8> {
         let mut inner = self.shared.lock();
-        let before = inner.book.revision;
-        let outcome = inner.book.apply(index, command);
+        let before = inner.state.revision;
+        let outcome = inner.state.apply(index, command);
         inner.recent.push_back((index, command.to_vec()));
         if inner.recent.len() > KEPT_COMMANDS
             && let Some((oldest, _)) = inner.recent.pop_front()
         {
             inner.since = oldest;
         }
-        if inner.book.revision != before {
-            let catalogue = inner.book.catalogue();
+        if inner.state.revision != before {
+            let catalogue = inner.state.catalogue();
             self.shared.catalogue.store(Arc::new(catalogue));
         }
         serde_json::to_vec(&outcome).expect("an outcome holds only strings and numbers")
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        self.shared.lock().book.snapshot()
+        self.shared.lock().state.snapshot()
     }
 
     fn restore(&mut self, snapshot: &[u8]) {
-        let book = Book::from_snapshot(snapshot).expect("the store checked the snapshot's sum");
+        let state =
+            CatalogueState::from_snapshot(snapshot).expect("the store checked the snapshot's sum");
         let mut inner = self.shared.lock();
         inner.recent.clear();
-        inner.since = book.index();
-        self.shared.catalogue.store(Arc::new(book.catalogue()));
-        inner.book = book;
+        inner.since = state.index();
+        self.shared.catalogue.store(Arc::new(state.catalogue()));
+        inner.state = state;
     }
 }
 
-impl Shared {
+impl CatalogueHandle {
     fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
         self.inner.lock().expect("no thread panics with the book")
     }
@@ -436,7 +437,7 @@
     pub(crate) fn feed(&self, have: u64) -> Feed {
         let inner = self.lock();
         if have < inner.since {
-            return Feed::Snapshot(inner.book.snapshot());
+            return Feed::Snapshot(inner.state.snapshot());
         }
         let missing = inner.recent.iter().filter(|(index, _)| *index > have);
         Feed::Commands(missing.cloned().collect())
--- a/src/catalogue/view.rs
+++ b/src/catalogue/view.rs
@@ -21,7 +21,7 @@
 
 /// A listing of the catalogue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct Listing {
     /// Revision of the whole catalogue.
     pub revision: u64,
     /// All entries, by kind and name.
@@ -108,8 +108,8 @@
 
     /// The listing that operators see.
     #[must_use]
-    pub fn list(&self) -> Listed {
-        Listed {
+    pub fn list(&self) -> Listing {
+        Listing {
             revision: self.revision,
             records: self.records.values().cloned().collect(),
         }
--- a/src/client.rs
+++ b/src/client.rs
@@ -12,8 +12,8 @@
 use snafu::ResultExt;
 
 use crate::catalogue::{
-    Change, Entry, EntryKey, Expect, Kind, Listed, Operation, Organisation, Outcome, Past, Pool,
-    Record, Route, digest,
+    Change, Entry, EntryKey, Expect, Kind, Listing, Operation, Organisation, Outcome, PastChange,
+    Pool, Record, Route, digest,
 };
 use crate::dump;
 use crate::error::{
@@ -311,7 +311,7 @@
     if json {
         return print(out, &body);
     }
-    let listed: Listed = client.parse(&body)?;
+    let listed: Listing = client.parse(&body)?;
     print(out, &format!("revision {}", listed.revision))?;
     listed.records.iter().try_for_each(|r| print(out, &line(r)))
 }
@@ -347,7 +347,7 @@
     if json {
         return print(out, &body);
     }
-    let past: Vec<Past> = client.parse(&body)?;
+    let past: Vec<PastChange> = client.parse(&body)?;
     past.iter()
         .try_for_each(|p| print(out, &format!("{} {:?}", p.id, p.outcome)))
 }
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::catalogue::{Book, Past};
+use crate::catalogue::{CatalogueState, PastChange};
 use crate::clock::Time;
 use crate::id::InstanceId;
 use crate::lease::LeasedCatalogue;
@@ -29,7 +29,7 @@
 
 /// Applies the catalogue's commands and extends its lease. Does no I/O.
 pub(crate) struct CatalogueFollower {
-    book: Book,
+    book: CatalogueState,
     voters: Vec<InstanceId>,
     /// Position in `voters` of the one polled next.
     next: usize,
@@ -47,7 +47,7 @@
     ) -> Self {
         assert!(!voters.is_empty(), "the settings name at least one voter");
         Self {
-            book: Book::default(),
+            book: CatalogueState::default(),
             voters,
             next: 0,
             lease,
@@ -91,7 +91,7 @@
     }
 
     /// Returns the last changes, at most `most`, newest last.
-    pub(crate) fn history(&self, most: usize) -> Vec<Past> {
+    pub(crate) fn history(&self, most: usize) -> Vec<PastChange> {
         self.book.history(most)
     }
 
@@ -107,7 +107,7 @@
     /// Installs a snapshot, and returns whether it could be decoded. One older than
     /// the current state is skipped, since it would revert accepted changes.
     fn restore(&mut self, snapshot: &[u8]) -> bool {
-        let Some(book) = Book::from_snapshot(snapshot) else {
+        let Some(book) = CatalogueState::from_snapshot(snapshot) else {
             return false;
         };
         if book.index() > self.book.index() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -71,8 +71,8 @@
 
 pub use auth::FleetKey;
 pub use catalogue::{
-    Catalogue, Change as CatalogueChange, Class, Entry, EntryKey, Expect, Kind, Limits, Listed,
-    Operation, Organisation, Outcome as ChangeOutcome, Past, Pool, Record, Route, Target,
+    Catalogue, Change as CatalogueChange, Class, Entry, EntryKey, Expect, Kind, Limits, Listing,
+    Operation, Organisation, Outcome as ChangeOutcome, PastChange, Pool, Record, Route, Target,
 };
 pub use cli::command;
 pub use clock::{Clock, SystemClock, Time};
--- a/src/node.rs
+++ b/src/node.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 
 use crate::allocate::LeaderAllocator;
-use crate::catalogue::Shared;
+use crate::catalogue::CatalogueHandle;
 use crate::clock::Clock;
 use crate::confirm::ReadBatcher;
 use crate::id::InstanceId;
@@ -37,7 +37,7 @@
     /// The replicas of this instance.
     pub(crate) voter: Voter,
     /// The catalogue as applied here.
-    pub(crate) catalogue: Arc<Shared>,
+    pub(crate) catalogue: Arc<CatalogueHandle>,
     /// Confirms reads of the catalogue's group.
     pub(crate) read_batcher: ReadBatcher,
     /// Shares of the limits, while this instance leads.
--- a/src/poll.rs
+++ b/src/poll.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::{Instant, sleep, timeout_at};
 
-use crate::catalogue::Past;
+use crate::catalogue::PastChange;
 use crate::clock::Clock;
 use crate::follow::CatalogueFollower;
 use crate::message::{Answer, Ask, Follow, Request};
@@ -41,7 +41,7 @@
     }
 
     /// Returns the last changes, at most `most`, newest last.
-    pub(crate) fn history(&self, most: usize) -> Vec<Past> {
+    pub(crate) fn history(&self, most: usize) -> Vec<PastChange> {
         self.lock().history(most)
     }
 
--- a/src/tests/follow.rs
+++ b/src/tests/follow.rs
@@ -8,8 +8,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::catalogue::{
-    CatalogueMachine, Change, Class, Entry, EntryKey, Expect, Kind, Limits, Operation,
-    Organisation, Outcome, Pool, Route, Shared, Target, digest,
+    CatalogueHandle, CatalogueMachine, Change, Class, Entry, EntryKey, Expect, Kind, Limits,
+    Operation, Organisation, Outcome, Pool, Route, Target, digest,
 };
 use crate::clock::Time;
 use crate::follow::{CatalogueFollower, Poll};
@@ -54,7 +54,7 @@
 /// One voter that has applied the log up to index `applied`.
 struct Replica {
     machine: CatalogueMachine,
-    shared: Arc<Shared>,
+    shared: Arc<CatalogueHandle>,
     applied: usize,
 }
 
