--- a/src/claim.rs
+++ b/src/claim.rs
@@ -18,11 +18,11 @@
 mod ticker;
 mod usage;
 
-pub(crate) use lease::{ClaimLease, START};
+pub(crate) use lease::{ClaimLease, DISPATCH_WINDOW};
 pub(crate) use machine::{Bounds, Claims};
 pub(crate) use message::{
-    Action, Answered, Claim, Expire, Kept, MAX_KEPT, MAX_KEY, Outcome, Purpose, Release, Reply,
-    Settle, Ticked, Token,
+    Action, Answered, Claim, ClaimToken, Expire, MAX_KEY, MAX_STORED_ANSWER, Outcome, Purpose,
+    Release, Reply, Settle, StoredAnswer, Ticked,
 };
 #[cfg(test)]
 pub(crate) use message::{Full, Granted, InProgress};
--- a/src/claim/lease.rs
+++ b/src/claim/lease.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use crate::claim::Token;
+use crate::claim::ClaimToken;
 use crate::clock::Time;
 
 /// Time after a claim in which its holder may send the first byte, as the
 /// register counts it.
-pub(crate) const START: Duration = Duration::from_secs(2);
+pub(crate) const DISPATCH_WINDOW: Duration = Duration::from_secs(2);
 
-/// Part of [`START`] that the holder leaves unused, so that its clock may run
+/// Part of [`DISPATCH_WINDOW`] that the holder leaves unused, so that its clock may run
 /// slower than the register's by this much, a tenth, and no dispatch comes
 /// after the register calls the outcome unknown.
 const MARGIN: Duration = Duration::from_millis(200);
@@ -25,7 +25,7 @@
 /// only after it applied the claim, so later, and ends later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClaimLease {
-    token: Token,
+    token: ClaimToken,
     /// End of the right to dispatch.
     end: Time,
     /// Time up to which the register surely remembers the claim.
@@ -35,18 +35,18 @@
 impl ClaimLease {
     /// The lease of a claim by `token` that is sent for the first time at `now`
     /// to a register with this `retention`.
-    pub(crate) fn new(token: Token, now: Time, retention: Duration) -> Self {
-        let share = START.as_millis() / MARGIN.as_millis();
+    pub(crate) fn new(token: ClaimToken, now: Time, retention: Duration) -> Self {
+        let share = DISPATCH_WINDOW.as_millis() / MARGIN.as_millis();
         let drift = retention / u32::try_from(share).unwrap_or(1);
         Self {
             token,
-            end: now + (START - MARGIN),
+            end: now + (DISPATCH_WINDOW - MARGIN),
             known: now + (retention - drift),
         }
     }
 
     /// The sending that holds the claim.
-    pub(crate) fn token(&self) -> Token {
+    pub(crate) fn token(&self) -> ClaimToken {
         self.token
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Whether the claim should be renewed before dispatch.
-    pub(crate) fn short(&self, now: Time) -> bool {
+    pub(crate) fn needs_renewal(&self, now: Time) -> bool {
         now + RENEW >= self.end
     }
 
@@ -65,7 +65,7 @@
     /// Guards against an instance that froze between claim and dispatch. A
     /// later sending was told that the outcome is unknown, and a person may
     /// have acted on it; a dispatch now would show as a second letter. It holds
-    /// as the register says "unknown" only after [`START`], and forgets the
+    /// as the register says "unknown" only after [`DISPATCH_WINDOW`], and forgets the
     /// claim later still.
     pub(crate) fn valid(&self, now: Time) -> bool {
         now < self.end
--- a/src/claim/machine.rs
+++ b/src/claim/machine.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::claim::message::{
-    Action, Claim, Expire, Full, Granted, Kept, MAX_KEPT, MAX_KEY, Outcome, Purpose, Release,
-    Reply, Settle, Ticked, Token,
+    Action, Claim, ClaimToken, Expire, Full, Granted, MAX_KEY, MAX_STORED_ANSWER, Outcome, Purpose,
+    Release, Reply, Settle, StoredAnswer, Ticked,
 };
 use crate::claim::record::{
     DIGEST_LEN, FRESH, Id, LONGEST_STEP, Pending, RECORD_LEN, Record, State, head, id,
@@ -144,17 +144,17 @@
         }
     }
 
-    fn grant(&mut self, index: u64, id: Id, claim: &Claim, token: Token) -> Reply {
+    fn grant(&mut self, index: u64, id: Id, claim: &Claim, token: ClaimToken) -> Reply {
         let organisation = OrganisationId::from(claim.organisation.as_str());
         if !self.make_room(&organisation) {
-            let pause = self.pause(&organisation);
-            return Reply::Full(Full { pause });
+            let retry_after_ms = self.retry_after_ms(&organisation);
+            return Reply::Full(Full { retry_after_ms });
         }
         let pending = Pending {
             token,
-            start: claim.start,
-            ttl: claim.ttl.min(self.longest_wait()),
-            told: false,
+            dispatch_ms: claim.dispatch_ms,
+            ttl_ms: claim.ttl_ms.min(self.longest_wait()),
+            reported_unknown: false,
         };
         let record = Record {
             organisation: self.usage.name(organisation),
@@ -171,14 +171,14 @@
     /// its claim lets it dispatch. A proposal that arrives twice gives the holder
     /// more time than it takes.
     fn renew(&mut self, index: u64, id: Id, claim: &Claim) -> Reply {
-        let ttl = claim.ttl.min(self.longest_wait());
+        let ttl_ms = claim.ttl_ms.min(self.longest_wait());
         let record = self.records.get_mut(&id);
         let Some(record) = record.filter(|record| record.held(claim.token)) else {
             return Reply::Stale(());
         };
         let token = claim.token;
         match &mut record.state {
-            State::Pending(held) if !held.told => held.ttl = ttl,
+            State::Pending(held) if !held.reported_unknown => held.ttl_ms = ttl_ms,
             _ => return Reply::Stale(()),
         }
         record.index = index;
@@ -217,9 +217,9 @@
             return Reply::Stale(());
         };
         let state = match settle.outcome {
-            Some(Outcome::Kept(kept)) => self.keep(record, kept),
-            Some(Outcome::NotKept(())) => State::NotKept,
-            Some(Outcome::Unrun(())) => State::Unrun,
+            Some(Outcome::Stored(answer)) => self.store(record, answer),
+            Some(Outcome::NotStored(())) => State::NotStored,
+            Some(Outcome::NotRun(())) => State::NotRun,
             Some(Outcome::Unknown(())) | None => State::Unknown,
         };
         self.replace(id, state);
@@ -227,15 +227,15 @@
     }
 
     /// The answer, or only the fact that there was one if there is no room.
-    fn keep(&self, record: &Record, kept: Kept) -> State {
-        let len = kept.body.len() + kept.kind.len();
+    fn store(&self, record: &Record, answer: StoredAnswer) -> State {
+        let len = answer.body.len() + answer.content_type.len();
         let fits = self
             .usage
-            .keeps(&self.bounds, &record.organisation, len as u64);
-        if len <= MAX_KEPT && fits {
-            State::Kept(Box::new(kept))
+            .fits_answer(&self.bounds, &record.organisation, len as u64);
+        if len <= MAX_STORED_ANSWER && fits {
+            State::Stored(Box::new(answer))
         } else {
-            State::NotKept
+            State::NotStored
         }
     }
 
@@ -256,8 +256,8 @@
             return Reply::Stale(());
         };
         // Someone may have acted on "unknown, never run again": it stays true.
-        if matches!(&record.state, State::Pending(pending) if pending.told) {
-            self.replace(id, State::Unrun);
+        if matches!(&record.state, State::Pending(pending) if pending.reported_unknown) {
+            self.replace(id, State::NotRun);
         } else {
             self.remove(id);
         }
@@ -345,7 +345,7 @@
     }
 
     /// Milliseconds until the organisation's oldest claim makes room.
-    fn pause(&mut self, organisation: &OrganisationId) -> u64 {
+    fn retry_after_ms(&mut self, organisation: &OrganisationId) -> u64 {
         match self.oldest(organisation) {
             Some((_, id)) => self.retention().saturating_sub(self.age(id)),
             None => FULL_PAUSE,
--- a/src/claim/message.rs
+++ b/src/claim/message.rs
@@ -10,11 +10,11 @@
 
 /// Largest answer that is kept with a claim, in bytes. Of a longer one only
 /// the fact is kept that it was given.
-pub(crate) const MAX_KEPT: usize = 16 * 1024;
+pub(crate) const MAX_STORED_ANSWER: usize = 16 * 1024;
 
 /// One sending of a request: its number, which is unique in the fleet.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub(crate) struct Token {
+pub(crate) struct ClaimToken {
     /// The holder.
     #[prost(uint64, tag = "1")]
     pub(crate) holder: u64,
@@ -26,14 +26,14 @@
     pub(crate) sequence: u64,
 }
 
-impl Token {
+impl ClaimToken {
     /// The instance that holds the claim.
     pub(crate) fn instance(&self) -> InstanceId {
         InstanceId(self.holder)
     }
 }
 
-impl From<RequestId> for Token {
+impl From<RequestId> for ClaimToken {
     fn from(id: RequestId) -> Self {
         Self {
             holder: id.instance.0,
@@ -57,13 +57,13 @@
     pub(crate) digest: Vec<u8>,
     /// The sending that asks.
     #[prost(message, optional, tag = "4")]
-    pub(crate) token: Option<Token>,
+    pub(crate) token: Option<ClaimToken>,
     /// Time within which the first byte may leave, in milliseconds.
     #[prost(uint32, tag = "5")]
-    pub(crate) start: u32,
+    pub(crate) dispatch_ms: u32,
     /// Time within which the outcome is awaited, in milliseconds.
     #[prost(uint32, tag = "6")]
-    pub(crate) ttl: u32,
+    pub(crate) ttl_ms: u32,
     /// What the claim is sent for.
     #[prost(enumeration = "Purpose", tag = "7")]
     pub(crate) purpose: i32,
@@ -77,7 +77,7 @@
     /// The same, by an asker that was told [`InProgress`] and believes that the
     /// holder is down. It is told that the outcome is unknown as soon as the
     /// holder can't dispatch any more.
-    Doubt = 1,
+    HolderDown = 1,
     /// By the holder, to begin anew before it dispatches. That fails with
     /// [`Reply::Stale`] once someone was told that the outcome is unknown, or
     /// when the claim is forgotten.
@@ -86,14 +86,14 @@
 
 /// An answer that is kept for later sendings with the same key.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub(crate) struct Kept {
+pub(crate) struct StoredAnswer {
     /// HTTP status.
     #[prost(uint32, tag = "1")]
     pub(crate) status: u32,
     /// Content type.
     #[prost(string, tag = "2")]
-    pub(crate) kind: String,
-    /// Body, at most [`MAX_KEPT`] bytes.
+    pub(crate) content_type: String,
+    /// Body, at most [`MAX_STORED_ANSWER`] bytes.
     #[prost(bytes = "vec", tag = "3")]
     pub(crate) body: Vec<u8>,
 }
@@ -101,15 +101,15 @@
 /// Content type of a kept text, before the number of its tokens.
 const TEXT: &str = "text/plain; tokens=";
 
-impl Kept {
+impl StoredAnswer {
     /// Content type of a text of `count` tokens.
-    pub(crate) fn text(count: usize) -> String {
+    pub(crate) fn media_type(count: usize) -> String {
         format!("{TEXT}{count}")
     }
 
     /// Tokens of a kept text; nothing for the answer of a plain service.
     pub(crate) fn tokens(&self) -> Option<u32> {
-        self.kind.strip_prefix(TEXT)?.parse().ok()
+        self.content_type.strip_prefix(TEXT)?.parse().ok()
     }
 }
 
@@ -118,16 +118,16 @@
 pub(crate) enum Outcome {
     /// It was answered, and this is the answer.
     #[prost(message, tag = "13")]
-    Kept(Kept),
+    Stored(StoredAnswer),
     /// It was answered; the answer isn't kept.
     #[prost(message, tag = "14")]
-    NotKept(()),
+    NotStored(()),
     /// The holder can't tell whether it ran.
     #[prost(message, tag = "15")]
     Unknown(()),
     /// No byte left, and none will.
     #[prost(message, tag = "16")]
-    Unrun(()),
+    NotRun(()),
 }
 
 /// Records how a claimed request ended.
@@ -144,13 +144,13 @@
     pub(crate) outcome: Option<Outcome>,
     /// The sending that holds the claim.
     #[prost(message, optional, tag = "3")]
-    pub(crate) token: Option<Token>,
+    pub(crate) token: Option<ClaimToken>,
 }
 
 /// Gives a claim back. Only for a holder that knows no byte left.
 ///
 /// The key is free again, unless someone was told that the outcome may be
-/// unknown and never run again. Then it stays so: see [`Reply::Unrun`].
+/// unknown and never run again. Then it stays so: see [`Reply::NotRun`].
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Release {
     /// The claim's organisation.
@@ -161,7 +161,7 @@
     pub(crate) key: String,
     /// The sending that holds the claim.
     #[prost(message, optional, tag = "3")]
-    pub(crate) token: Option<Token>,
+    pub(crate) token: Option<ClaimToken>,
 }
 
 /// Moves the register's time on and forgets claims whose retention ended.
@@ -214,7 +214,7 @@
 pub(crate) struct Granted {
     /// The sending that may run.
     #[prost(message, optional, tag = "1")]
-    pub(crate) token: Option<Token>,
+    pub(crate) token: Option<ClaimToken>,
 }
 
 /// Another sending holds the claim and its outcome is awaited.
@@ -222,13 +222,13 @@
 pub(crate) struct InProgress {
     /// The sending that holds it.
     #[prost(message, optional, tag = "1")]
-    pub(crate) holder: Option<Token>,
+    pub(crate) holder: Option<ClaimToken>,
     /// Age of the claim in milliseconds, rounded down to the last tick.
     #[prost(uint64, tag = "2")]
     pub(crate) age: u64,
     /// Whether the holder may still send the first byte.
     #[prost(bool, tag = "3")]
-    pub(crate) starting: bool,
+    pub(crate) may_dispatch: bool,
 }
 
 /// The organisation's share of the register is used up.
@@ -236,7 +236,7 @@
 pub(crate) struct Full {
     /// Time to the end of the oldest claim's retention, in milliseconds.
     #[prost(uint64, tag = "1")]
-    pub(crate) pause: u64,
+    pub(crate) retry_after_ms: u64,
 }
 
 /// Reply to [`Expire`], whether it was applied or not.
@@ -252,7 +252,7 @@
 pub(crate) struct Answered {
     /// The answer, if it was kept.
     #[prost(message, optional, tag = "1")]
-    pub(crate) kept: Option<Kept>,
+    pub(crate) answer: Option<StoredAnswer>,
 }
 
 /// Reply of the register.
@@ -288,7 +288,7 @@
     Ticked(Ticked),
     /// It was never run and never will be under this key.
     #[prost(message, tag = "11")]
-    Unrun(()),
+    NotRun(()),
     /// The command can't be read or breaks a bound.
     #[prost(message, tag = "10")]
     Malformed(()),
--- a/src/claim/record.rs
+++ b/src/claim/record.rs
@@ -2,7 +2,9 @@
 
 use sha2::{Digest, Sha256};
 
-use crate::claim::message::{Answered, Claim, Granted, InProgress, Kept, Purpose, Reply, Token};
+use crate::claim::message::{
+    Answered, Claim, ClaimToken, Granted, InProgress, Purpose, Reply, StoredAnswer,
+};
 use crate::id::OrganisationId;
 
 /// Most that one [`Expire`](crate::claim::Expire) moves the register's time, in
@@ -66,13 +68,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Pending {
     /// The sending that holds it.
-    pub(super) token: Token,
+    pub(super) token: ClaimToken,
     /// As in [`Claim`](crate::claim::Claim), in milliseconds.
-    pub(super) start: u32,
+    pub(super) dispatch_ms: u32,
     /// As in [`Claim`](crate::claim::Claim), in milliseconds.
-    pub(super) ttl: u32,
+    pub(super) ttl_ms: u32,
     /// Whether a later sending was told that the outcome may be unknown.
-    pub(super) told: bool,
+    pub(super) reported_unknown: bool,
 }
 
 /// What is known of the outcome. Boxed where it is large: most claims that a
@@ -82,13 +84,13 @@
     /// The outcome is awaited.
     Pending(Box<Pending>),
     /// It was answered so.
-    Kept(Box<Kept>),
+    Stored(Box<StoredAnswer>),
     /// It was answered.
-    NotKept,
+    NotStored,
     /// The holder itself can't tell.
     Unknown,
     /// It didn't run; the key stays used.
-    Unrun,
+    NotRun,
 }
 
 /// One claim.
@@ -116,15 +118,15 @@
 
     /// Bytes that it is counted with.
     pub(super) fn cost(&self) -> u64 {
-        let kept = match &self.state {
-            State::Kept(kept) => kept.body.len() + kept.kind.len(),
+        let answer_len = match &self.state {
+            State::Stored(answer) => answer.body.len() + answer.content_type.len(),
             _ => 0,
         };
-        RECORD_LEN + kept as u64
+        RECORD_LEN + answer_len as u64
     }
 
     /// Whether `token` holds it and its outcome is awaited.
-    pub(super) fn held(&self, token: Option<Token>) -> bool {
+    pub(super) fn held(&self, token: Option<ClaimToken>) -> bool {
         matches!(&self.state, State::Pending(pending) if Some(pending.token) == token)
     }
 
@@ -133,14 +135,14 @@
     pub(super) fn found(
         &mut self,
         claim: &Claim,
-        token: Token,
+        token: ClaimToken,
         time: u64,
         retention: u64,
     ) -> Reply {
         // What is said of a claim that is about to be forgotten must stay true
         // until the caller reads it, although the key may be free and run by then.
         let age = self.age(time);
-        let ending = age + u64::from(claim.start) + LONGEST_STEP >= retention;
+        let ending = age + u64::from(claim.dispatch_ms) + LONGEST_STEP >= retention;
         if self.digest != head(&claim.digest) {
             return if ending {
                 Reply::Unknown(())
@@ -149,14 +151,14 @@
             };
         }
         match &mut self.state {
-            State::Kept(kept) => {
-                let kept = Some(Kept::clone(kept));
-                Reply::Answered(Answered { kept })
+            State::Stored(answer) => {
+                let answer = Some(StoredAnswer::clone(answer));
+                Reply::Answered(Answered { answer })
             }
-            State::NotKept => Reply::Answered(Answered { kept: None }),
+            State::NotStored => Reply::Answered(Answered { answer: None }),
             State::Unknown => Reply::Unknown(()),
-            State::Unrun if ending => Reply::Unknown(()),
-            State::Unrun => Reply::Unrun(()),
+            State::NotRun if ending => Reply::Unknown(()),
+            State::NotRun => Reply::NotRun(()),
             // The proposal arrived twice; the holder still dispatches once.
             State::Pending(held) if held.token == token => {
                 Reply::Granted(Granted { token: Some(token) })
@@ -166,19 +168,19 @@
     }
 }
 
-fn pending(held: &mut Pending, claim: &Claim, token: Token, age: u64) -> Reply {
+fn pending(held: &mut Pending, claim: &Claim, token: ClaimToken, age: u64) -> Reply {
     let holder = held.token;
     // A holder that started again has lost what it ran.
     let restarted = holder.holder == token.holder && holder.incarnation < token.incarnation;
-    let starting = age < u64::from(held.start) && !restarted;
-    let doubted = claim.purpose() == Purpose::Doubt && !starting;
-    if restarted || doubted || age >= u64::from(held.ttl) {
-        held.told = true;
+    let may_dispatch = age < u64::from(held.dispatch_ms) && !restarted;
+    let doubted = claim.purpose() == Purpose::HolderDown && !may_dispatch;
+    if restarted || doubted || age >= u64::from(held.ttl_ms) {
+        held.reported_unknown = true;
         return Reply::Unknown(());
     }
     Reply::InProgress(InProgress {
         holder: Some(holder),
         age,
-        starting,
+        may_dispatch,
     })
 }
--- a/src/claim/snapshot.rs
+++ b/src/claim/snapshot.rs
@@ -7,7 +7,7 @@
 use prost::Message;
 
 use crate::claim::machine::Claims;
-use crate::claim::message::{Command, Kept, Outcome, Reply, Token};
+use crate::claim::message::{ClaimToken, Command, Outcome, Reply, StoredAnswer};
 use crate::claim::record::{DIGEST_LEN, FRESH, Id, Pending, Record, State};
 use crate::collections::HashMap;
 use crate::id::OrganisationId;
@@ -42,17 +42,17 @@
     #[prost(message, required, tag = "3")]
     digest: Pair,
     #[prost(message, optional, tag = "4")]
-    token: Option<Token>,
+    token: Option<ClaimToken>,
     #[prost(uint64, tag = "5")]
     index: u64,
     #[prost(uint64, optional, tag = "6")]
     since: Option<u64>,
     #[prost(uint32, tag = "7")]
-    start: u32,
+    dispatch_ms: u32,
     #[prost(uint32, tag = "8")]
-    ttl: u32,
+    ttl_ms: u32,
     #[prost(bool, tag = "9")]
-    told: bool,
+    reported_unknown: bool,
     /// Absent while the outcome is awaited.
     #[prost(oneof = "Outcome", tags = "13, 14, 15, 16")]
     outcome: Option<Outcome>,
@@ -90,15 +90,15 @@
     saved.outcome = match &record.state {
         State::Pending(pending) => {
             saved.token = Some(pending.token);
-            saved.start = pending.start;
-            saved.ttl = pending.ttl;
-            saved.told = pending.told;
+            saved.dispatch_ms = pending.dispatch_ms;
+            saved.ttl_ms = pending.ttl_ms;
+            saved.reported_unknown = pending.reported_unknown;
             None
         }
-        State::Kept(kept) => Some(Outcome::Kept(Kept::clone(kept))),
-        State::NotKept => Some(Outcome::NotKept(())),
+        State::Stored(answer) => Some(Outcome::Stored(StoredAnswer::clone(answer))),
+        State::NotStored => Some(Outcome::NotStored(())),
         State::Unknown => Some(Outcome::Unknown(())),
-        State::Unrun => Some(Outcome::Unrun(())),
+        State::NotRun => Some(Outcome::NotRun(())),
     };
     saved
 }
@@ -107,14 +107,14 @@
     let state = match saved.outcome {
         None => State::Pending(Box::new(Pending {
             token: saved.token.unwrap_or_default(),
-            start: saved.start,
-            ttl: saved.ttl,
-            told: saved.told,
+            dispatch_ms: saved.dispatch_ms,
+            ttl_ms: saved.ttl_ms,
+            reported_unknown: saved.reported_unknown,
         })),
-        Some(Outcome::Kept(kept)) => State::Kept(Box::new(kept)),
-        Some(Outcome::NotKept(())) => State::NotKept,
+        Some(Outcome::Stored(answer)) => State::Stored(Box::new(answer)),
+        Some(Outcome::NotStored(())) => State::NotStored,
         Some(Outcome::Unknown(())) => State::Unknown,
-        Some(Outcome::Unrun(())) => State::Unrun,
+        Some(Outcome::NotRun(())) => State::NotRun,
     };
     Record {
         organisation,
--- a/src/claim/ticker.rs
+++ b/src/claim/ticker.rs
@@ -47,7 +47,7 @@
     }
 
     /// Takes the reply to a proposal, received at `now`.
-    pub(crate) fn heard(&mut self, now: Time, ticked: Ticked) {
+    pub(crate) fn on_reply(&mut self, now: Time, ticked: Ticked) {
         if self.seen.is_none_or(|(index, _)| ticked.index > index) {
             self.seen = Some((ticked.index, now));
         }
--- a/src/claim/usage.rs
+++ b/src/claim/usage.rs
@@ -58,7 +58,12 @@
 
     /// Whether `organisation` may keep an answer of `len` bytes. Answers leave
     /// half of the room to claims, which matter more.
-    pub(super) fn keeps(&self, bounds: &Bounds, organisation: &OrganisationId, len: u64) -> bool {
+    pub(super) fn fits_answer(
+        &self,
+        bounds: &Bounds,
+        organisation: &OrganisationId,
+        len: u64,
+    ) -> bool {
         let used = self.tenants.get(organisation).map_or(0, |t| t.used);
         let after = used + len;
         let shared = after <= bounds.share / 2 && self.beyond + len <= bounds.shared / 2;
--- a/src/periodic.rs
+++ b/src/periodic.rs
@@ -61,7 +61,7 @@
         let Some(action) = action else { continue };
         let reply = claims.propose(action.into_bytes().into(), CLAIM_TICK).await;
         if let Some(Reply::Ticked(ticked)) = reply.ok().and_then(|r| Reply::from_bytes(&r)) {
-            ticker.heard(clock.now(), ticked);
+            ticker.on_reply(clock.now(), ticked);
         }
     }
 }
--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::claim::Kept;
+use crate::claim::StoredAnswer;
 use crate::request::life::DEFAULT_PAUSE;
 use crate::request::{FailureCode, Ran, RefusalCode};
 
@@ -49,7 +49,7 @@
         count: u32,
     },
     /// An earlier sending with the same key was answered; this is its answer.
-    Kept(Kept),
+    Stored(StoredAnswer),
     /// Refused before the first byte.
     Refused(Refusal),
     /// Failed after the first byte may have left.
@@ -70,7 +70,7 @@
     pub(crate) fn code(&self) -> &'static str {
         match self {
             Self::Complete { .. } => "complete",
-            Self::Kept(_) => "kept",
+            Self::Stored(_) => "kept",
             Self::Refused(refusal) => refusal.code.as_str(),
             Self::Failed(failure) => failure.code.as_str(),
         }
@@ -79,7 +79,7 @@
     /// Whether the request ran.
     pub(crate) fn ran(&self) -> Ran {
         match self {
-            Self::Complete { .. } | Self::Kept(_) => Ran::Yes,
+            Self::Complete { .. } | Self::Stored(_) => Ran::Yes,
             Self::Refused(refusal) => refusal.ran,
             Self::Failed(failure) => failure.code.ran(),
         }
@@ -89,7 +89,7 @@
     pub(crate) fn status(&self) -> u16 {
         match self {
             Self::Complete { .. } => 200,
-            Self::Kept(kept) => u16::try_from(kept.status).unwrap_or(200),
+            Self::Stored(answer) => u16::try_from(answer.status).unwrap_or(200),
             Self::Refused(refusal) => refusal.code.status(),
             Self::Failed(failure) => failure.code.status(),
         }
@@ -98,7 +98,7 @@
     /// Pause before sending again, where that can help.
     pub(crate) fn retry(&self) -> Option<Duration> {
         match self {
-            Self::Complete { .. } | Self::Kept(_) => None,
+            Self::Complete { .. } | Self::Stored(_) => None,
             Self::Refused(refusal) => refusal.retry,
             Self::Failed(failure) => failure.retry,
         }
@@ -109,7 +109,7 @@
     pub(crate) fn message(&self) -> &'static str {
         match self {
             Self::Complete { .. } => "complete",
-            Self::Kept(_) => "the answer of the earlier sending with the same key",
+            Self::Stored(_) => "the answer of the earlier sending with the same key",
             Self::Refused(refusal) => refusal.code.message(),
             Self::Failed(failure) => failure.code.message(),
         }
--- a/src/request/event.rs
+++ b/src/request/event.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use crate::claim::{ClaimLease, Outcome, Token};
+use crate::claim::{ClaimLease, ClaimToken, Outcome};
 use crate::clock::Time;
 use crate::id::UpstreamId;
 use crate::request::{Answer, Frame, Hop, RequestId};
@@ -187,12 +187,12 @@
     /// Release the claim: no byte left.
     Release {
         /// The claim's holder.
-        token: Token,
+        token: ClaimToken,
     },
     /// Settle the claim.
     Settle {
         /// The claim's holder.
-        token: Token,
+        token: ClaimToken,
         /// What is known.
         outcome: Outcome,
     },
--- a/src/request/generation.rs
+++ b/src/request/generation.rs
@@ -8,7 +8,7 @@
 use crate::id::UpstreamId;
 use crate::request::attempt::{Attempt, Verdict};
 use crate::request::event::{Bounds, Cause, Effect, Event, Report, Unopened};
-use crate::request::life::{Claimed, DEFAULT_PAUSE, Life, Unrun};
+use crate::request::life::{Claimed, DEFAULT_PAUSE, Life, NotRun};
 use crate::request::stage::Stage;
 use crate::request::{FailureCode, Frame, Hop, RefusalCode, RequestId, covers};
 
@@ -276,7 +276,7 @@
         let head = self.head();
         self.report(Report::Busy, out);
         if unrun {
-            self.stage = self.take().unrun(Unrun::busy());
+            self.stage = self.take().unrun(NotRun::busy());
             self.requeue(out);
         } else {
             self.excluded.extend(head);
@@ -319,7 +319,7 @@
         self.report(Report::Broken { cause, suspect }, out);
         out.push(Effect::Cancel { attempt });
         self.stage = match cause {
-            Cause::Refused if !self.flowing => self.take().unrun(Unrun::refused()),
+            Cause::Refused if !self.flowing => self.take().unrun(NotRun::refused()),
             _ => self.take().answering(),
         };
         self.retry(RefusalCode::NoUpstream, out);
--- a/src/request/life.rs
+++ b/src/request/life.rs
@@ -4,7 +4,7 @@
 //!
 //! Only the first three states have `refuse`, the only source of a
 //! [`Refusal`] and so of "not run". From [`Dispatched`] a way back leads only
-//! over [`Unrun`], the proof that the upstream ran nothing; from [`Answering`]
+//! over [`NotRun`], the proof that the upstream ran nothing; from [`Answering`]
 //! there is none. The permit moves through the states and is given back by its
 //! `Drop`, so exactly once, wherever the life ends.
 
@@ -66,9 +66,9 @@
 
 /// Proof that an upstream ran nothing of an attempt.
 #[derive(Debug)]
-pub(crate) struct Unrun(());
+pub(crate) struct NotRun(());
 
-impl Unrun {
+impl NotRun {
     /// The connection was refused: no byte reached a process.
     pub(crate) fn refused() -> Self {
         Self(())
@@ -172,13 +172,15 @@
             }
             Reply::InProgress(_) => failed(FailureCode::InProgress, Some(DEFAULT_PAUSE)),
             Reply::Unknown(()) => failed(FailureCode::OutcomeUnknown, None),
-            Reply::Answered(Answered { kept: Some(kept) }) => Answer::Kept(kept),
+            Reply::Answered(Answered {
+                answer: Some(stored),
+            }) => Answer::Stored(stored),
             Reply::Answered(_) => failed(FailureCode::AnswerNotKept, None),
             // A late reply may be outdated: the key may have been used since.
             Reply::Mismatch(()) if lease.valid(now) => not_run(RefusalCode::KeyMismatch),
-            Reply::Unrun(()) if lease.valid(now) => not_run(RefusalCode::KeyRetired),
+            Reply::NotRun(()) if lease.valid(now) => not_run(RefusalCode::KeyRetired),
             Reply::Full(full) => {
-                let pause = Duration::from_millis(full.pause);
+                let pause = Duration::from_millis(full.retry_after_ms);
                 self.refuse_unclaimed(RefusalCode::ClaimsFull, Some(pause))
             }
             _ => self.refuse_unclaimed(RefusalCode::ClaimUnavailable, Some(DEFAULT_PAUSE)),
@@ -247,7 +249,7 @@
     }
 
     /// Back to the state before dispatch, on proof that nothing ran.
-    pub(crate) fn unrun(self, _proof: Unrun) -> Life<Claimed<P>> {
+    pub(crate) fn unrun(self, _proof: NotRun) -> Life<Claimed<P>> {
         self.map(|Dispatched { permit, lease }| Claimed { permit, lease })
     }
 
--- a/src/request/stage.rs
+++ b/src/request/stage.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use crate::claim::{ClaimLease, Kept, MAX_KEPT, Outcome};
+use crate::claim::{ClaimLease, MAX_STORED_ANSWER, Outcome, StoredAnswer};
 use crate::clock::Time;
 use crate::request::event::Effect;
-use crate::request::life::{Answering, Claimed, Dispatched, Life, Unrun};
+use crate::request::life::{Answering, Claimed, Dispatched, Life, NotRun};
 use crate::request::{FailureCode, RefusalCode};
 
 /// The life of a request in one of the states that a generation knows.
@@ -52,7 +52,7 @@
     }
 
     /// An attempt ended with proof that it ran nothing.
-    pub(super) fn unrun(self, proof: Unrun) -> Self {
+    pub(super) fn unrun(self, proof: NotRun) -> Self {
         match self {
             Self::Sent(life) => Self::Ready(life.unrun(proof)),
             stage => stage,
@@ -90,7 +90,7 @@
             return;
         };
         if let Some(token) = life.lease().map(ClaimLease::token) {
-            let outcome = kept(texts);
+            let outcome = stored(texts);
             out.push(Effect::Settle { token, outcome });
         }
         let count = u32::try_from(texts.len()).unwrap_or(u32::MAX);
@@ -98,14 +98,14 @@
     }
 }
 
-fn kept(texts: &[String]) -> Outcome {
+fn stored(texts: &[String]) -> Outcome {
     let body = texts.concat().into_bytes();
-    if body.len() > MAX_KEPT {
-        return Outcome::NotKept(());
+    if body.len() > MAX_STORED_ANSWER {
+        return Outcome::NotStored(());
     }
-    Outcome::Kept(Kept {
+    Outcome::Stored(StoredAnswer {
         status: 200,
-        kind: Kept::text(texts.len()),
+        content_type: StoredAnswer::media_type(texts.len()),
         body,
     })
 }
--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -202,7 +202,7 @@
         let code = answer.code();
         metrics::counter!("requests_total", "code" => code).increment(1);
         match answer {
-            Answer::Complete { .. } | Answer::Kept(_) => {}
+            Answer::Complete { .. } | Answer::Stored(_) => {}
             Answer::Refused(_) => {
                 tracing::info!(event = event::REQUEST_REFUSED.id, %id, code, "request refused");
             }
--- a/src/serve/claims.rs
+++ b/src/serve/claims.rs
@@ -7,8 +7,8 @@
 
 use super::{Held, Serving};
 use crate::claim::{
-    Action, Bounds, Claim, ClaimLease, Outcome, Purpose, Release, Reply, START, Settle, Token,
-    shard,
+    Action, Bounds, Claim, ClaimLease, ClaimToken, DISPATCH_WINDOW, Outcome, Purpose, Release,
+    Reply, Settle, shard,
 };
 use crate::clock::Time;
 use crate::id::Incarnation;
@@ -39,7 +39,7 @@
 struct Unused {
     serving: Arc<Serving>,
     key: ClaimKey,
-    token: Token,
+    token: ClaimToken,
     armed: bool,
 }
 
@@ -74,7 +74,7 @@
             (Err(life), Some(key)) => (life, key),
             (Err(life), None) => return Err(life.refuse(RefusalCode::ClaimUnavailable, None)),
         };
-        let token = Token::from(life.id);
+        let token = ClaimToken::from(life.id);
         let lease = self.lease(token);
         let mut unused = Unused {
             serving: Arc::clone(self),
@@ -84,7 +84,7 @@
         };
         let mut reply = self.claims(key, token, deadline, Purpose::Run).await;
         if self.doubts(reply.as_ref()) {
-            reply = self.claims(key, token, deadline, Purpose::Doubt).await;
+            reply = self.claims(key, token, deadline, Purpose::HolderDown).await;
         }
         let Some(reply) = reply else {
             return Err(life.refuse(RefusalCode::ClaimUnavailable, None));
@@ -98,7 +98,7 @@
     pub(crate) async fn renew(
         &self,
         key: &ClaimKey,
-        token: Token,
+        token: ClaimToken,
         deadline: Time,
     ) -> Option<ClaimLease> {
         let lease = self.lease(token);
@@ -107,7 +107,7 @@
     }
 
     /// The lease of a claim that is sent now.
-    fn lease(&self, token: Token) -> ClaimLease {
+    fn lease(&self, token: ClaimToken) -> ClaimLease {
         ClaimLease::new(token, self.now(), Bounds::default().retention)
     }
 
@@ -115,7 +115,7 @@
     async fn claims(
         &self,
         key: &ClaimKey,
-        token: Token,
+        token: ClaimToken,
         deadline: Time,
         purpose: Purpose,
     ) -> Option<Reply> {
@@ -125,12 +125,15 @@
             key: key.key.clone(),
             digest: key.digest.clone(),
             token: Some(token),
-            start: millis(START),
-            ttl: millis(time + SETTLE_MARGIN),
+            dispatch_ms: millis(DISPATCH_WINDOW),
+            ttl_ms: millis(time + SETTLE_MARGIN),
             purpose: purpose.into(),
         };
         let command = Action::Claim(claim).into_bytes();
-        let reply = self.register(key).propose(command.into(), START).await;
+        let reply = self
+            .register(key)
+            .propose(command.into(), DISPATCH_WINDOW)
+            .await;
         Reply::from_bytes(&reply.ok()?)
     }
 
@@ -139,12 +142,12 @@
         let Some(Reply::InProgress(found)) = reply else {
             return false;
         };
-        let alive = |t: Token| self.alive(t.instance(), Incarnation(t.incarnation));
-        !found.starting && !found.holder.is_some_and(alive)
+        let alive = |t: ClaimToken| self.alive(t.instance(), Incarnation(t.incarnation));
+        !found.may_dispatch && !found.holder.is_some_and(alive)
     }
 
     /// Records in the background that a claim wasn't used.
-    pub(crate) fn release(self: &Arc<Self>, key: ClaimKey, token: Token) {
+    pub(crate) fn release(self: &Arc<Self>, key: ClaimKey, token: ClaimToken) {
         let register = self.register(&key);
         let action = Action::Release(Release {
             organisation: key.organisation,
@@ -155,7 +158,7 @@
     }
 
     /// Records in the background how a claimed request ended.
-    pub(crate) fn settle(self: &Arc<Self>, key: ClaimKey, token: Token, outcome: Outcome) {
+    pub(crate) fn settle(self: &Arc<Self>, key: ClaimKey, token: ClaimToken, outcome: Outcome) {
         let register = self.register(&key);
         let action = Action::Settle(Settle {
             organisation: key.organisation,
--- a/src/serve/complete.rs
+++ b/src/serve/complete.rs
@@ -138,7 +138,7 @@
 /// An answer without a generation: a refusal, or what an earlier sending with
 /// the same key got.
 fn earlier(answer: &Answer, form: Option<(Completion, Form)>, id: String) -> Response<Reply> {
-    let (Answer::Kept(kept), Some((completion, form))) = (answer, form) else {
+    let (Answer::Stored(kept), Some((completion, form))) = (answer, form) else {
         return respond::refuse(answer, &id);
     };
     let text = String::from_utf8_lossy(&kept.body);
--- a/src/serve/generate.rs
+++ b/src/serve/generate.rs
@@ -197,7 +197,7 @@
             }
             Effect::Settle { token, outcome } => {
                 let outcome = match (&self.job.work, outcome) {
-                    (Work::Call(call), Settled::Kept(_)) => call.kept(),
+                    (Work::Call(call), Settled::Stored(_)) => call.kept(),
                     (_, outcome) => outcome,
                 };
                 if let Some(key) = self.job.key.clone() {
@@ -334,7 +334,7 @@
     async fn renew(&self) -> Option<ClaimLease> {
         let held = self.generation.waiting()?;
         let key = self.job.key.as_ref()?;
-        if !held.short(self.serving.now()) {
+        if !held.needs_renewal(self.serving.now()) {
             return None;
         }
         let deadline = self.job.deadline;
--- a/src/serve/service.rs
+++ b/src/serve/service.rs
@@ -18,7 +18,7 @@
 use super::listen::Received;
 use super::{Serving, respond};
 use crate::catalogue::Target;
-use crate::claim::{Kept, MAX_KEPT, Outcome as Settled};
+use crate::claim::{MAX_STORED_ANSWER, Outcome as Settled, StoredAnswer};
 use crate::dispatch::service_model;
 use crate::engine::{Connection, Cutoff, EngineError, Stage};
 use crate::http::Reply;
@@ -217,25 +217,30 @@
 }
 
 fn refuse(answer: &Answer, id: &str) -> Response<Reply> {
-    let Answer::Kept(kept) = answer else {
+    let Answer::Stored(kept) = answer else {
         return respond::refuse(answer, id);
     };
     let status = u16::try_from(kept.status).ok();
     let status = status.and_then(|s| StatusCode::from_u16(s).ok());
     let body = Bytes::from(kept.body.clone());
-    respond::reply(status.unwrap_or(StatusCode::OK), &kept.kind, body, id)
+    respond::reply(
+        status.unwrap_or(StatusCode::OK),
+        &kept.content_type,
+        body,
+        id,
+    )
 }
 
 impl Call {
     /// The outcome to keep with the call's claim.
     pub(crate) fn kept(&self) -> Settled {
         match &*self.slot.lock().expect("no holder panics") {
-            Some(whole) if whole.body.len() <= MAX_KEPT => Settled::Kept(Kept {
+            Some(whole) if whole.body.len() <= MAX_STORED_ANSWER => Settled::Stored(StoredAnswer {
                 status: u32::from(whole.status.as_u16()),
-                kind: whole.kind.clone(),
+                content_type: whole.kind.clone(),
                 body: whole.body.to_vec(),
             }),
-            _ => Settled::NotKept(()),
+            _ => Settled::NotStored(()),
         }
     }
 }
--- a/src/tests/claim.rs
+++ b/src/tests/claim.rs
@@ -6,15 +6,16 @@
 
 use crate::Time;
 use crate::claim::{
-    Action, Answered, Bounds, Claim, Claims, Expire, Full, Granted, InProgress, Kept, MAX_KEPT,
-    Outcome, Purpose, Release, Reply, Settle, Ticked, Ticker, Token, shard,
+    Action, Answered, Bounds, Claim, ClaimToken, Claims, Expire, Full, Granted, InProgress,
+    MAX_STORED_ANSWER, Outcome, Purpose, Release, Reply, Settle, StoredAnswer, Ticked, Ticker,
+    shard,
 };
 use crate::voter::StateMachine;
 
-const HOLDER: Token = token(1, 1, 1);
+const HOLDER: ClaimToken = token(1, 1, 1);
 
-const fn token(holder: u64, incarnation: u64, sequence: u64) -> Token {
-    Token {
+const fn token(holder: u64, incarnation: u64, sequence: u64) -> ClaimToken {
+    ClaimToken {
         holder,
         incarnation,
         sequence,
@@ -34,7 +35,7 @@
         self.0.step(self.1, action)
     }
 
-    fn claim(&mut self, organisation: &str, key: &str, token: Token) -> Reply {
+    fn claim(&mut self, organisation: &str, key: &str, token: ClaimToken) -> Reply {
         self.claim_for(Purpose::Run, organisation, key, token)
     }
 
@@ -43,20 +44,20 @@
         purpose: Purpose,
         organisation: &str,
         key: &str,
-        token: Token,
+        token: ClaimToken,
     ) -> Reply {
         self.step(Action::Claim(Claim {
             organisation: organisation.into(),
             key: key.into(),
             digest: vec![7; 32],
             token: Some(token),
-            start: 2_000,
-            ttl: 8_000,
+            dispatch_ms: 2_000,
+            ttl_ms: 8_000,
             purpose: purpose.into(),
         }))
     }
 
-    fn settle(&mut self, key: &str, token: Token, outcome: Outcome) -> Reply {
+    fn settle(&mut self, key: &str, token: ClaimToken, outcome: Outcome) -> Reply {
         self.step(Action::Settle(Settle {
             organisation: "a".into(),
             key: key.into(),
@@ -65,7 +66,7 @@
         }))
     }
 
-    fn release(&mut self, token: Token) -> Reply {
+    fn release(&mut self, token: ClaimToken) -> Reply {
         self.step(Action::Release(Release {
             organisation: "a".into(),
             key: "k".into(),
@@ -92,23 +93,23 @@
     }
 }
 
-fn kept(len: usize) -> Kept {
-    Kept {
+fn stored(len: usize) -> StoredAnswer {
+    StoredAnswer {
         status: 200,
-        kind: String::new(),
+        content_type: String::new(),
         body: vec![b'x'; len],
     }
 }
 
-fn granted(token: Token) -> Reply {
+fn granted(token: ClaimToken) -> Reply {
     Reply::Granted(Granted { token: Some(token) })
 }
 
-fn in_progress(age: u64, starting: bool) -> Reply {
+fn in_progress(age: u64, may_dispatch: bool) -> Reply {
     Reply::InProgress(InProgress {
         holder: Some(HOLDER),
         age,
-        starting,
+        may_dispatch,
     })
 }
 
@@ -120,13 +121,13 @@
 #[case::dispatched(token(2, 1, 1), 3_000, None, in_progress(2_000, false))]
 #[case::given_up(token(2, 1, 1), 9_000, None, Reply::Unknown(()))]
 #[case::holder_restarted(token(1, 2, 1), 0, None, Reply::Unknown(()))]
-#[case::not_kept(token(2, 1, 1), 0, Some(Outcome::NotKept(())), Reply::Answered(Answered { kept: None }))]
-#[case::kept(token(2, 1, 1), 9_000, Some(Outcome::Kept(kept(3))), Reply::Answered(Answered { kept: Some(kept(3)) }))]
-#[case::too_long(token(2, 1, 1), 0, Some(Outcome::Kept(kept(MAX_KEPT + 1))), Reply::Answered(Answered { kept: None }))]
+#[case::not_kept(token(2, 1, 1), 0, Some(Outcome::NotStored(())), Reply::Answered(Answered { answer: None }))]
+#[case::stored(token(2, 1, 1), 9_000, Some(Outcome::Stored(stored(3))), Reply::Answered(Answered { answer: Some(stored(3)) }))]
+#[case::too_long(token(2, 1, 1), 0, Some(Outcome::Stored(stored(MAX_STORED_ANSWER + 1))), Reply::Answered(Answered { answer: None }))]
 #[case::broken(token(2, 1, 1), 0, Some(Outcome::Unknown(())), Reply::Unknown(()))]
-#[case::forgotten(token(2, 1, 1), 86_402_000, Some(Outcome::NotKept(())), granted(token(2, 1, 1)))]
+#[case::forgotten(token(2, 1, 1), 86_402_000, Some(Outcome::NotStored(())), granted(token(2, 1, 1)))]
 fn claim_again(
-    #[case] asker: Token,
+    #[case] asker: ClaimToken,
     #[case] ms: u64,
     #[case] outcome: Option<Outcome>,
     #[case] reply: Reply,
@@ -150,12 +151,12 @@
 /// outcome is unknown and the request never runs again. That must stay true.
 #[rstest]
 #[case::early(1_000, granted(token(3, 1, 1)))]
-#[case::told(4_000, Reply::Unrun(()))]
+#[case::told(4_000, Reply::NotRun(()))]
 fn release_then_claim(#[case] ms: u64, #[case] reply: Reply) {
     let mut log = Log::new(Bounds::default());
     log.claim("a", "k", HOLDER);
     log.pass(ms);
-    log.claim_for(Purpose::Doubt, "a", "k", token(2, 1, 1));
+    log.claim_for(Purpose::HolderDown, "a", "k", token(2, 1, 1));
     assert_eq!(log.release(token(2, 1, 1)), Reply::Stale(()));
     assert_eq!(log.release(HOLDER), Reply::Done(()));
     assert_eq!(log.claim("a", "k", token(3, 1, 1)), reply);
@@ -165,8 +166,8 @@
 /// renews its claim and goes on, unless someone was told "unknown".
 #[rstest]
 #[case::asked(Purpose::Run, 4_000, granted(HOLDER), in_progress(0, true))]
-#[case::early(Purpose::Doubt, 1_000, granted(HOLDER), in_progress(0, true))]
-#[case::told(Purpose::Doubt, 4_000, Reply::Stale(()), Reply::Unknown(()))]
+#[case::early(Purpose::HolderDown, 1_000, granted(HOLDER), in_progress(0, true))]
+#[case::told(Purpose::HolderDown, 4_000, Reply::Stale(()), Reply::Unknown(()))]
 fn claim_renew(
     #[case] purpose: Purpose,
     #[case] ms: u64,
@@ -187,7 +188,7 @@
         Reply::Stale(())
     );
     assert_eq!(log.claim_for(Purpose::Renew, "a", "k", HOLDER), renewed);
-    assert_eq!(log.claim_for(Purpose::Doubt, "a", "k", asker), reply);
+    assert_eq!(log.claim_for(Purpose::HolderDown, "a", "k", asker), reply);
 }
 
 /// A ticker's proposal is delayed for ten seconds while a claim is made. The
@@ -224,14 +225,16 @@
     let first = fill(&mut log, "a");
     assert!(first > 0);
     log.pass(301_000);
-    let full = Reply::Full(Full { pause: 300_000 });
+    let full = Reply::Full(Full {
+        retry_after_ms: 300_000,
+    });
     assert_eq!(log.claim("a", "more", HOLDER), full);
     assert_eq!(fill(&mut log, "b"), first);
     assert_eq!(fill(&mut log, "a"), first, "each one is still held");
     // No room for answers either: the fact is kept, not the text.
-    log.settle("0", HOLDER, Outcome::Kept(kept(900)));
+    log.settle("0", HOLDER, Outcome::Stored(stored(900)));
     let found = log.claim("a", "0", HOLDER);
-    assert_eq!(found, Reply::Answered(Answered { kept: None }));
+    assert_eq!(found, Reply::Answered(Answered { answer: None }));
     assert!(log.0.bytes() <= 2 * floor);
     // Past the retention an old claim makes room, one of its own organisation.
     log.pass(300_000);
@@ -265,8 +268,8 @@
         key: "k".into(),
         digest: vec![8; 32],
         token: Some(token(2, 1, 1)),
-        start: 2_000,
-        ttl: 8_000,
+        dispatch_ms: 2_000,
+        ttl_ms: 8_000,
         purpose: Purpose::Run.into(),
     };
     assert_eq!(log.step(Action::Claim(claim)), Reply::Mismatch(()));
@@ -279,9 +282,9 @@
     let expire = |after, elapsed| Some(Action::Expire(Expire { after, elapsed }));
     assert_eq!(ticker.poll(at(5_000)), expire(u64::MAX, 0));
     assert_eq!(ticker.poll(at(5_999)), None);
-    ticker.heard(at(6_000), Ticked { index: 9 });
+    ticker.on_reply(at(6_000), Ticked { index: 9 });
     // A later reply about the same one tells nothing new.
-    ticker.heard(at(6_500), Ticked { index: 9 });
+    ticker.on_reply(at(6_500), Ticked { index: 9 });
     assert_eq!(ticker.poll(at(7_200)), expire(9, 1_200));
 }
 
@@ -313,7 +316,7 @@
     let held = resident().saturating_sub(before);
     let start = Instant::now();
     (0..count).for_each(|n| {
-        let outcome = Outcome::NotKept(());
+        let outcome = Outcome::NotStored(());
         let mut settle = |key: &str| log.settle(key, token(1, 1, n), outcome.clone());
         settle(&format!("letter-{n:032}"));
     });
--- a/src/tests/generation.rs
+++ b/src/tests/generation.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 
-use crate::claim::{ClaimLease, Granted, Outcome, Reply, Token};
+use crate::claim::{ClaimLease, ClaimToken, Granted, Outcome, Reply};
 use crate::request::{
     Answer, Bounds, Cause, Effect, Event, Frame, Generation, Hop, Life, Ran, Report, RequestId,
     Unopened,
@@ -61,7 +61,7 @@
 
     fn opened(idempotent: bool, keyed: bool) -> Self {
         let life = Life::new(id(), "a".into(), idempotent, keyed).admit(());
-        let token = Token::from(id());
+        let token = ClaimToken::from(id());
         let granted = Reply::Granted(Granted { token: Some(token) });
         let life = match life.unclaimed() {
             Ok(life) => life,
@@ -292,9 +292,9 @@
     });
     let kept = run.out.iter().find_map(|effect| match effect {
         Effect::Settle {
-            outcome: Outcome::Kept(kept),
+            outcome: Outcome::Stored(answer),
             ..
-        } => Some(kept.body.clone()),
+        } => Some(answer.body.clone()),
         _ => None,
     });
     assert_eq!(kept.as_deref(), Some(&b"t0 t1 t2 "[..]));
@@ -313,7 +313,7 @@
         path,
         lease: None,
     });
-    let token = Token::from(id());
+    let token = ClaimToken::from(id());
     assert_eq!(run.out[0], Effect::Release { token });
     assert_eq!(run.answer(), Some(("claim_lapsed", Ran::No)));
 }
@@ -328,9 +328,9 @@
 fn started_renewed(#[case] sequence: u64, #[case] secs: u64, #[case] sent: bool) {
     let mut run = Run::opened(false, true);
     let held = run.generation.waiting().expect("a claim");
-    assert!(!held.short(START));
+    assert!(!held.needs_renewal(START));
     run.now = START + Duration::from_secs(secs);
-    assert!(held.short(run.now));
+    assert!(held.needs_renewal(run.now));
     let token = RequestId { sequence, ..id() };
     let lease = Some(ClaimLease::new(token.into(), run.now, RETENTION));
     let path = path();
--- a/src/tests/life/check.rs
+++ b/src/tests/life/check.rs
@@ -124,10 +124,10 @@
         let caller = state.caller;
         match &answer {
             Answer::Complete { count } => assert_eq!((*count, state.emitted), (TOKENS, TOKENS)),
-            Answer::Kept(kept) => assert_whole(caller, &kept.body, seed),
+            Answer::Stored(answer) => assert_whole(caller, &answer.body, seed),
             _ => {}
         }
-        let over = matches!(answer, Answer::Complete { .. } | Answer::Kept(_));
+        let over = matches!(answer, Answer::Complete { .. } | Answer::Stored(_));
         state.answer = Some(answer);
         if !over {
             self.again(caller);
--- a/src/tests/life/register.rs
+++ b/src/tests/life/register.rs
@@ -6,7 +6,7 @@
 
 use super::caller::{Caller, Permit, Sending};
 use super::world::{Back, END, Phase, RETENTION, What, World};
-use crate::claim::{self, Action, Claim, ClaimLease, Claims, Granted, Purpose, Reply, Token};
+use crate::claim::{self, Action, Claim, ClaimLease, ClaimToken, Claims, Granted, Purpose, Reply};
 use crate::request::{Admitted, Effect, Event, Life, RefusalCode};
 use crate::voter::StateMachine;
 
@@ -34,9 +34,9 @@
             organisation: (*organisation).into(),
             key: key.clone().unwrap_or_default(),
             digest: format!("{caller:032}").into_bytes(),
-            token: Some(Token::from(*id)),
-            start: 2_000,
-            ttl: 8_000,
+            token: Some(ClaimToken::from(*id)),
+            dispatch_ms: 2_000,
+            ttl_ms: 8_000,
             purpose: purpose.into(),
         })
     }
@@ -93,7 +93,7 @@
             (Back::Renew(sending), reply) => self.renewed(sending, &reply),
             (Back::Tick(instance), Reply::Ticked(ticked)) => {
                 let now = self.local(instance);
-                self.instances[instance].ticker.heard(now, ticked);
+                self.instances[instance].ticker.on_reply(now, ticked);
             }
             _ => {}
         }
@@ -102,9 +102,9 @@
     fn claimed(&mut self, sending: usize, reply: Reply) {
         // Whether the holder is believed to be down has nothing to do with
         // whether it is.
-        let held = matches!(&reply, Reply::InProgress(found) if !found.starting);
+        let held = matches!(&reply, Reply::InProgress(found) if !found.may_dispatch);
         if held && self.chance(50) {
-            let doubt = self.claim(sending, Purpose::Doubt);
+            let doubt = self.claim(sending, Purpose::HolderDown);
             return self.propose(doubt, Back::Claim(sending));
         }
         let now = self.local(self.sendings[sending].instance);
@@ -119,7 +119,9 @@
         let Phase::Running(generation) = &self.sendings[sending].phase else {
             return;
         };
-        let short = generation.waiting().is_some_and(|lease| lease.short(now));
+        let short = generation
+            .waiting()
+            .is_some_and(|lease| lease.needs_renewal(now));
         if !short {
             return self.step(sending, event);
         }
