--- a/src/request.rs
+++ b/src/request.rs
@@ -1,6 +1,6 @@
-//! Life cycle of one request, as a typestate.
+//! Lifecycle cycle of one request, as a typestate.
 //!
-//! [`Life`] is the typestate: what may be answered depends on how far the
+//! [`Lifecycle`] is the typestate: what may be answered depends on how far the
 //! request has come. [`Generation`] runs the attempts of one generation inside
 //! it. [`Answer`] is what the caller gets in the end, exactly once.
 
@@ -10,13 +10,13 @@
 mod event;
 mod generation;
 mod id;
-mod life;
-mod stage;
+mod lifecycle;
+mod phase;
 
 pub(crate) use answer::{Answer, Failure, Refusal};
 pub(crate) use attempt::{Frame, Hop, covers};
 pub(crate) use code::{FailureCode, Ran, RefusalCode};
-pub(crate) use event::{Bounds, Cause, Effect, Event, Report, Unopened};
+pub(crate) use event::{AttemptError, AttemptReport, Bounds, Effect, Event, OpenError};
 pub(crate) use generation::Generation;
 pub(crate) use id::RequestId;
-pub(crate) use life::{Admitted, Claimed, Life, Received};
+pub(crate) use lifecycle::{Admitted, Claimed, Lifecycle, Received};
--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -5,24 +5,29 @@
 use serde::Serialize;
 
 use crate::claim::StoredAnswer;
-use crate::request::life::DEFAULT_PAUSE;
+use crate::request::lifecycle::DEFAULT_RETRY_AFTER;
 use crate::request::{FailureCode, Ran, RefusalCode};
 
-/// A refusal before the first byte. Only [`super::Life`] makes one, in states
+/// A refusal before the first byte. Only [`super::Lifecycle`] makes one, in states
 /// in which this instance has sent nothing to an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
     code: RefusalCode,
     ran: Ran,
-    retry: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
 impl Refusal {
     /// Private to the life cycle: a state after dispatch has no way to here.
-    pub(super) fn new(code: RefusalCode, ran: Ran, retry: Option<Duration>) -> Self {
+    pub(super) fn new(code: RefusalCode, ran: Ran, retry_after: Option<Duration>) -> Self {
         // Where sending again can help, the caller is always told when.
-        let retry = retry.or_else(|| code.again().then_some(DEFAULT_PAUSE));
-        Self { code, ran, retry }
+        let retry_after =
+            retry_after.or_else(|| code.is_retryable().then_some(DEFAULT_RETRY_AFTER));
+        Self {
+            code,
+            ran,
+            retry_after,
+        }
     }
 }
 
@@ -30,13 +35,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Failure {
     code: FailureCode,
-    retry: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
 impl Failure {
     /// Private to the life cycle.
-    pub(super) fn new(code: FailureCode, retry: Option<Duration>) -> Self {
-        Self { code, retry }
+    pub(super) fn new(code: FailureCode, retry_after: Option<Duration>) -> Self {
+        Self { code, retry_after }
     }
 }
 
@@ -61,9 +66,13 @@
     ///
     /// Of a keyed request an earlier sending may have run, and the claims
     /// weren't asked; so "not run" is said only of one without a key.
-    pub(crate) fn unread(code: RefusalCode, keyed: bool, retry: Option<Duration>) -> Self {
+    pub(crate) fn refused_early(
+        code: RefusalCode,
+        keyed: bool,
+        retry_after: Option<Duration>,
+    ) -> Self {
         let ran = if keyed { Ran::Unknown } else { Ran::No };
-        Self::Refused(Refusal::new(code, ran, retry))
+        Self::Refused(Refusal::new(code, ran, retry_after))
     }
 
     /// Stable name of the result.
@@ -96,11 +105,11 @@
     }
 
     /// Pause before sending again, where that can help.
-    pub(crate) fn retry(&self) -> Option<Duration> {
+    pub(crate) fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::Complete { .. } | Self::Stored(_) => None,
-            Self::Refused(refusal) => refusal.retry,
-            Self::Failed(failure) => failure.retry,
+            Self::Refused(refusal) => refusal.retry_after,
+            Self::Failed(failure) => failure.retry_after,
         }
     }
 
@@ -121,7 +130,7 @@
             code: self.code(),
             ran: self.ran(),
             message: self.message(),
-            retry: self.retry().map(|pause| pause.as_millis()),
+            retry: self.retry_after().map(|pause| pause.as_millis()),
         }
     }
 }
--- a/src/request/code.rs
+++ b/src/request/code.rs
@@ -167,7 +167,7 @@
     }
 
     /// Whether sending the same request again can succeed.
-    pub(crate) fn again(self) -> bool {
+    pub(crate) fn is_retryable(self) -> bool {
         !matches!(
             self,
             Self::Unauthenticated
--- a/src/request/event.rs
+++ b/src/request/event.rs
@@ -13,44 +13,44 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bounds {
     /// Most tokens of the answer.
-    pub(crate) tokens: u32,
+    pub(crate) max_tokens: u32,
     /// Layers of the model.
     pub(crate) layers: u32,
     /// Most attempts, the first one included. One that an engine was too busy
     /// to run doesn't count.
-    pub(crate) attempts: u32,
+    pub(crate) max_attempts: u32,
     /// End of the request's time.
     pub(crate) deadline: Time,
     /// Longest wait for the first token of an attempt.
-    pub(crate) first: Duration,
+    pub(crate) first_timeout: Duration,
     /// Longest wait between two tokens.
-    pub(crate) idle: Duration,
+    pub(crate) idle_timeout: Duration,
 }
 
 /// Why an attempt broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Cause {
+pub(crate) enum AttemptError {
     /// The connection was refused: no byte reached a process.
     Refused,
     /// The connection ended before the closing event.
-    Cut,
+    ConnectionLost,
     /// Something came that doesn't belong to this attempt, or can't be read.
-    Garbage,
+    InvalidData,
     /// No token came in time.
     Timeout,
 }
 
 /// Why no attempt could be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unopened {
+pub(crate) enum OpenError {
     /// No path covers the layers.
     NoPath,
     /// The retry budget is used up.
-    Budget,
+    RetryBudget,
     /// No path was free in time.
     Deadline,
     /// The instance can't confirm its catalogue.
-    Lease,
+    CatalogueLease,
     /// The catalogue has no such route any more.
     NoRoute,
 }
@@ -69,13 +69,13 @@
         lease: Option<ClaimLease>,
     },
     /// The attempt can't be opened.
-    Unopened {
+    OpenFailed {
         /// From [`Effect::Open`].
         attempt: u32,
         /// Why.
-        reason: Unopened,
+        reason: OpenError,
         /// Pause that the caller should make.
-        pause: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// The path was chosen by a catalogue that was changed meanwhile.
     Outdated {
@@ -85,14 +85,14 @@
     /// A token came on the connection of attempt `on`.
     Frame {
         /// The attempt that the connection was opened for.
-        on: u32,
+        conn_attempt: u32,
         /// What the engine sent.
         frame: Frame,
     },
     /// The closing event came on the connection of attempt `on`.
     Done {
         /// The attempt that the connection was opened for.
-        on: u32,
+        conn_attempt: u32,
         /// The request that the engine names.
         request: String,
         /// The attempt that the engine names.
@@ -107,14 +107,14 @@
         /// Whether its protocol says that a busy upstream ran nothing. That of
         /// engines does; a plain service may have done its work and then found
         /// another one busy.
-        unrun: bool,
+        not_run: bool,
     },
     /// The attempt ended without its closing event.
-    Broken {
+    Failed {
         /// The attempt.
         attempt: u32,
         /// What was seen.
-        cause: Cause,
+        cause: AttemptError,
         /// The stage at fault, where known.
         suspect: Option<UpstreamId>,
     },
@@ -126,15 +126,15 @@
 
 /// How an attempt went, for the choice of later paths.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Report {
+pub(crate) enum AttemptReport {
     /// It brought the whole answer.
     Served,
     /// Its first engine was busy.
     Busy,
-    /// It broke.
-    Broken {
+    /// It failed.
+    Failed {
         /// What was seen.
-        cause: Cause,
+        cause: AttemptError,
         /// The stage at fault, where known.
         suspect: Option<UpstreamId>,
     },
@@ -144,7 +144,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Effect {
     /// Choose a path, renew the claim if its lease is short, and answer with
-    /// `Started` or `Unopened`.
+    /// `Started` or `OpenError`.
     Open {
         /// Counts from 1.
         attempt: u32,
@@ -161,7 +161,7 @@
         attempt: u32,
         /// Time at which the first byte must have left, if there is one: the
         /// driver checks it again when it is connected.
-        until: Option<Time>,
+        send_by: Option<Time>,
     },
     /// Write a verified token to the caller, if it is still there.
     Emit {
@@ -182,7 +182,7 @@
         /// The path that was used.
         path: Vec<Hop>,
         /// How it went.
-        report: Report,
+        report: AttemptReport,
     },
     /// Release the claim: no byte left.
     Release {
--- a/src/request/generation.rs
+++ b/src/request/generation.rs
@@ -7,9 +7,9 @@
 use crate::clock::Time;
 use crate::id::UpstreamId;
 use crate::request::attempt::{Attempt, Verdict};
-use crate::request::event::{Bounds, Cause, Effect, Event, Report, Unopened};
-use crate::request::life::{Claimed, DEFAULT_PAUSE, Life, NotRun};
-use crate::request::stage::Stage;
+use crate::request::event::{AttemptError, AttemptReport, Bounds, Effect, Event, OpenError};
+use crate::request::lifecycle::{Claimed, DEFAULT_RETRY_AFTER, Lifecycle, NotRun};
+use crate::request::phase::Phase;
 use crate::request::{FailureCode, Frame, Hop, RefusalCode, RequestId, covers};
 
 /// Attempts that may find an engine too busy. Routing leaves such an engine out
@@ -29,7 +29,7 @@
     bounds: Bounds,
     /// Time of the event in hand.
     now: Time,
-    stage: Stage<P>,
+    phase: Phase<P>,
     /// Attempts opened so far.
     number: u32,
     /// Those of them that an engine was too busy to run.
@@ -48,12 +48,12 @@
 
 impl<P> Generation<P> {
     /// Starts the first attempt.
-    pub(crate) fn new(life: Life<Claimed<P>>, bounds: Bounds, out: &mut Vec<Effect>) -> Self {
+    pub(crate) fn new(life: Lifecycle<Claimed<P>>, bounds: Bounds, out: &mut Vec<Effect>) -> Self {
         let mut generation = Self {
             id: life.id,
             bounds,
             now: Time::default(),
-            stage: Stage::Ready(life),
+            phase: Phase::Ready(life),
             number: 0,
             busy: 0,
             attempt: None,
@@ -72,20 +72,20 @@
     }
 
     /// The claim that the request still waits with.
-    pub(crate) fn waiting(&self) -> Option<&ClaimLease> {
-        match &self.stage {
-            Stage::Ready(life) => life.lease(),
+    pub(crate) fn pending_lease(&self) -> Option<&ClaimLease> {
+        match &self.phase {
+            Phase::Ready(life) => life.lease(),
             _ => None,
         }
     }
 
     /// Whether the final answer was given.
     pub(crate) fn finished(&self) -> bool {
-        matches!(self.stage, Stage::Finished)
+        matches!(self.phase, Phase::Finished)
     }
 
     /// When the next [`Event::Tick`] is due.
-    pub(crate) fn wake(&self) -> Time {
+    pub(crate) fn next_tick(&self) -> Time {
         match self.attempt {
             Some(_) => self.bounds.deadline.min(self.moved + self.patience()),
             None => self.bounds.deadline,
@@ -107,25 +107,28 @@
                 path,
                 lease,
             } => self.started(attempt, path, lease, out),
-            Event::Unopened {
+            Event::OpenFailed {
                 attempt,
                 reason,
-                pause,
-            } => self.unopened(attempt, reason, pause, out),
+                retry_after,
+            } => self.open_failed(attempt, reason, retry_after, out),
             Event::Outdated { attempt } => self.outdated(attempt, out),
-            Event::Frame { on, frame } => self.frame(on, frame, out),
+            Event::Frame {
+                conn_attempt,
+                frame,
+            } => self.frame(conn_attempt, frame, out),
             Event::Done {
-                on,
+                conn_attempt,
                 request,
                 attempt,
                 count,
-            } => self.done(on, &request, attempt, count, out),
-            Event::Busy { attempt, unrun } => self.busy(attempt, unrun, out),
-            Event::Broken {
+            } => self.done(conn_attempt, &request, attempt, count, out),
+            Event::Busy { attempt, not_run } => self.busy(attempt, not_run, out),
+            Event::Failed {
                 attempt,
                 cause,
                 suspect,
-            } => self.broken(attempt, cause, suspect, out),
+            } => self.failed(attempt, cause, suspect, out),
             Event::Tick => self.tick(out),
             Event::CallerLeft => self.left(out),
         }
@@ -140,9 +143,9 @@
 
     fn patience(&self) -> Duration {
         if self.flowing {
-            self.bounds.idle
+            self.bounds.idle_timeout
         } else {
-            self.bounds.first
+            self.bounds.first_timeout
         }
     }
 
@@ -154,8 +157,8 @@
         self.attempt.as_ref().is_some_and(|a| a.number == attempt)
     }
 
-    fn take(&mut self) -> Stage<P> {
-        mem::replace(&mut self.stage, Stage::Finished)
+    fn take(&mut self) -> Phase<P> {
+        mem::replace(&mut self.phase, Phase::Finished)
     }
 
     fn open(&mut self, retry: bool, out: &mut Vec<Effect>) {
@@ -179,12 +182,12 @@
             return out.push(Effect::Cancel { attempt });
         }
         if !covers(&path, self.bounds.layers) {
-            return self.unopened(attempt, Unopened::NoPath, None, out);
+            return self.open_failed(attempt, OpenError::NoPath, None, out);
         }
-        self.stage = match self.take().dispatch(self.now, lease) {
-            Ok(stage) => stage,
-            Err(stage) => {
-                self.stage = stage;
+        self.phase = match self.take().dispatch(self.now, lease) {
+            Ok(phase) => phase,
+            Err(phase) => {
+                self.phase = phase;
                 return self.end(RefusalCode::ClaimLapsed, None, out);
             }
         };
@@ -194,31 +197,31 @@
         });
         self.flowing = false;
         self.moved = self.now;
-        let until = match &self.stage {
-            Stage::Sent(life) => life.until(),
+        let send_by = match &self.phase {
+            Phase::Sent(life) => life.send_by(),
             _ => None,
         };
-        out.push(Effect::Send { attempt, until });
+        out.push(Effect::Send { attempt, send_by });
     }
 
-    fn unopened(
+    fn open_failed(
         &mut self,
         attempt: u32,
-        reason: Unopened,
-        pause: Option<Duration>,
+        reason: OpenError,
+        retry_after: Option<Duration>,
         out: &mut Vec<Effect>,
     ) {
         if attempt != self.number || self.attempt.is_some() {
             return;
         }
         let code = match reason {
-            Unopened::NoPath => RefusalCode::NoUpstream,
-            Unopened::Budget => RefusalCode::RetryBudget,
-            Unopened::Deadline => RefusalCode::QueueTimeout,
-            Unopened::Lease => RefusalCode::CatalogueLease,
-            Unopened::NoRoute => RefusalCode::UnknownRoute,
+            OpenError::NoPath => RefusalCode::NoUpstream,
+            OpenError::RetryBudget => RefusalCode::RetryBudget,
+            OpenError::Deadline => RefusalCode::QueueTimeout,
+            OpenError::CatalogueLease => RefusalCode::CatalogueLease,
+            OpenError::NoRoute => RefusalCode::UnknownRoute,
         };
-        self.end(code, pause, out);
+        self.end(code, retry_after, out);
     }
 
     fn outdated(&mut self, attempt: u32, out: &mut Vec<Effect>) {
@@ -227,20 +230,20 @@
         }
     }
 
-    fn frame(&mut self, on: u32, frame: Frame, out: &mut Vec<Effect>) {
-        let Some(attempt) = self.attempt.as_ref().filter(|a| a.number == on) else {
+    fn frame(&mut self, conn_attempt: u32, frame: Frame, out: &mut Vec<Effect>) {
+        let Some(attempt) = self.attempt.as_ref().filter(|a| a.number == conn_attempt) else {
             return;
         };
         let next = self.next();
-        match attempt.check(self.id, next, self.bounds.tokens, &frame) {
+        match attempt.check(self.id, next, self.bounds.max_tokens, &frame) {
             Verdict::Valid => self.emit(next, frame.text, out),
             Verdict::Stale => {}
-            Verdict::Invalid => self.broken(on, Cause::Garbage, None, out),
+            Verdict::Invalid => self.failed(conn_attempt, AttemptError::InvalidData, None, out),
         }
     }
 
     fn emit(&mut self, index: u32, text: String, out: &mut Vec<Effect>) {
-        self.stage = self.take().answering();
+        self.phase = self.take().answering();
         self.flowing = true;
         self.moved = self.now;
         self.texts.push(text.clone());
@@ -251,36 +254,43 @@
         });
     }
 
-    fn done(&mut self, on: u32, request: &str, attempt: u32, count: u32, out: &mut Vec<Effect>) {
-        if !self.current(on) {
+    fn done(
+        &mut self,
+        conn_attempt: u32,
+        request: &str,
+        attempt: u32,
+        count: u32,
+        out: &mut Vec<Effect>,
+    ) {
+        if !self.current(conn_attempt) {
             return;
         }
         let ours = request.parse() == Ok(self.id);
-        if ours && attempt < on {
+        if ours && attempt < conn_attempt {
             return;
         }
-        if !ours || attempt != on || count != self.next() {
-            return self.broken(on, Cause::Garbage, None, out);
+        if !ours || attempt != conn_attempt || count != self.next() {
+            return self.failed(conn_attempt, AttemptError::InvalidData, None, out);
         }
-        self.report(Report::Served, out);
+        self.report(AttemptReport::Served, out);
         self.complete(out);
     }
 
-    fn busy(&mut self, attempt: u32, unrun: bool, out: &mut Vec<Effect>) {
+    fn busy(&mut self, attempt: u32, not_run: bool, out: &mut Vec<Effect>) {
         if !self.current(attempt) {
             return;
         }
         if self.flowing {
-            return self.broken(attempt, Cause::Garbage, None, out);
+            return self.failed(attempt, AttemptError::InvalidData, None, out);
         }
         let head = self.head();
-        self.report(Report::Busy, out);
-        if unrun {
-            self.stage = self.take().unrun(NotRun::busy());
+        self.report(AttemptReport::Busy, out);
+        if not_run {
+            self.phase = self.take().not_run(NotRun::busy());
             self.requeue(out);
         } else {
             self.excluded.extend(head);
-            self.stage = self.take().answering();
+            self.phase = self.take().answering();
             self.retry(RefusalCode::UpstreamBusy, out);
         }
     }
@@ -296,14 +306,14 @@
         if self.busy < BUSY {
             self.open(false, out);
         } else {
-            self.end(RefusalCode::UpstreamBusy, Some(DEFAULT_PAUSE), out);
+            self.end(RefusalCode::UpstreamBusy, Some(DEFAULT_RETRY_AFTER), out);
         }
     }
 
-    fn broken(
+    fn failed(
         &mut self,
         attempt: u32,
-        cause: Cause,
+        cause: AttemptError,
         suspect: Option<UpstreamId>,
         out: &mut Vec<Effect>,
     ) {
@@ -312,14 +322,14 @@
         }
         // Only the first stage takes connections from here.
         let suspect = match cause {
-            Cause::Refused => suspect.or_else(|| self.head()),
+            AttemptError::Refused => suspect.or_else(|| self.head()),
             _ => suspect,
         };
         self.exclude(suspect.as_ref());
-        self.report(Report::Broken { cause, suspect }, out);
+        self.report(AttemptReport::Failed { cause, suspect }, out);
         out.push(Effect::Cancel { attempt });
-        self.stage = match cause {
-            Cause::Refused if !self.flowing => self.take().unrun(NotRun::refused()),
+        self.phase = match cause {
+            AttemptError::Refused if !self.flowing => self.take().not_run(NotRun::refused()),
             _ => self.take().answering(),
         };
         self.retry(RefusalCode::NoUpstream, out);
@@ -340,24 +350,26 @@
     }
 
     /// Ends the attempt in flight with a report.
-    fn report(&mut self, report: Report, out: &mut Vec<Effect>) {
+    fn report(&mut self, report: AttemptReport, out: &mut Vec<Effect>) {
         if let Some(Attempt { path, .. }) = self.attempt.take() {
             out.push(Effect::Report { path, report });
         }
     }
 
     fn retry(&mut self, code: RefusalCode, out: &mut Vec<Effect>) {
-        let again = match &self.stage {
-            Stage::Ready(_) => true,
+        let again = match &self.phase {
+            Phase::Ready(_) => true,
             // All tokens are there; only the closing event was lost.
-            Stage::Running(_) if self.next() >= self.bounds.tokens => return self.complete(out),
-            Stage::Running(life) => life.idempotent,
-            Stage::Sent(_) | Stage::Finished => false,
+            Phase::Running(_) if self.next() >= self.bounds.max_tokens => {
+                return self.complete(out);
+            }
+            Phase::Running(life) => life.idempotent,
+            Phase::Sent(_) | Phase::Finished => false,
         };
-        if again && self.number - self.busy < self.bounds.attempts {
+        if again && self.number - self.busy < self.bounds.max_attempts {
             self.open(true, out);
         } else {
-            self.end(code, Some(DEFAULT_PAUSE), out);
+            self.end(code, Some(DEFAULT_RETRY_AFTER), out);
         }
     }
 
@@ -366,7 +378,7 @@
             return;
         };
         if self.now >= self.moved + self.patience() {
-            self.broken(attempt.number, Cause::Timeout, None, out);
+            self.failed(attempt.number, AttemptError::Timeout, None, out);
         }
     }
 
@@ -379,28 +391,29 @@
     /// without it: it can't be run again, and the caller will ask for the kept
     /// answer with the same key.
     fn left(&mut self, out: &mut Vec<Effect>) {
-        let ready = matches!(self.stage, Stage::Ready(_));
-        if ready || self.stage.lease().is_none() {
+        let ready = matches!(self.phase, Phase::Ready(_));
+        if ready || self.phase.lease().is_none() {
             self.give_up(RefusalCode::CallerLeft, FailureCode::Cancelled, None, out);
         }
     }
 
     /// No further attempt is made.
-    fn end(&mut self, refusal: RefusalCode, pause: Option<Duration>, out: &mut Vec<Effect>) {
-        self.give_up(refusal, FailureCode::AnswerCut, pause, out);
+    fn end(&mut self, refusal: RefusalCode, retry_after: Option<Duration>, out: &mut Vec<Effect>) {
+        self.give_up(refusal, FailureCode::AnswerCut, retry_after, out);
     }
 
     fn give_up(
         &mut self,
         refusal: RefusalCode,
         failure: FailureCode,
-        pause: Option<Duration>,
+        retry_after: Option<Duration>,
         out: &mut Vec<Effect>,
     ) {
         if let Some(Attempt { number, .. }) = self.attempt.take() {
             out.push(Effect::Cancel { attempt: number });
         }
-        self.take().end(self.now, refusal, failure, pause, out);
+        self.take()
+            .end(self.now, refusal, failure, retry_after, out);
     }
 
     fn complete(&mut self, out: &mut Vec<Effect>) {
--- a/src/request/life.rs
+++ b/src/request/lifecycle.rs
@@ -16,11 +16,11 @@
 use crate::request::{Answer, Failure, FailureCode, Ran, Refusal, RefusalCode, RequestId};
 
 /// Pause that a caller should make where nothing better is known.
-pub(crate) const DEFAULT_PAUSE: Duration = Duration::from_secs(1);
+pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A request in state `S`.
 #[derive(Debug)]
-pub(crate) struct Life<S> {
+pub(crate) struct Lifecycle<S> {
     /// Number of the request.
     pub(crate) id: RequestId,
     /// The organisation whose key the caller showed.
@@ -81,9 +81,9 @@
     }
 }
 
-impl<S> Life<S> {
-    fn map<T>(self, change: impl FnOnce(S) -> T) -> Life<T> {
-        Life {
+impl<S> Lifecycle<S> {
+    fn map<T>(self, change: impl FnOnce(S) -> T) -> Lifecycle<T> {
+        Lifecycle {
             id: self.id,
             organisation: self.organisation,
             idempotent: self.idempotent,
@@ -103,17 +103,17 @@
     /// again after a lost answer: the first sending may have run, and only the
     /// claims know. So until they were asked, "not run" is said only of
     /// requests that need no claim.
-    fn refuse_unclaimed(&self, code: RefusalCode, retry: Option<Duration>) -> Answer {
+    fn refuse_unclaimed(&self, code: RefusalCode, retry_after: Option<Duration>) -> Answer {
         let ran = if self.needs_claim() {
             Ran::Unknown
         } else {
             Ran::No
         };
-        Answer::Refused(Refusal::new(code, ran, retry))
+        Answer::Refused(Refusal::new(code, ran, retry_after))
     }
 }
 
-impl Life<Received> {
+impl Lifecycle<Received> {
     /// A request that has just been read.
     pub(crate) fn new(
         id: RequestId,
@@ -131,19 +131,19 @@
     }
 
     /// Lets the request in; `permit` is given back when its life ends.
-    pub(crate) fn admit<P>(self, permit: P) -> Life<Admitted<P>> {
+    pub(crate) fn admit<P>(self, permit: P) -> Lifecycle<Admitted<P>> {
         self.map(|Received| Admitted { permit })
     }
 
     /// Refuses the request.
-    pub(crate) fn refuse(self, code: RefusalCode, retry: Option<Duration>) -> Answer {
-        self.refuse_unclaimed(code, retry)
+    pub(crate) fn refuse(self, code: RefusalCode, retry_after: Option<Duration>) -> Answer {
+        self.refuse_unclaimed(code, retry_after)
     }
 }
 
-impl<P> Life<Admitted<P>> {
+impl<P> Lifecycle<Admitted<P>> {
     /// Goes on without a claim, if the request needs none.
-    pub(crate) fn unclaimed(self) -> Result<Life<Claimed<P>>, Self> {
+    pub(crate) fn without_claim(self) -> Result<Lifecycle<Claimed<P>>, Self> {
         if self.needs_claim() {
             return Err(self);
         }
@@ -160,8 +160,8 @@
         now: Time,
         lease: ClaimLease,
         reply: Reply,
-    ) -> Result<Life<Claimed<P>>, Answer> {
-        let failed = |code, retry| Answer::Failed(Failure::new(code, retry));
+    ) -> Result<Lifecycle<Claimed<P>>, Answer> {
+        let failed = |code, retry_after| Answer::Failed(Failure::new(code, retry_after));
         let not_run = |code| Answer::Refused(Refusal::new(code, Ran::No, None));
         let answer = match reply {
             Reply::Granted(granted) if granted.token == Some(lease.token()) => {
@@ -170,7 +170,7 @@
                     lease: Some(lease),
                 }));
             }
-            Reply::InProgress(_) => failed(FailureCode::InProgress, Some(DEFAULT_PAUSE)),
+            Reply::InProgress(_) => failed(FailureCode::InProgress, Some(DEFAULT_RETRY_AFTER)),
             Reply::Unknown(()) => failed(FailureCode::OutcomeUnknown, None),
             Reply::Answered(Answered {
                 answer: Some(stored),
@@ -180,21 +180,21 @@
             Reply::Mismatch(()) if lease.valid(now) => not_run(RefusalCode::KeyMismatch),
             Reply::NotRun(()) if lease.valid(now) => not_run(RefusalCode::KeyRetired),
             Reply::Full(full) => {
-                let pause = Duration::from_millis(full.retry_after_ms);
-                self.refuse_unclaimed(RefusalCode::ClaimsFull, Some(pause))
+                let retry_after = Duration::from_millis(full.retry_after_ms);
+                self.refuse_unclaimed(RefusalCode::ClaimsFull, Some(retry_after))
             }
-            _ => self.refuse_unclaimed(RefusalCode::ClaimUnavailable, Some(DEFAULT_PAUSE)),
+            _ => self.refuse_unclaimed(RefusalCode::ClaimUnavailable, Some(DEFAULT_RETRY_AFTER)),
         };
         Err(answer)
     }
 
     /// Refuses the request.
-    pub(crate) fn refuse(self, code: RefusalCode, retry: Option<Duration>) -> Answer {
-        self.refuse_unclaimed(code, retry)
+    pub(crate) fn refuse(self, code: RefusalCode, retry_after: Option<Duration>) -> Answer {
+        self.refuse_unclaimed(code, retry_after)
     }
 }
 
-impl<P> Life<Claimed<P>> {
+impl<P> Lifecycle<Claimed<P>> {
     /// The claim, to be released when the request is refused.
     pub(crate) fn lease(&self) -> Option<&ClaimLease> {
         self.state.lease.as_ref()
@@ -221,7 +221,7 @@
     ///
     /// The life itself, when its claim's lease has ended: an instance that was
     /// frozen must not dispatch on a claim that others count as lost.
-    pub(crate) fn dispatch(self, now: Time) -> Result<Life<Dispatched<P>>, Self> {
+    pub(crate) fn dispatch(self, now: Time) -> Result<Lifecycle<Dispatched<P>>, Self> {
         let valid = self.state.lease.as_ref().is_none_or(|l| l.valid(now));
         if !valid {
             return Err(self);
@@ -230,16 +230,21 @@
     }
 
     /// Refuses the request at `now`. The claim, if any, must be released.
-    pub(crate) fn refuse(self, now: Time, code: RefusalCode, retry: Option<Duration>) -> Answer {
+    pub(crate) fn refuse(
+        self,
+        now: Time,
+        code: RefusalCode,
+        retry_after: Option<Duration>,
+    ) -> Answer {
         let exclusive = self.state.lease.as_ref().is_none_or(|l| l.exclusive(now));
         let ran = if exclusive { Ran::No } else { Ran::Unknown };
-        Answer::Refused(Refusal::new(code, ran, retry))
+        Answer::Refused(Refusal::new(code, ran, retry_after))
     }
 }
 
-impl<P> Life<Dispatched<P>> {
+impl<P> Lifecycle<Dispatched<P>> {
     /// End of the time in which the first byte may leave.
-    pub(crate) fn until(&self) -> Option<Time> {
+    pub(crate) fn send_by(&self) -> Option<Time> {
         self.state.lease.as_ref().map(ClaimLease::end)
     }
 
@@ -249,17 +254,17 @@
     }
 
     /// Back to the state before dispatch, on proof that nothing ran.
-    pub(crate) fn unrun(self, _proof: NotRun) -> Life<Claimed<P>> {
+    pub(crate) fn not_run(self, _proof: NotRun) -> Lifecycle<Claimed<P>> {
         self.map(|Dispatched { permit, lease }| Claimed { permit, lease })
     }
 
     /// A token came, or the attempt ended without proof that nothing ran.
-    pub(crate) fn answering(self) -> Life<Answering<P>> {
+    pub(crate) fn answering(self) -> Lifecycle<Answering<P>> {
         self.map(|Dispatched { permit, lease }| Answering { permit, lease })
     }
 }
 
-impl<P> Life<Answering<P>> {
+impl<P> Lifecycle<Answering<P>> {
     /// The claim, to be settled when the request ends.
     pub(crate) fn lease(&self) -> Option<&ClaimLease> {
         self.state.lease.as_ref()
@@ -275,13 +280,13 @@
     ///
     /// A request that must not run twice is always told so: the other codes
     /// invite the caller to send it again.
-    pub(crate) fn fail(self, code: FailureCode, retry: Option<Duration>) -> Answer {
+    pub(crate) fn fail(self, code: FailureCode, retry_after: Option<Duration>) -> Answer {
         let code = match code {
             FailureCode::AnswerCut | FailureCode::DeadlineExceeded if !self.idempotent => {
                 FailureCode::OutcomeUnknown
             }
             code => code,
         };
-        Answer::Failed(Failure::new(code, retry))
+        Answer::Failed(Failure::new(code, retry_after))
     }
 }
--- a/src/request/stage.rs
+++ b/src/request/phase.rs
@@ -1,27 +1,27 @@
-//! How far a generation has come, over the states of its [`Life`].
+//! How far a generation has come, over the states of its [`Lifecycle`].
 
 use std::time::Duration;
 
 use crate::claim::{ClaimLease, MAX_STORED_ANSWER, Outcome, StoredAnswer};
 use crate::clock::Time;
 use crate::request::event::Effect;
-use crate::request::life::{Answering, Claimed, Dispatched, Life, NotRun};
+use crate::request::lifecycle::{Answering, Claimed, Dispatched, Lifecycle, NotRun};
 use crate::request::{FailureCode, RefusalCode};
 
 /// The life of a request in one of the states that a generation knows.
 #[derive(Debug)]
-pub(super) enum Stage<P> {
+pub(super) enum Phase<P> {
     /// No byte has left, or it is proved that nothing ran.
-    Ready(Life<Claimed<P>>),
+    Ready(Lifecycle<Claimed<P>>),
     /// The first byte may have left.
-    Sent(Life<Dispatched<P>>),
+    Sent(Lifecycle<Dispatched<P>>),
     /// Some attempt has run, or may have.
-    Running(Life<Answering<P>>),
+    Running(Lifecycle<Answering<P>>),
     /// The final answer was given.
     Finished,
 }
 
-impl<P> Stage<P> {
+impl<P> Phase<P> {
     /// The claim that the request holds.
     pub(super) fn lease(&self) -> Option<&ClaimLease> {
         match self {
@@ -39,7 +39,7 @@
                 Ok(life) => Ok(Self::Sent(life)),
                 Err(life) => Err(Self::Ready(life)),
             },
-            stage => Ok(stage),
+            phase => Ok(phase),
         }
     }
 
@@ -47,15 +47,15 @@
     pub(super) fn answering(self) -> Self {
         match self {
             Self::Sent(life) => Self::Running(life.answering()),
-            stage => stage,
+            phase => phase,
         }
     }
 
     /// An attempt ended with proof that it ran nothing.
-    pub(super) fn unrun(self, proof: NotRun) -> Self {
+    pub(super) fn not_run(self, proof: NotRun) -> Self {
         match self {
-            Self::Sent(life) => Self::Ready(life.unrun(proof)),
-            stage => stage,
+            Self::Sent(life) => Self::Ready(life.not_run(proof)),
+            phase => phase,
         }
     }
 
@@ -65,19 +65,19 @@
         now: Time,
         refusal: RefusalCode,
         failure: FailureCode,
-        pause: Option<Duration>,
+        retry_after: Option<Duration>,
         out: &mut Vec<Effect>,
     ) {
         let token = self.lease().map(ClaimLease::token);
         let answer = match self.answering() {
             Self::Ready(life) => {
                 out.extend(token.map(|token| Effect::Release { token }));
-                life.refuse(now, refusal, pause)
+                life.refuse(now, refusal, retry_after)
             }
             Self::Running(life) => {
                 let outcome = Outcome::Unknown(());
                 out.extend(token.map(|token| Effect::Settle { token, outcome }));
-                life.fail(failure, pause)
+                life.fail(failure, retry_after)
             }
             Self::Sent(_) | Self::Finished => return,
         };
--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -17,7 +17,7 @@
 use crate::gate::Running;
 use crate::http::Reply;
 use crate::id::OrganisationId;
-use crate::request::{Admitted, Answer, Life, Received, RefusalCode, RequestId};
+use crate::request::{Admitted, Answer, Lifecycle, Received, RefusalCode, RequestId};
 
 /// Pause for a caller whose instance has lost its catalogue lease. Another
 /// instance may serve it at once.
@@ -51,10 +51,10 @@
     }
 
     /// Starts the life of a request on `route`.
-    pub(crate) fn life(&self, route: &Route) -> Life<Received> {
+    pub(crate) fn life(&self, route: &Route) -> Lifecycle<Received> {
         let idempotent = route.idempotent && !self.head.once;
         let keyed = self.head.key.is_some();
-        Life::new(self.id, self.organisation.clone(), idempotent, keyed)
+        Lifecycle::new(self.id, self.organisation.clone(), idempotent, keyed)
     }
 }
 
@@ -81,7 +81,7 @@
             .map_err(|_| Box::new(listen::refuse(RefusalCode::InvalidRequest)))?;
         let keyed = head.key.is_some();
         let refuse = |code, pause| {
-            let answer = Answer::unread(code, keyed, pause);
+            let answer = Answer::refused_early(code, keyed, pause);
             Box::new(respond::refuse(&answer, "-"))
         };
         let running = self.parts.gate.enter();
@@ -109,12 +109,12 @@
     /// Admits a request by the limits of its route, after a wait if need be.
     pub(crate) async fn admit(
         self: &Arc<Self>,
-        life: Life<Received>,
+        life: Lifecycle<Received>,
         route: &Route,
         tokens: u32,
         deadline: Time,
         used: &Arc<AtomicU32>,
-    ) -> Result<Life<Admitted<Held>>, Answer> {
+    ) -> Result<Lifecycle<Admitted<Held>>, Answer> {
         let admission = Admission {
             id: life.id.sequence,
             route: route.name.as_str().into(),
--- a/src/serve/claims.rs
+++ b/src/serve/claims.rs
@@ -13,7 +13,7 @@
 use crate::clock::Time;
 use crate::id::Incarnation;
 use crate::propose::Proposer;
-use crate::request::{Admitted, Answer, Claimed, Life, RefusalCode};
+use crate::request::{Admitted, Answer, Claimed, Lifecycle, RefusalCode};
 
 /// Time to get a settlement or release recorded. It runs in the background; a
 /// claim that stays open is answered "unknown", never run again.
@@ -65,11 +65,11 @@
     /// Claims the request's key, if it has to. Nothing may be sent before.
     pub(crate) async fn claim(
         self: &Arc<Self>,
-        life: Life<Admitted<Held>>,
+        life: Lifecycle<Admitted<Held>>,
         key: Option<&ClaimKey>,
         deadline: Time,
-    ) -> Result<Life<Claimed<Held>>, Answer> {
-        let (life, key) = match (life.unclaimed(), key) {
+    ) -> Result<Lifecycle<Claimed<Held>>, Answer> {
+        let (life, key) = match (life.without_claim(), key) {
             (Ok(life), _) => return Ok(life),
             (Err(life), Some(key)) => (life, key),
             (Err(life), None) => return Err(life.refuse(RefusalCode::ClaimUnavailable, None)),
--- a/src/serve/complete.rs
+++ b/src/serve/complete.rs
@@ -18,7 +18,7 @@
 use crate::http::Reply;
 use crate::id::OrganisationId;
 use crate::openai::{Completion, Form, Writer};
-use crate::request::{Answer, Claimed, Life, RefusalCode};
+use crate::request::{Answer, Claimed, Lifecycle, RefusalCode};
 
 /// Bytes of a prompt that make one token, roughly.
 const TOKEN_BYTES: usize = 4;
@@ -63,7 +63,7 @@
         received: &Received,
     ) -> Result<(Completion, mpsc::Receiver<Output>), (Answer, Option<(Completion, Form)>)> {
         let keyed = known.head.key.is_some();
-        let unread = |code| (Answer::unread(code, keyed, None), None);
+        let unread = |code| (Answer::refused_early(code, keyed, None), None);
         let completion = Completion::parse(form, &received.body)
             .map_err(|_| unread(RefusalCode::InvalidRequest))?;
         let route = known.route(&completion.route);
@@ -111,7 +111,7 @@
         completion: &Completion,
         key: Option<&ClaimKey>,
         used: &Arc<AtomicU32>,
-    ) -> Result<Life<Claimed<super::Held>>, Answer> {
+    ) -> Result<Lifecycle<Claimed<super::Held>>, Answer> {
         let tokens = prompt_tokens(&completion.prompt) + completion.limit;
         let life = known.life(route);
         let life = self
--- a/src/serve/generate.rs
+++ b/src/serve/generate.rs
@@ -19,8 +19,8 @@
 use crate::event;
 use crate::id::UpstreamId;
 use crate::request::{
-    Answer, Bounds, Cause, Claimed, Effect, Event, Generation, Hop, Life, Report, RequestId,
-    Unopened,
+    Answer, AttemptError, AttemptReport, Bounds, Claimed, Effect, Event, Generation, Hop,
+    Lifecycle, OpenError, RequestId,
 };
 use crate::route::Outcome;
 
@@ -38,7 +38,7 @@
 const EVENTS: usize = 16;
 
 /// Why an attempt can't be opened, and the pause that the caller should make.
-type Closed = (Unopened, Option<Duration>);
+type Closed = (OpenError, Option<Duration>);
 
 /// The attempt in flight.
 struct Flight {
@@ -78,7 +78,7 @@
     pub(crate) fn start(
         self: &Arc<Self>,
         job: Job,
-        life: Life<Claimed<Held>>,
+        life: Lifecycle<Claimed<Held>>,
     ) -> mpsc::Receiver<Output> {
         let (output, pieces) = mpsc::channel(OUTPUT);
         tokio::spawn(Arc::clone(self).generate(job, life, output));
@@ -89,7 +89,7 @@
     async fn generate(
         self: Arc<Self>,
         job: Job,
-        life: Life<Claimed<Held>>,
+        life: Lifecycle<Claimed<Held>>,
         output: mpsc::Sender<Output>,
     ) {
         let settings = &self.parts.settings;
@@ -98,12 +98,12 @@
             Work::Call(_) => (SERVICE_LAYERS, settings.call),
         };
         let bounds = Bounds {
-            tokens: job.limit,
+            max_tokens: job.limit,
             layers,
-            attempts: ATTEMPTS,
+            max_attempts: ATTEMPTS,
             deadline: job.deadline,
-            first,
-            idle: settings.idle,
+            first_timeout: first,
+            idle_timeout: settings.idle,
         };
         let mut effects = Vec::new();
         let generation = Generation::new(life, bounds, &mut effects);
@@ -159,7 +159,7 @@
 
     /// The next event: from the engine, the clock or the caller.
     async fn wait(&mut self) -> Event {
-        let wake = self.generation.wake().since(self.serving.now());
+        let wake = self.generation.next_tick().since(self.serving.now());
         tokio::select! {
             biased;
             () = self.output.closed(), if !self.left => {
@@ -182,7 +182,7 @@
                 let event = self.open(attempt, retry, resume, exclude).await;
                 self.step(event, effects);
             }
-            Effect::Send { attempt, until } => self.send(attempt, until),
+            Effect::Send { attempt, send_by } => self.send(attempt, send_by),
             Effect::Emit {
                 request,
                 index,
@@ -217,10 +217,10 @@
         exclude: Vec<UpstreamId>,
     ) -> Event {
         let opened = self.try_open(attempt, retry, resume, exclude).await;
-        opened.unwrap_or_else(|(reason, pause)| Event::Unopened {
+        opened.unwrap_or_else(|(reason, pause)| Event::OpenFailed {
             attempt,
             reason,
-            pause,
+            retry_after: pause,
         })
     }
 
@@ -232,7 +232,7 @@
         exclude: Vec<UpstreamId>,
     ) -> Result<Event, Closed> {
         if retry && !self.retry_allowed() {
-            return Err((Unopened::Budget, Some(BUDGET_PAUSE)));
+            return Err((OpenError::RetryBudget, Some(BUDGET_PAUSE)));
         }
         let pools = self.pools()?;
         let placement = self.placement(retry, resume, exclude, pools.clone());
@@ -266,8 +266,8 @@
                 }
             };
             let placed = placed.map_err(|(why, pause)| match why {
-                PlacementError::NoPath => (Unopened::NoPath, Some(pause)),
-                PlacementError::Deadline => (Unopened::Deadline, Some(pause)),
+                PlacementError::NoPath => (OpenError::NoPath, Some(pause)),
+                PlacementError::Deadline => (OpenError::Deadline, Some(pause)),
             })?;
             if let Some(path) = self.path(&placed) {
                 return Ok(Some((placed, path)));
@@ -289,9 +289,9 @@
     fn pools(&self) -> Result<Arc<[String]>, Closed> {
         let now = self.serving.now();
         let catalogue = self.serving.parts.force.get(now);
-        let catalogue = catalogue.map_err(|_| (Unopened::Lease, None))?;
+        let catalogue = catalogue.map_err(|_| (OpenError::CatalogueLease, None))?;
         let route = catalogue.route(&self.job.organisation, &self.job.route);
-        let route = route.ok_or((Unopened::NoRoute, None))?;
+        let route = route.ok_or((OpenError::NoRoute, None))?;
         Ok(route.pools.clone().into())
     }
 
@@ -332,7 +332,7 @@
 
     /// Renews the claim if the wait for a path has used up its lease.
     async fn renew(&self) -> Option<ClaimLease> {
-        let held = self.generation.waiting()?;
+        let held = self.generation.pending_lease()?;
         let key = self.job.key.as_ref()?;
         if !held.needs_renewal(self.serving.now()) {
             return None;
@@ -377,8 +377,8 @@
         }
     }
 
-    fn send(&mut self, attempt: u32, until: Option<Time>) {
-        let cutoff = Cutoff::new(until, Arc::clone(&self.serving.parts.clock));
+    fn send(&mut self, attempt: u32, send_by: Option<Time>) {
+        let cutoff = Cutoff::new(send_by, Arc::clone(&self.serving.parts.clock));
         let Some(flight) = &mut self.flight else {
             return;
         };
@@ -438,7 +438,7 @@
         }
     }
 
-    fn report(&mut self, report: &Report) {
+    fn report(&mut self, report: &AttemptReport) {
         let Some(flight) = self.flight.take() else {
             return;
         };
@@ -450,18 +450,18 @@
                 .and_then(|s| stages.clone().position(|stage| stage.upstream == *s))
         };
         let outcome = match report {
-            Report::Served => {
+            AttemptReport::Served => {
                 self.serving.budget().succeeded(&self.job.organisation);
                 let spent = self.serving.now().since(flight.started);
                 Outcome::Done {
                     token: spent / tokens.max(1),
                 }
             }
-            Report::Busy => Outcome::Busy { stage: 0 },
-            Report::Broken { cause, suspect } => match (blamed(suspect), cause) {
+            AttemptReport::Busy => Outcome::Busy { stage: 0 },
+            AttemptReport::Failed { cause, suspect } => match (blamed(suspect), cause) {
                 (Some(stage), _) => Outcome::Failed { stage },
                 // Only the first stage takes connections from here.
-                (None, Cause::Refused) => Outcome::Failed { stage: 0 },
+                (None, AttemptError::Refused) => Outcome::Failed { stage: 0 },
                 (None, _) => Outcome::Unattributed,
             },
         };
--- a/src/serve/listen.rs
+++ b/src/serve/listen.rs
@@ -104,5 +104,5 @@
 
 /// A refusal of something that never became a request of an organisation.
 pub(crate) fn refuse(code: RefusalCode) -> Response<Reply> {
-    respond::refuse(&Answer::unread(code, false, None), "-")
+    respond::refuse(&Answer::refused_early(code, false, None), "-")
 }
--- a/src/serve/respond.rs
+++ b/src/serve/respond.rs
@@ -31,7 +31,7 @@
 pub(crate) fn refuse(answer: &Answer, id: &str) -> Response<Reply> {
     let status = StatusCode::from_u16(answer.status()).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = reply(status, JSON, error(answer), id);
-    if let Some(pause) = answer.retry() {
+    if let Some(pause) = answer.retry_after() {
         let secs = seconds(pause).to_string();
         let value = secs.parse().expect("digits are a valid header");
         response.headers_mut().insert(RETRY_AFTER, value);
--- a/src/serve/service.rs
+++ b/src/serve/service.rs
@@ -22,7 +22,7 @@
 use crate::dispatch::service_model;
 use crate::engine::{Connection, Cutoff, EngineError, Stage};
 use crate::http::Reply;
-use crate::request::{Answer, Cause, Event, Frame, Hop, RefusalCode, RequestId};
+use crate::request::{Answer, AttemptError, Event, Frame, Hop, RefusalCode, RequestId};
 
 /// Longest answer of a plain service, in bytes.
 const MAX_ANSWER: usize = 8 << 20;
@@ -87,7 +87,11 @@
         let route = known.route(name);
         let route = route.filter(|r| matches!(r.target, Target::Service(_)));
         let Some(route) = route else {
-            return Err(Answer::unread(RefusalCode::UnknownRoute, keyed, None));
+            return Err(Answer::refused_early(
+                RefusalCode::UnknownRoute,
+                keyed,
+                None,
+            ));
         };
         let used = Arc::new(AtomicU32::new(1));
         let life = known.life(route);
@@ -149,13 +153,13 @@
     cutoff: Cutoff,
 ) {
     let Some(stage) = path.first() else { return };
-    let broken = |cause| Event::Broken {
+    let broken = |cause| Event::Failed {
         attempt,
         cause,
         suspect: Some(stage.upstream.clone()),
     };
     let whole = match Connection::open(stage.address).await {
-        Err(_) => Err(broken(Cause::Refused)),
+        Err(_) => Err(broken(AttemptError::Refused)),
         Ok(connection) => {
             let request = call.request(&stage.address.to_string(), &id.to_string());
             match exchange(connection, request, &cutoff).await {
@@ -163,12 +167,12 @@
                 // An idempotent call is tried elsewhere; else its answer is
                 // the answer.
                 Ok(whole) if whole.status == StatusCode::SERVICE_UNAVAILABLE && call.idempotent => {
-                    let unrun = false;
-                    Err(Event::Busy { attempt, unrun })
+                    let not_run = false;
+                    Err(Event::Busy { attempt, not_run })
                 }
                 Ok(whole) => Ok(whole),
-                Err(EngineError::Connect) => Err(broken(Cause::Refused)),
-                Err(_) => Err(broken(Cause::Cut)),
+                Err(EngineError::Connect) => Err(broken(AttemptError::Refused)),
+                Err(_) => Err(broken(AttemptError::ConnectionLost)),
             }
         }
     };
@@ -186,7 +190,7 @@
 
 fn token(id: RequestId, attempt: u32, stage: &Stage) -> Event {
     Event::Frame {
-        on: attempt,
+        conn_attempt: attempt,
         frame: Frame {
             request: id.to_string(),
             attempt,
@@ -203,7 +207,7 @@
 
 fn end(id: RequestId, attempt: u32) -> Event {
     Event::Done {
-        on: attempt,
+        conn_attempt: attempt,
         request: id.to_string(),
         attempt,
         count: 1,
--- a/src/serve/stream.rs
+++ b/src/serve/stream.rs
@@ -4,7 +4,7 @@
 
 use crate::engine::{Cutoff, Engine, EngineError, EngineEvent, Events, Order};
 use crate::id::UpstreamId;
-use crate::request::{Cause, Event, Frame, Hop};
+use crate::request::{AttemptError, Event, Frame, Hop};
 
 /// Sends the order and hands on each event of its stream.
 pub(crate) async fn read(
@@ -41,7 +41,7 @@
             text,
             passed,
         }) => Event::Frame {
-            on,
+            conn_attempt: on,
             frame: Frame {
                 request,
                 attempt,
@@ -64,7 +64,7 @@
             done: true,
             ..
         }) => Event::Done {
-            on,
+            conn_attempt: on,
             request,
             attempt,
             count,
@@ -78,14 +78,14 @@
 fn failure(attempt: u32, error: &EngineError, suspect: Option<UpstreamId>) -> Event {
     let cause = match error {
         EngineError::Busy => {
-            let unrun = true;
-            return Event::Busy { attempt, unrun };
+            let not_run = true;
+            return Event::Busy { attempt, not_run };
         }
-        EngineError::Connect => Cause::Refused,
-        EngineError::Cut => Cause::Cut,
-        EngineError::Status { .. } | EngineError::Garbage => Cause::Garbage,
+        EngineError::Connect => AttemptError::Refused,
+        EngineError::Cut => AttemptError::ConnectionLost,
+        EngineError::Status { .. } | EngineError::Garbage => AttemptError::InvalidData,
     };
-    Event::Broken {
+    Event::Failed {
         attempt,
         cause,
         suspect,
--- a/src/tests/generation.rs
+++ b/src/tests/generation.rs
@@ -6,8 +6,8 @@
 
 use crate::claim::{ClaimLease, ClaimToken, Granted, Outcome, Reply};
 use crate::request::{
-    Answer, Bounds, Cause, Effect, Event, Frame, Generation, Hop, Life, Ran, Report, RequestId,
-    Unopened,
+    Answer, AttemptError, AttemptReport, Bounds, Effect, Event, Frame, Generation, Hop, Lifecycle,
+    OpenError, Ran, RequestId,
 };
 use crate::{Incarnation, InstanceId, Time};
 
@@ -36,12 +36,12 @@
 
 fn bounds() -> Bounds {
     Bounds {
-        tokens: 3,
+        max_tokens: 3,
         layers: 8,
-        attempts: 3,
+        max_attempts: 3,
         deadline: START + Duration::from_secs(100),
-        first: Duration::from_secs(1),
-        idle: Duration::from_millis(100),
+        first_timeout: Duration::from_secs(1),
+        idle_timeout: Duration::from_millis(100),
     }
 }
 
@@ -60,10 +60,10 @@
     }
 
     fn opened(idempotent: bool, keyed: bool) -> Self {
-        let life = Life::new(id(), "a".into(), idempotent, keyed).admit(());
+        let life = Lifecycle::new(id(), "a".into(), idempotent, keyed).admit(());
         let token = ClaimToken::from(id());
         let granted = Reply::Granted(Granted { token: Some(token) });
-        let life = match life.unclaimed() {
+        let life = match life.without_claim() {
             Ok(life) => life,
             Err(life) => {
                 let lease = ClaimLease::new(token, START, RETENTION);
@@ -94,14 +94,17 @@
         self.generation.step(self.now, event, &mut self.out);
     }
 
-    fn frame(&mut self, on: u32, attempt: u32, index: u32) {
+    fn frame(&mut self, conn_attempt: u32, attempt: u32, index: u32) {
         let frame = frame(attempt, index);
-        self.step(Event::Frame { on, frame });
+        self.step(Event::Frame {
+            conn_attempt,
+            frame,
+        });
     }
 
-    fn broken(&mut self, attempt: u32, cause: Cause) {
+    fn broken(&mut self, attempt: u32, cause: AttemptError) {
         let suspect = None;
-        self.step(Event::Broken {
+        self.step(Event::Failed {
             attempt,
             cause,
             suspect,
@@ -146,7 +149,7 @@
 fn step_resume() {
     let mut run = Run::sent(true, false);
     run.frame(1, 1, 0);
-    run.broken(1, Cause::Cut);
+    run.broken(1, AttemptError::ConnectionLost);
     assert_eq!(run.open(), Some((2, 1)));
     run.start(2);
     run.frame(1, 1, 1);
@@ -178,7 +181,10 @@
     run.frame(1, 1, 0);
     let mut frame = frame(1, 1);
     change(&mut frame);
-    run.step(Event::Frame { on: 1, frame });
+    run.step(Event::Frame {
+        conn_attempt: 1,
+        frame,
+    });
     assert!(run.out.contains(&Effect::Cancel { attempt: 1 }));
     assert_eq!(run.answer(), Some(("outcome_unknown", Ran::Unknown)));
 }
@@ -199,13 +205,13 @@
 }
 
 #[rstest]
-#[case::refused(true, Cause::Refused, Some(("no_upstream", Ran::No)))]
-#[case::cut(true, Cause::Cut, Some(("answer_cut", Ran::Unknown)))]
-#[case::cut_once(false, Cause::Cut, Some(("outcome_unknown", Ran::Unknown)))]
-#[case::refused_once(false, Cause::Refused, Some(("no_upstream", Ran::No)))]
+#[case::refused(true, AttemptError::Refused, Some(("no_upstream", Ran::No)))]
+#[case::cut(true, AttemptError::ConnectionLost, Some(("answer_cut", Ran::Unknown)))]
+#[case::cut_once(false, AttemptError::ConnectionLost, Some(("outcome_unknown", Ran::Unknown)))]
+#[case::refused_once(false, AttemptError::Refused, Some(("no_upstream", Ran::No)))]
 fn broken_until_end(
     #[case] idempotent: bool,
-    #[case] cause: Cause,
+    #[case] cause: AttemptError,
     #[case] answer: Option<(&'static str, Ran)>,
 ) {
     let mut run = Run::sent(idempotent, false);
@@ -217,7 +223,7 @@
         run.broken(attempt, cause);
     }
     assert_eq!(run.answer(), answer);
-    assert!(attempt <= bounds().attempts);
+    assert!(attempt <= bounds().max_attempts);
 }
 
 /// The first engine has gone. The others of its path are well and must stay in
@@ -225,7 +231,7 @@
 #[test]
 fn broken_refused_excludes_first() {
     let mut run = Run::sent(true, false);
-    run.broken(1, Cause::Refused);
+    run.broken(1, AttemptError::Refused);
     let opened =
         |e: &Effect| matches!(e, Effect::Open { exclude, .. } if *exclude == ["e1".into()]);
     assert!(run.out.iter().any(opened));
@@ -249,17 +255,17 @@
 #[test]
 fn busy_after_cut() {
     let mut run = Run::sent(true, false);
-    run.broken(1, Cause::Cut);
+    run.broken(1, AttemptError::ConnectionLost);
     run.start(2);
     run.step(Event::Busy {
         attempt: 2,
-        unrun: true,
+        not_run: true,
     });
-    let (reason, pause) = (Unopened::NoPath, None);
-    run.step(Event::Unopened {
+    let (reason, retry_after) = (OpenError::NoPath, None);
+    run.step(Event::OpenFailed {
         attempt: 3,
         reason,
-        pause,
+        retry_after,
     });
     assert_eq!(run.answer(), Some(("answer_cut", Ran::Unknown)));
 }
@@ -270,7 +276,7 @@
 fn broken_after_last() {
     let mut run = Run::sent(false, false);
     (0..3).for_each(|index| run.frame(1, 1, index));
-    run.broken(1, Cause::Cut);
+    run.broken(1, AttemptError::ConnectionLost);
     assert_eq!(run.answer(), Some(("complete", Ran::Yes)));
 }
 
@@ -285,7 +291,7 @@
     (1..3).for_each(|index| run.frame(1, 1, index));
     let (request, count) = (id().to_string(), 3);
     run.step(Event::Done {
-        on: 1,
+        conn_attempt: 1,
         request,
         attempt: 1,
         count,
@@ -327,7 +333,7 @@
 #[case::forgotten(9, 54, false)]
 fn started_renewed(#[case] sequence: u64, #[case] secs: u64, #[case] sent: bool) {
     let mut run = Run::opened(false, true);
-    let held = run.generation.waiting().expect("a claim");
+    let held = run.generation.pending_lease().expect("a claim");
     assert!(!held.needs_renewal(START));
     run.now = START + Duration::from_secs(secs);
     assert!(held.needs_renewal(run.now));
@@ -339,8 +345,15 @@
         path,
         lease,
     });
-    let until = Some(run.now + Duration::from_millis(1_800));
-    assert_eq!(run.out == [Effect::Send { attempt: 1, until }], sent);
+    let send_by = Some(run.now + Duration::from_millis(1_800));
+    assert_eq!(
+        run.out
+            == [Effect::Send {
+                attempt: 1,
+                send_by
+            }],
+        sent
+    );
     assert_eq!(run.answer().is_none(), sent);
 }
 
@@ -355,8 +368,8 @@
     run.now = START + Duration::from_millis(ms);
     run.step(Event::Tick);
     assert_eq!(run.open(), open);
-    let report = Report::Broken {
-        cause: Cause::Timeout,
+    let report = AttemptReport::Failed {
+        cause: AttemptError::Timeout,
         suspect: None,
     };
     let path = path();
@@ -384,7 +397,8 @@
 #[test]
 fn refuse_keyed() {
     let code = crate::request::RefusalCode::QueueFull;
-    let refuse = |keyed| -> Answer { Life::new(id(), "a".into(), false, keyed).refuse(code, None) };
+    let refuse =
+        |keyed| -> Answer { Lifecycle::new(id(), "a".into(), false, keyed).refuse(code, None) };
     assert_eq!(refuse(true).ran(), Ran::Unknown);
     assert_eq!(refuse(false).ran(), Ran::No);
 }
@@ -396,8 +410,8 @@
 fn busy_waits() {
     let mut run = Run::sent(true, false);
     for attempt in 1..20 {
-        let unrun = true;
-        run.step(Event::Busy { attempt, unrun });
+        let not_run = true;
+        run.step(Event::Busy { attempt, not_run });
         assert!(run.out.contains(&Effect::Open {
             attempt: attempt + 1,
             retry: false,
@@ -406,7 +420,7 @@
         }));
         run.start(attempt + 1);
     }
-    run.broken(20, Cause::Cut);
+    run.broken(20, AttemptError::ConnectionLost);
     assert_eq!(run.open(), Some((21, 0)));
 }
 
@@ -415,14 +429,14 @@
 #[rstest]
 #[case::engine(true, ("upstream_busy", Ran::No))]
 #[case::service(false, ("outcome_unknown", Ran::Unknown))]
-fn busy_proof(#[case] unrun: bool, #[case] answer: (&'static str, Ran)) {
+fn busy_proof(#[case] not_run: bool, #[case] answer: (&'static str, Ran)) {
     let mut run = Run::sent(false, false);
     let mut attempt = 1;
-    run.step(Event::Busy { attempt, unrun });
+    run.step(Event::Busy { attempt, not_run });
     while let Some((next, _)) = run.open() {
         attempt = next;
         run.start(attempt);
-        run.step(Event::Busy { attempt, unrun });
+        run.step(Event::Busy { attempt, not_run });
     }
     assert_eq!(run.answer(), Some(answer));
 }
@@ -432,7 +446,13 @@
 #[rstest]
 #[case::keyed(true, Some(START + Duration::from_millis(1_800)))]
 #[case::free(false, None)]
-fn send_until(#[case] keyed: bool, #[case] until: Option<Time>) {
+fn send_until(#[case] keyed: bool, #[case] send_by: Option<Time>) {
     let run = Run::sent(false, keyed);
-    assert_eq!(run.out, [Effect::Send { attempt: 1, until }]);
+    assert_eq!(
+        run.out,
+        [Effect::Send {
+            attempt: 1,
+            send_by
+        }]
+    );
 }
--- a/src/tests/life/caller.rs
+++ b/src/tests/lifecycle/caller.rs
@@ -8,7 +8,7 @@
 
 use super::world::{Back, END, INSTANCES, Phase, RETENTION, What, World};
 use crate::claim::{ClaimLease, Purpose};
-use crate::request::{Answer, Event, Hop, Life, RequestId};
+use crate::request::{Answer, Event, Hop, Lifecycle, RequestId};
 use crate::{Incarnation, InstanceId};
 
 /// Counts the permits given and not given back.
@@ -73,7 +73,7 @@
             sequence: number as u64,
         };
         let permits = Rc::new(Cell::new(0));
-        let life = Life::new(id, organisation.into(), idempotent, key.is_some());
+        let life = Lifecycle::new(id, organisation.into(), idempotent, key.is_some());
         let life = life.admit(Permit::new(&permits));
         let retention = Duration::from_millis(RETENTION);
         let lease = ClaimLease::new(id.into(), self.local(instance), retention);
@@ -105,7 +105,7 @@
             self.push(900, What::Patience(number));
         } else {
             let (life, _) = self.waiting(number).expect("just arrived");
-            self.generate(number, Ok(life.unclaimed().expect("needs no claim")));
+            self.generate(number, Ok(life.without_claim().expect("needs no claim")));
         }
     }
 
--- a/src/tests/life/engine.rs
+++ b/src/tests/lifecycle/engine.rs
@@ -4,7 +4,7 @@
 
 use super::caller::Sending;
 use super::world::{LAYERS, TOKENS, World};
-use crate::request::{Cause, Event, Frame, Hop, Unopened};
+use crate::request::{AttemptError, Event, Frame, Hop, OpenError};
 
 /// Text of a token: what it is a part of, and who sent it.
 fn text(caller: usize, index: u32, attempt: u32) -> String {
@@ -41,14 +41,14 @@
             false => self.rng.random_range(0..22),
         };
         match fault {
-            0 => return self.plan(sending, 2, broken(attempt, Cause::Refused)),
+            0 => return self.plan(sending, 2, broken(attempt, AttemptError::Refused)),
             1 => {
                 return self.plan(
                     sending,
                     5,
                     Event::Busy {
                         attempt,
-                        unrun: true,
+                        not_run: true,
                     },
                 );
             }
@@ -70,11 +70,18 @@
                 2 if index == at => delay += 300,
                 _ => {}
             }
-            self.plan(sending, delay, Event::Frame { on: attempt, frame });
+            self.plan(
+                sending,
+                delay,
+                Event::Frame {
+                    conn_attempt: attempt,
+                    frame,
+                },
+            );
         }
         let end = match fault {
             3 => return,
-            4 => broken(attempt, Cause::Cut),
+            4 => broken(attempt, AttemptError::ConnectionLost),
             5 => self.done(sending, attempt, TOKENS + 1),
             _ => self.done(sending, attempt, TOKENS),
         };
@@ -84,7 +91,7 @@
     fn done(&self, sending: usize, attempt: u32, count: u32) -> Event {
         let request = self.sendings[sending].id.to_string();
         Event::Done {
-            on: attempt,
+            conn_attempt: attempt,
             request,
             attempt,
             count,
@@ -96,7 +103,7 @@
         let caller = self.sendings[sending].caller;
         let on = frame.attempt;
         match fault {
-            2 => return self.plan(sending, delay, broken(on, Cause::Cut)),
+            2 => return self.plan(sending, delay, broken(on, AttemptError::ConnectionLost)),
             6 => frame.index += 1,
             7 if frame.index > 0 => frame = self.token(sending, on, frame.index - 1),
             8 => {
@@ -116,7 +123,14 @@
             _ => return,
         }
         if fault != 9 || frame.request != self.sendings[sending].id.to_string() {
-            self.plan(sending, delay, Event::Frame { on, frame });
+            self.plan(
+                sending,
+                delay,
+                Event::Frame {
+                    conn_attempt: on,
+                    frame,
+                },
+            );
         }
     }
 
@@ -134,16 +148,16 @@
     }
 }
 
-pub(super) fn unopened(attempt: u32, reason: Unopened) -> Event {
-    Event::Unopened {
+pub(super) fn unopened(attempt: u32, reason: OpenError) -> Event {
+    Event::OpenFailed {
         attempt,
         reason,
-        pause: None,
+        retry_after: None,
     }
 }
 
-pub(super) fn broken(attempt: u32, cause: Cause) -> Event {
-    Event::Broken {
+pub(super) fn broken(attempt: u32, cause: AttemptError) -> Event {
+    Event::Failed {
         attempt,
         cause,
         suspect: None,
--- a/src/tests/life/register.rs
+++ b/src/tests/lifecycle/register.rs
@@ -7,7 +7,7 @@
 use super::caller::{Caller, Permit, Sending};
 use super::world::{Back, END, Phase, RETENTION, What, World};
 use crate::claim::{self, Action, Claim, ClaimLease, ClaimToken, Claims, Granted, Purpose, Reply};
-use crate::request::{Admitted, Effect, Event, Life, RefusalCode};
+use crate::request::{Admitted, Effect, Event, Lifecycle, RefusalCode};
 use crate::voter::StateMachine;
 
 /// An empty replica.
@@ -120,7 +120,7 @@
             return;
         };
         let short = generation
-            .waiting()
+            .pending_lease()
             .is_some_and(|lease| lease.needs_renewal(now));
         if !short {
             return self.step(sending, event);
@@ -165,7 +165,7 @@
     pub(super) fn waiting(
         &mut self,
         sending: usize,
-    ) -> Option<(Life<Admitted<Permit>>, ClaimLease)> {
+    ) -> Option<(Lifecycle<Admitted<Permit>>, ClaimLease)> {
         let phase = &mut self.sendings[sending].phase;
         match std::mem::replace(phase, Phase::Over) {
             Phase::Waiting(life, lease) => Some((life, lease)),
--- a/src/tests/life/world.rs
+++ b/src/tests/lifecycle/world.rs
@@ -14,7 +14,8 @@
 use crate::budget::Budget;
 use crate::claim::{self, Action, ClaimLease, Claims, Ticker};
 use crate::request::{
-    Admitted, Answer, Bounds, Cause, Claimed, Effect, Event, Generation, Life, Unopened,
+    Admitted, Answer, AttemptError, Bounds, Claimed, Effect, Event, Generation, Lifecycle,
+    OpenError,
 };
 use crate::{HashMap, Time};
 
@@ -54,7 +55,7 @@
 }
 
 pub(super) enum Phase {
-    Waiting(Life<Admitted<Permit>>, ClaimLease),
+    Waiting(Lifecycle<Admitted<Permit>>, ClaimLease),
     Running(Box<Generation<Permit>>),
     Over,
 }
@@ -193,7 +194,7 @@
             What::Patience(sending) => self.patience(sending),
             What::Event(sending, event @ Event::Started { .. }) => self.start(sending, event),
             What::Event(sending, event) => self.step(sending, event),
-            What::Connected(sending, attempt, until) => self.connected(sending, attempt, until),
+            What::Connected(sending, attempt, send_by) => self.connected(sending, attempt, send_by),
             What::Poll(instance) => self.poll(instance),
             What::Crash(instance) => self.crash(instance),
             What::Freeze(instance) => {
@@ -202,7 +203,11 @@
         }
     }
 
-    pub(super) fn generate(&mut self, sending: usize, next: Result<Life<Claimed<Permit>>, Answer>) {
+    pub(super) fn generate(
+        &mut self,
+        sending: usize,
+        next: Result<Lifecycle<Claimed<Permit>>, Answer>,
+    ) {
         let mut out = Vec::new();
         match next {
             Ok(life) => {
@@ -217,12 +222,12 @@
     fn bounds(&self, sending: usize) -> Bounds {
         let now = self.local(self.sendings[sending].instance);
         Bounds {
-            tokens: TOKENS,
+            max_tokens: TOKENS,
             layers: LAYERS,
-            attempts: 4,
+            max_attempts: 4,
             deadline: now + Duration::from_secs(6),
-            first: Duration::from_millis(400),
-            idle: Duration::from_millis(200),
+            first_timeout: Duration::from_millis(400),
+            idle_timeout: Duration::from_millis(200),
         }
     }
 
@@ -243,7 +248,7 @@
         if let Phase::Running(generation) = &self.sendings[sending].phase
             && !generation.finished()
         {
-            let wait = generation.wake().since(now).as_millis() as u64;
+            let wait = generation.next_tick().since(now).as_millis() as u64;
             let event = Event::Tick;
             self.push(wait * 103 / 100 + 1, What::Event(sending, event));
         }
@@ -260,10 +265,10 @@
                 resume,
                 ..
             } => self.open(sending, attempt, retry, resume),
-            Effect::Send { attempt, until } => {
+            Effect::Send { attempt, send_by } => {
                 self.sendings[sending].flight = Some(attempt);
                 let delay = self.rng.random_range(0..300);
-                self.push(delay, What::Connected(sending, attempt, until));
+                self.push(delay, What::Connected(sending, attempt, send_by));
             }
             Effect::Emit {
                 request,
@@ -293,13 +298,13 @@
         }
     }
 
-    fn connected(&mut self, sending: usize, attempt: u32, until: Option<Time>) {
+    fn connected(&mut self, sending: usize, attempt: u32, send_by: Option<Time>) {
         let state = &self.sendings[sending];
         if state.flight != Some(attempt) || matches!(state.phase, Phase::Over) {
             return;
         }
-        if until.is_some_and(|until| self.local(state.instance) >= until) {
-            return self.plan(sending, 0, broken(attempt, Cause::Refused));
+        if send_by.is_some_and(|send_by| self.local(state.instance) >= send_by) {
+            return self.plan(sending, 0, broken(attempt, AttemptError::Refused));
         }
         self.send(sending, attempt);
     }
@@ -310,9 +315,9 @@
         let organisation = self.callers[self.sendings[sending].caller].organisation;
         let budget = &mut self.instances[instance].budget;
         let reason = if retry && !budget.take(now, &organisation.into()) {
-            Some(Unopened::Budget)
+            Some(OpenError::RetryBudget)
         } else {
-            self.chance(4).then_some(Unopened::NoPath)
+            self.chance(4).then_some(OpenError::NoPath)
         };
         let event = match reason {
             Some(reason) => unopened(attempt, reason),
--- a/src/tests/mod.rs
+++ b/src/tests/mod.rs
@@ -19,7 +19,7 @@
 mod follow;
 mod generation;
 mod http;
-mod life;
+mod lifecycle;
 mod limit;
 mod metric;
 mod peer;
