--- a/src/gossip/node/effects.rs
+++ b/src/gossip/node/effects.rs
@@ -67,17 +67,17 @@
         let mut wanted = Vec::new();
         for effect in effects {
             match effect {
-                RegistryEffect::Spread(key) => self.upstream_rumours.add(key),
-                RegistryEffect::SpreadLoad(key) => self.load_rumours.add(key),
-                RegistryEffect::Renew(voucher, renewal) => {
-                    let to = self.members.address(voucher);
+                RegistryEffect::Broadcast(key) => self.upstream_rumours.add(key),
+                RegistryEffect::BroadcastLoad(key) => self.load_rumours.add(key),
+                RegistryEffect::ForwardRenewal(registrar, renewal) => {
+                    let to = self.members.address(registrar);
                     let to = to.map(|address| Origin {
-                        id: voucher,
+                        id: registrar,
                         address,
                     });
                     self.answer(to, Body::Renewal(renewal));
                 }
-                RegistryEffect::Want(key) => wanted.push(key),
+                RegistryEffect::RequestMetadata(key) => wanted.push(key),
             }
         }
         if wanted.is_empty() {
--- a/src/gossip/node/receive.rs
+++ b/src/gossip/node/receive.rs
@@ -12,7 +12,7 @@
 use crate::membership::{
     MemberEffect, MemberRecord, MemberState, ProbeEvent, Source, decode_address, encode_address,
 };
-use crate::upstream::{Loads, RegistryEffect, UpstreamRecord};
+use crate::upstream::{LoadReports, RegistryEffect, UpstreamRecord};
 
 impl Node {
     /// Takes a packet. Records go first, so that an answer to a probe that
@@ -111,12 +111,12 @@
             self.registry.receive(now, record, &mut effects);
         }
         if source == Source::Sync {
-            effects.retain(|e| !matches!(e, RegistryEffect::Spread(_)));
+            effects.retain(|e| !matches!(e, RegistryEffect::Broadcast(_)));
         }
         self.on_registry(effects, Some(origin));
     }
 
-    fn merge_loads(&mut self, loads: &Loads) {
+    fn merge_loads(&mut self, loads: &LoadReports) {
         let mut effects = Vec::new();
         self.registry.receive_loads(loads, &mut effects);
         self.on_registry(effects, None);
@@ -204,7 +204,7 @@
         let members = members.filter_map(|id| self.members.record(now, InstanceId(*id), true));
         let upstreams = want.upstreams.iter();
         let upstreams = upstreams
-            .filter(|key| self.registry.complete(**key))
+            .filter(|key| self.registry.is_complete(**key))
             .filter_map(|key| self.registry.record(now, *key, true));
         self.send_records(from, source, members.collect(), upstreams.collect());
     }
--- a/src/gossip/node/send.rs
+++ b/src/gossip/node/send.rs
@@ -11,7 +11,7 @@
 use crate::gossip::wire::{Body, MAX_PACKET, Packet};
 use crate::id::InstanceId;
 use crate::membership::{MemberRecord, MemberState, Source};
-use crate::upstream::{Loads, UpstreamRecord};
+use crate::upstream::{LoadReports, UpstreamRecord};
 
 /// Times that a rumour is told by each instance, for each digit of the size of
 /// the fleet and one more.
@@ -170,10 +170,10 @@
         let mut room = MAX_PACKET
             .saturating_sub(packet.encoded_len() + 4 * RECORD_HEAD)
             .min(LOAD_BUDGET);
-        let mut loads = Loads::default();
+        let mut loads = LoadReports::default();
         let registry = &self.registry;
         self.load_rumours.tell(limit, |key| {
-            let Some((short, incarnation, sequence, level)) = registry.load_row(key) else {
+            let Some((short, incarnation, sequence, level)) = registry.load_report(key) else {
                 return Put::Void;
             };
             if room < LOAD_ROW {
--- a/src/gossip/wire.rs
+++ b/src/gossip/wire.rs
@@ -4,7 +4,7 @@
 
 use crate::auth::{FleetKey, TAG_LEN};
 use crate::membership::MemberRecord;
-use crate::upstream::{Loads, Renewal, UpstreamRecord};
+use crate::upstream::{LoadReports, Renewal, UpstreamRecord};
 
 /// Longest datagram in bytes. It passes every common link in one piece.
 pub(crate) const MAX_DATAGRAM: usize = 1_200;
@@ -32,7 +32,7 @@
     #[prost(message, repeated, tag = "13")]
     pub(crate) upstreams: Vec<UpstreamRecord>,
     #[prost(message, optional, tag = "14")]
-    pub(crate) loads: Option<Loads>,
+    pub(crate) loads: Option<LoadReports>,
 }
 
 /// What a datagram is for. One that only carries records has no body.
--- a/src/membership/detector.rs
+++ b/src/membership/detector.rs
@@ -12,7 +12,7 @@
 use crate::id::{Incarnation, InstanceId};
 use crate::membership::member::{Member, MemberDump, MemberState, MemberVersion, MemberView, Slot};
 use crate::membership::probe::{Probe, Relay};
-use crate::upstream::{Since, Vouchers};
+use crate::upstream::{InstanceLiveness, PastInstant};
 
 /// Most instances, dead ones included.
 pub(crate) const MAX_MEMBERS: usize = 1_024;
@@ -132,7 +132,7 @@
         let slot = Slot {
             member: Arc::new(own),
             version,
-            since: Since::now(now),
+            since: PastInstant::now(now),
             deadline: None,
         };
         Self {
@@ -287,7 +287,7 @@
             return;
         };
         slot.version.state = state;
-        slot.since = Since::now(now);
+        slot.since = PastInstant::now(now);
         slot.deadline = deadline;
         Arc::make_mut(&mut slot.member).state = state;
         self.dirty = true;
@@ -328,8 +328,8 @@
 /// Guards against an instance alone behind a silent partition. It finds out
 /// about one other instance a period, which takes minutes in a large fleet;
 /// all that time it would give work to upstreams that left.
-impl Vouchers for Membership {
-    fn alive(&self, id: InstanceId, boot: Incarnation) -> bool {
+impl InstanceLiveness for Membership {
+    fn is_alive(&self, id: InstanceId, boot: Incarnation) -> bool {
         let alive = |slot: &Slot| {
             slot.version.state == MemberState::Alive && slot.version.incarnation == boot
         };
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::Time;
 use crate::id::{Incarnation, InstanceId};
-use crate::upstream::Since;
+use crate::upstream::PastInstant;
 
 /// What an instance holds another one for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
@@ -106,7 +106,7 @@
     pub(crate) member: Arc<Member>,
     pub(crate) version: MemberVersion,
     /// Last change of state.
-    pub(crate) since: Since,
+    pub(crate) since: PastInstant,
     /// When a suspect is dead. Set exactly while the state is `Suspect`.
     pub(crate) deadline: Option<Time>,
 }
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -8,7 +8,7 @@
 use crate::membership::detector::{MAX_MEMBERS, MemberEffect, Membership, RETENTION};
 use crate::membership::member::{Member, MemberState, MemberVersion, Slot};
 use crate::membership::wire::MemberRecord;
-use crate::upstream::Since;
+use crate::upstream::PastInstant;
 
 /// How a record came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
             self.refute(version, out);
             return;
         }
-        let since = Since::aged(now, Duration::from_millis(record.age.into()));
+        let since = PastInstant::aged(now, Duration::from_millis(record.age.into()));
         match self.slots.get(&id).map(|slot| slot.version) {
             None => self.learn(now, version, record, since, out),
             Some(known) if version > known => self.update(now, id, version, record, since, out),
@@ -91,7 +91,7 @@
         now: Time,
         version: MemberVersion,
         record: &MemberRecord,
-        since: Since,
+        since: PastInstant,
         out: &mut Vec<MemberEffect>,
     ) {
         let id = InstanceId(record.id);
@@ -119,7 +119,7 @@
         id: InstanceId,
         mut version: MemberVersion,
         record: &MemberRecord,
-        since: Since,
+        since: PastInstant,
         out: &mut Vec<MemberEffect>,
     ) {
         let slot = &self.slots[&id];
@@ -143,13 +143,17 @@
         out.push(MemberEffect::Spread(id));
     }
 
-    fn put(&mut self, now: Time, version: MemberVersion, mut member: Member, since: Since) {
+    fn put(&mut self, now: Time, version: MemberVersion, mut member: Member, since: PastInstant) {
         member.state = version.state;
         let suspected = version.state == MemberState::Suspect;
         let deadline = suspected.then(|| now + self.suspicion());
         let slot = Slot {
             version,
-            since: if suspected { Since::now(now) } else { since },
+            since: if suspected {
+                PastInstant::now(now)
+            } else {
+                since
+            },
             deadline,
             member: Arc::new(member),
         };
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -4,7 +4,7 @@
 
 use crate::id::{Incarnation, InstanceId};
 use crate::membership::member::{Member, MemberState, MemberVersion};
-use crate::upstream::MAX_NAME;
+use crate::upstream::MAX_NAME_LEN;
 
 /// A record. One about a suspect or dead instance may lack `info`.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -66,7 +66,7 @@
     /// The member, or `None` when `info` is missing or wrong.
     pub(crate) fn member(&self) -> Option<Member> {
         let info = self.info.as_ref()?;
-        let sized = (1..=MAX_NAME).contains(&info.domain.len());
+        let sized = (1..=MAX_NAME_LEN).contains(&info.domain.len());
         if !sized {
             return None;
         }
--- a/src/tests/registry.rs
+++ b/src/tests/registry.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 use crate::clock::Time;
-use crate::upstream::{Registry, RegistryEffect, UpstreamRecord, Vouchers};
+use crate::upstream::{InstanceLiveness, Registry, RegistryEffect, UpstreamRecord};
 use crate::{
     AnnounceError, AnnounceOutcome, Announcement, Engine, Incarnation, InstanceId, Load, Serves,
     UpstreamState,
@@ -18,8 +18,8 @@
 /// Instances that are alive, all in incarnation 1.
 struct Alive(&'static [u64]);
 
-impl Vouchers for Alive {
-    fn alive(&self, id: InstanceId, boot: Incarnation) -> bool {
+impl InstanceLiveness for Alive {
+    fn is_alive(&self, id: InstanceId, boot: Incarnation) -> bool {
         boot == BOOT && self.0.contains(&id.0)
     }
 }
@@ -113,7 +113,7 @@
     let next = engine(1, 2, UpstreamState::Up);
     let outcome = other.announce(seconds(9), &next, &Alive(&[1, 2]), &mut out);
     assert_eq!(outcome, Ok(AnnounceOutcome::Accepted));
-    let [RegistryEffect::Renew(InstanceId(1), renewal)] = &out[..] else {
+    let [RegistryEffect::ForwardRenewal(InstanceId(1), renewal)] = &out[..] else {
         panic!("not passed on: {out:?}");
     };
     voucher.renew(seconds(9), renewal, &mut Vec::new());
@@ -310,7 +310,7 @@
 
 #[test]
 fn since_adds_up() {
-    use crate::upstream::Since;
-    let since = Since::aged(seconds(1), Duration::from_secs(5));
+    use crate::upstream::PastInstant;
+    let since = PastInstant::aged(seconds(1), Duration::from_secs(5));
     assert_eq!(since.age(seconds(3)), Duration::from_secs(7));
 }
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -17,11 +17,11 @@
 pub use registry::{AnnounceOutcome, RegistryCounts};
 pub use view::{Upstream, UpstreamView};
 
-pub(crate) use announcement::MAX_NAME;
-pub(crate) use entry::Since;
+pub(crate) use announcement::MAX_NAME_LEN;
+pub(crate) use entry::PastInstant;
 pub(crate) use load::{LoadLevel, short_of};
-pub(crate) use registry::{Registry, RegistryEffect, Vouchers};
-pub(crate) use wire::{Loads, Renewal, UpstreamRecord};
+pub(crate) use registry::{InstanceLiveness, Registry, RegistryEffect};
+pub(crate) use wire::{LoadReports, Renewal, UpstreamRecord};
 
 #[cfg(test)]
 pub(crate) use registry::MAX_ENTRIES;
--- a/src/upstream/announcement.rs
+++ b/src/upstream/announcement.rs
@@ -8,7 +8,7 @@
 use crate::id::{Incarnation, UpstreamId};
 
 /// Longest name of an upstream, pool, domain, model and the like, in bytes.
-pub(crate) const MAX_NAME: usize = 64;
+pub(crate) const MAX_NAME_LEN: usize = 64;
 /// Most layers of one model.
 const MAX_LAYERS: u32 = 1_024;
 /// Highest rate, in tokens a second.
@@ -113,7 +113,7 @@
 #[non_exhaustive]
 pub enum AnnounceError {
     /// A name is empty, too long or holds other than printable ASCII.
-    #[snafu(display("{field} is not 1 to {MAX_NAME} printable ASCII characters: shorten it"))]
+    #[snafu(display("{field} is not 1 to {MAX_NAME_LEN} printable ASCII characters: shorten it"))]
     Name {
         /// Field that is wrong.
         field: &'static str,
@@ -211,7 +211,7 @@
 }
 
 fn name(field: &'static str, text: &str) -> Result<(), AnnounceError> {
-    let sized = (1..=MAX_NAME).contains(&text.len());
+    let sized = (1..=MAX_NAME_LEN).contains(&text.len());
     let printable = text.bytes().all(|b| b.is_ascii_graphic());
     ensure!(sized && printable, NameSnafu { field });
     Ok(())
--- a/src/upstream/dump.rs
+++ b/src/upstream/dump.rs
@@ -18,12 +18,13 @@
     pub sequence: u64,
     /// Life cycle.
     pub state: UpstreamState,
-    /// Whether its voucher heard nothing for the expiry time.
+    /// Whether its registrar heard nothing for the expiry time.
     pub silent: bool,
     /// Whether there was no proof of life here for the expiry time.
     pub lapsed: bool,
-    /// Instance that hears it.
-    pub voucher: InstanceId,
+    /// Instance responsible for the record.
+    #[serde(rename = "voucher")]
+    pub registrar: InstanceId,
     /// Milliseconds since the last proof of life.
     pub age: u64,
     /// Work that it had.
@@ -50,7 +51,7 @@
             state: self.version.state,
             silent: self.version.silent,
             lapsed: self.lapsed,
-            voucher: self.version.voucher,
+            registrar: self.version.registrar,
             age: millis(self.since.age(now)),
             load: self.load,
         }
--- a/src/upstream/entry.rs
+++ b/src/upstream/entry.rs
@@ -16,12 +16,12 @@
 /// receiver adds the time that passes on its own clock. Ages therefore add up
 /// over relays, and a record that is handed round in a circle still expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Since {
+pub(crate) struct PastInstant {
     at: Time,
     age: Duration,
 }
 
-impl Since {
+impl PastInstant {
     /// The present.
     pub(crate) fn now(now: Time) -> Self {
         Self::aged(now, Duration::ZERO)
@@ -49,17 +49,17 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) state: UpstreamState,
     pub(crate) sequence: u64,
-    /// The voucher heard nothing for the expiry time after `sequence`.
+    /// The registrar heard nothing for the expiry time after `sequence`.
     pub(crate) silent: bool,
     /// Instance that hears the upstream.
-    pub(crate) voucher: InstanceId,
-    /// Incarnation of the voucher. One that restarted vouches for nothing.
+    pub(crate) registrar: InstanceId,
+    /// Incarnation of the registrar. One that restarted vouches for nothing.
     pub(crate) boot: Incarnation,
 }
 
 /// What seldom changes about an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Facts {
+pub(crate) struct Metadata {
     pub(crate) id: UpstreamId,
     pub(crate) address: SocketAddr,
     pub(crate) domain: String,
@@ -67,7 +67,7 @@
     pub(crate) serves: Serves,
 }
 
-impl From<&Announcement> for Facts {
+impl From<&Announcement> for Metadata {
     fn from(a: &Announcement) -> Self {
         Self {
             id: a.id.clone(),
@@ -96,11 +96,11 @@
 pub(crate) struct Entry {
     pub(crate) version: Version,
     /// `None` of an upstream that is gone, and until they arrive.
-    pub(crate) facts: Option<Arc<Facts>>,
+    pub(crate) facts: Option<Arc<Metadata>>,
     /// Digest of the facts that belong to `version`.
     pub(crate) digest: u32,
     /// Last proof of life, or the end of an upstream that is gone or silent.
-    pub(crate) since: Since,
+    pub(crate) since: PastInstant,
     /// No proof of life for the expiry time. Only a newer proof ends this.
     pub(crate) lapsed: bool,
     /// Highest sequence heard, at least that of `version`.
--- a/src/upstream/registry.rs
+++ b/src/upstream/registry.rs
@@ -6,8 +6,8 @@
 use crate::clock::Time;
 use crate::collections::HashMap;
 use crate::id::{Incarnation, InstanceId, UpstreamId};
-use crate::upstream::entry::{Entry, Facts, Since};
-use crate::upstream::wire::{FactsRecord, Renewal};
+use crate::upstream::entry::{Entry, Metadata, PastInstant};
+use crate::upstream::wire::{MetadataRecord, Renewal};
 use crate::upstream::{AnnounceError, Load, Upstream, UpstreamState, UpstreamView, short_of};
 
 mod announce;
@@ -48,19 +48,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum RegistryEffect {
     /// Tell the fleet of this record.
-    Spread(u64),
+    Broadcast(u64),
     /// Tell the fleet of this load.
-    SpreadLoad(u64),
+    BroadcastLoad(u64),
     /// Pass an announcement without news on to the instance that vouches.
-    Renew(InstanceId, Renewal),
+    ForwardRenewal(InstanceId, Renewal),
     /// Ask the sender for the facts of this record.
-    Want(u64),
+    RequestMetadata(u64),
 }
 
 /// Who is alive, as the failure detector sees it.
-pub(crate) trait Vouchers {
+pub(crate) trait InstanceLiveness {
     /// Whether the instance is alive in this incarnation.
-    fn alive(&self, id: InstanceId, boot: Incarnation) -> bool;
+    fn is_alive(&self, id: InstanceId, boot: Incarnation) -> bool;
 }
 
 /// Counts for dumps and metrics.
@@ -72,8 +72,9 @@
     pub leaving: usize,
     /// Entries kept for their order alone.
     pub retired: usize,
-    /// Entries for which this instance vouches.
-    pub vouched: usize,
+    /// Entries of which this instance is the registrar.
+    #[serde(rename = "vouched")]
+    pub registered: usize,
     /// Records refused because the table was full.
     pub refused: u64,
     /// Records that were older than the one known.
@@ -112,13 +113,13 @@
     /// Lets time pass. To be called about once a second, before other events
     /// of the same time.
     ///
-    /// Expiry goes before renewal by a voucher that is alive. After a long
+    /// Expiry goes before renewal by a registrar that is alive. After a long
     /// suspension of this process every record lapses, since the fleet may
     /// have moved on, and comes back only with a record from elsewhere.
     pub(crate) fn tick(
         &mut self,
         now: Time,
-        vouchers: &impl Vouchers,
+        liveness: &impl InstanceLiveness,
         out: &mut Vec<RegistryEffect>,
     ) {
         let own = (self.id, self.boot);
@@ -132,10 +133,10 @@
                 continue;
             }
             let version = &mut entry.version;
-            let vouched = (version.voucher, version.boot);
+            let vouched = (version.registrar, version.boot);
             if age < EXPIRY {
-                if vouched != own && vouchers.alive(vouched.0, vouched.1) {
-                    entry.since = Since::now(now);
+                if vouched != own && liveness.is_alive(vouched.0, vouched.1) {
+                    entry.since = PastInstant::now(now);
                 }
                 continue;
             }
@@ -143,7 +144,7 @@
             if vouched == own {
                 version.silent = true;
                 version.sequence = entry.latest;
-                out.push(RegistryEffect::Spread(*key));
+                out.push(RegistryEffect::Broadcast(*key));
             } else {
                 entry.lapsed = true;
             }
@@ -171,13 +172,14 @@
     pub(crate) fn counts(&self) -> RegistryCounts {
         let count = |f: &dyn Fn(&Entry) -> bool| self.entries.values().filter(|e| f(e)).count();
         let leaving = |e: &Entry| e.version.state == UpstreamState::Leaving && !e.retired();
-        let vouched =
-            |e: &Entry| (e.version.voucher, e.version.boot) == (self.id, self.boot) && !e.retired();
+        let registered = |e: &Entry| {
+            (e.version.registrar, e.version.boot) == (self.id, self.boot) && !e.retired()
+        };
         RegistryCounts {
             usable: count(&Entry::usable),
             leaving: count(&leaving),
             retired: count(&Entry::retired),
-            vouched: count(&vouched),
+            registered: count(&registered),
             refused: self.refused,
             stale: self.stale,
         }
@@ -263,9 +265,9 @@
     }
 }
 
-impl Facts {
+impl Metadata {
     /// Checksum over all fields.
     fn digest(&self) -> u32 {
-        crc32fast::hash(&prost::Message::encode_to_vec(&FactsRecord::from(self)))
+        crc32fast::hash(&prost::Message::encode_to_vec(&MetadataRecord::from(self)))
     }
 }
--- a/src/upstream/registry/announce.rs
+++ b/src/upstream/registry/announce.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use crate::clock::Time;
-use crate::upstream::entry::{Entry, Facts, Since, Version, key_of};
+use crate::upstream::entry::{Entry, Metadata, PastInstant, Version, key_of};
 use crate::upstream::registry::{
-    AnnounceOutcome, LOAD_PERIOD, LOAD_SETTLE, Registry, RegistryEffect, Vouchers,
+    AnnounceOutcome, InstanceLiveness, LOAD_PERIOD, LOAD_SETTLE, Registry, RegistryEffect,
 };
 use crate::upstream::wire::{Renewal, state_code, state_of};
 use crate::upstream::{AnnounceError, Announcement, Load, LoadLevel, UpstreamState};
@@ -16,12 +16,12 @@
         &mut self,
         now: Time,
         a: &Announcement,
-        vouchers: &impl Vouchers,
+        liveness: &impl InstanceLiveness,
         out: &mut Vec<RegistryEffect>,
     ) -> Result<AnnounceOutcome, AnnounceError> {
         a.validate()?;
         let key = key_of(&a.id);
-        let facts = Facts::from(a);
+        let facts = Metadata::from(a);
         let Some(entry) = self.entries.get_mut(&key) else {
             self.make_room(now, &a.id)?;
             self.vouch(now, key, a, facts, out);
@@ -38,7 +38,7 @@
         if outcome != AnnounceOutcome::Accepted {
             return Ok(outcome);
         }
-        if !entry.repeats(a, &facts) || !self.has_voucher(key, vouchers) {
+        if !entry.repeats(a, &facts) || !self.has_voucher(key, liveness) {
             self.vouch(now, key, a, facts, out);
             return Ok(AnnounceOutcome::Accepted);
         }
@@ -55,19 +55,19 @@
         let Version {
             incarnation, state, ..
         } = entry.version;
-        let own = (entry.version.voucher, entry.version.boot) == (id, boot);
+        let own = (entry.version.registrar, entry.version.boot) == (id, boot);
         let same = incarnation.0 == renewal.incarnation && state_of(renewal.state) == Some(state);
         if !own || !same || renewal.sequence <= entry.latest {
             return;
         }
         entry.latest = renewal.sequence;
-        entry.since = Since::now(now);
+        entry.since = PastInstant::now(now);
         self.dirty |= std::mem::take(&mut entry.lapsed);
         if entry.version.silent {
             entry.version.silent = false;
             entry.version.sequence = renewal.sequence;
             self.dirty = true;
-            out.push(RegistryEffect::Spread(renewal.key));
+            out.push(RegistryEffect::Broadcast(renewal.key));
         }
         let load = Load {
             running: renewal.running,
@@ -76,13 +76,13 @@
         self.loaded(now, renewal.key, load, out);
     }
 
-    /// Makes this instance the voucher.
+    /// Makes this instance the registrar.
     fn vouch(
         &mut self,
         now: Time,
         key: u64,
         a: &Announcement,
-        facts: Facts,
+        facts: Metadata,
         out: &mut Vec<RegistryEffect>,
     ) {
         let gone = a.state == UpstreamState::Gone;
@@ -94,12 +94,12 @@
                 state: a.state,
                 sequence: a.sequence,
                 silent: false,
-                voucher: self.id,
+                registrar: self.id,
                 boot: self.boot,
             },
             facts: (!gone).then(|| Arc::new(facts)),
             digest,
-            since: Since::now(now),
+            since: PastInstant::now(now),
             lapsed: false,
             latest: a.sequence,
             load: old.map_or(Load::default(), |e| e.load),
@@ -109,7 +109,7 @@
             shown: None,
         };
         self.insert(key, entry);
-        out.push(RegistryEffect::Spread(key));
+        out.push(RegistryEffect::Broadcast(key));
         self.loaded(now, key, a.load, out);
     }
 
@@ -119,9 +119,9 @@
             return;
         };
         entry.latest = a.sequence;
-        entry.since = Since::now(now);
-        let voucher = entry.version.voucher;
-        if voucher == self.id {
+        entry.since = PastInstant::now(now);
+        let registrar = entry.version.registrar;
+        if registrar == self.id {
             self.loaded(now, key, a.load, out);
             return;
         }
@@ -135,10 +135,10 @@
             running: a.load.running,
             waiting: a.load.waiting,
         };
-        out.push(RegistryEffect::Renew(voucher, renewal));
+        out.push(RegistryEffect::ForwardRenewal(registrar, renewal));
     }
 
-    /// Notes a load as the voucher, and reports it when it changed enough.
+    /// Notes a load as the registrar, and reports it when it changed enough.
     fn loaded(&mut self, now: Time, key: u64, load: Load, out: &mut Vec<RegistryEffect>) {
         let Some(entry) = self.entries.get_mut(&key) else {
             return;
@@ -156,15 +156,15 @@
         if report {
             entry.told = level;
             entry.told_at = now;
-            out.push(RegistryEffect::SpreadLoad(key));
+            out.push(RegistryEffect::BroadcastLoad(key));
         }
     }
 
-    /// Whether the voucher of this entry is this instance or one alive.
-    fn has_voucher(&self, key: u64, vouchers: &impl Vouchers) -> bool {
+    /// Whether the registrar of this entry is this instance or one alive.
+    fn has_voucher(&self, key: u64, liveness: &impl InstanceLiveness) -> bool {
         self.entries.get(&key).is_some_and(|entry| {
-            let vouched = (entry.version.voucher, entry.version.boot);
-            vouched == (self.id, self.boot) || vouchers.alive(vouched.0, vouched.1)
+            let vouched = (entry.version.registrar, entry.version.boot);
+            vouched == (self.id, self.boot) || liveness.is_alive(vouched.0, vouched.1)
         })
     }
 }
@@ -183,7 +183,7 @@
     }
 
     /// Whether an accepted announcement is proof of life and nothing else.
-    fn repeats(&self, a: &Announcement, facts: &Facts) -> bool {
+    fn repeats(&self, a: &Announcement, facts: &Metadata) -> bool {
         let known = (self.version.incarnation, self.version.state);
         let same = (a.incarnation, a.state) == known && !self.retired();
         same && self.facts.as_deref() == Some(facts)
--- a/src/upstream/registry/merge.rs
+++ b/src/upstream/registry/merge.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::upstream::entry::{Entry, Facts, Since, Version, key_of};
+use crate::upstream::entry::{Entry, Metadata, PastInstant, Version, key_of};
 use crate::upstream::registry::{EXPIRY, MAX_ENTRIES, RETENTION, Registry, RegistryEffect};
-use crate::upstream::wire::{FactsRecord, Loads, UpstreamRecord};
+use crate::upstream::wire::{LoadReports, MetadataRecord, UpstreamRecord};
 use crate::upstream::{Load, LoadLevel, UpstreamState, short_of};
 
 /// Records this close to their end are no longer told of, so that instances
@@ -25,7 +25,7 @@
             self.refused += 1;
             return;
         };
-        let since = Since::aged(now, Duration::from_millis(record.age.into()));
+        let since = PastInstant::aged(now, Duration::from_millis(record.age.into()));
         if since.age(now) >= RETENTION {
             return;
         }
@@ -42,7 +42,7 @@
     }
 
     /// Takes reports of load.
-    pub(crate) fn receive_loads(&mut self, loads: &Loads, out: &mut Vec<RegistryEffect>) {
+    pub(crate) fn receive_loads(&mut self, loads: &LoadReports, out: &mut Vec<RegistryEffect>) {
         let columns = loads.keys.iter().zip(&loads.incarnations);
         let columns = columns.zip(loads.sequences.iter().zip(&loads.levels));
         for ((short, incarnation), (sequence, level)) in columns {
@@ -66,13 +66,13 @@
     }
 
     /// Whether the record of `key` says all that there is to say.
-    pub(crate) fn complete(&self, key: u64) -> bool {
+    pub(crate) fn is_complete(&self, key: u64) -> bool {
         let entry = self.entries.get(&key);
         entry.is_some_and(|e| e.facts.is_some() || e.ended())
     }
 
-    /// One row of a [`Loads`]: short key, incarnation, sequence, level.
-    pub(crate) fn load_row(&self, key: u64) -> Option<(u32, u8, u64, u8)> {
+    /// One row of a [`LoadReports`]: short key, incarnation, sequence, level.
+    pub(crate) fn load_report(&self, key: u64) -> Option<(u32, u8, u64, u8)> {
         let entry = self.entries.get(&key).filter(|e| !e.retired())?;
         let incarnation = short_incarnation(&entry.version);
         Some((
@@ -99,8 +99,8 @@
         &mut self,
         now: Time,
         key: u64,
-        since: Since,
-        facts: Option<Facts>,
+        since: PastInstant,
+        facts: Option<Metadata>,
         out: &mut Vec<RegistryEffect>,
     ) {
         let own = (self.id, self.boot);
@@ -109,13 +109,13 @@
         };
         if entry.facts.is_none() && !entry.ended() {
             out.push(match facts {
-                Some(_) => RegistryEffect::Spread(key),
-                None => RegistryEffect::Want(key),
+                Some(_) => RegistryEffect::Broadcast(key),
+                None => RegistryEffect::RequestMetadata(key),
             });
             entry.facts = facts.map(Arc::new);
             self.dirty = true;
         }
-        if (entry.version.voucher, entry.version.boot) == own {
+        if (entry.version.registrar, entry.version.boot) == own {
             return;
         }
         if since.age(now) < entry.since.age(now) {
@@ -134,8 +134,8 @@
         key: u64,
         digest: u32,
         version: Version,
-        since: Since,
-        facts: Option<Facts>,
+        since: PastInstant,
+        facts: Option<Metadata>,
         out: &mut Vec<RegistryEffect>,
     ) {
         let old = self.entries.get(&key);
@@ -166,8 +166,8 @@
         let lacking = entry.facts.is_none() && !entry.ended();
         self.insert(key, entry);
         out.push(match lacking {
-            true => RegistryEffect::Want(key),
-            false => RegistryEffect::Spread(key),
+            true => RegistryEffect::RequestMetadata(key),
+            false => RegistryEffect::Broadcast(key),
         });
     }
 
@@ -186,14 +186,14 @@
             return;
         };
         let same = short_incarnation(&entry.version) == incarnation;
-        let own = (entry.version.voucher, entry.version.boot) == (self.id, self.boot);
+        let own = (entry.version.registrar, entry.version.boot) == (self.id, self.boot);
         if own || !same || sequence <= entry.loaded {
             return;
         }
         entry.loaded = sequence;
         entry.told = level;
         self.dirty |= entry.set_load(level.into());
-        out.push(RegistryEffect::SpreadLoad(*key));
+        out.push(RegistryEffect::BroadcastLoad(*key));
     }
 }
 
@@ -215,10 +215,10 @@
 
 /// The facts of a record. They must belong to its key and digest.
 fn checked_facts(
-    record: Option<FactsRecord>,
+    record: Option<MetadataRecord>,
     key: u64,
     digest: u32,
-) -> Result<Option<Facts>, BadFacts> {
+) -> Result<Option<Metadata>, BadFacts> {
     let Some(record) = record else {
         return Ok(None);
     };
--- a/src/upstream/wire.rs
+++ b/src/upstream/wire.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use crate::id::{Incarnation, InstanceId, UpstreamId};
-use crate::upstream::entry::{Facts, Version};
+use crate::upstream::entry::{Metadata, Version};
 use crate::upstream::{Engine, Serves, Service, UpstreamState};
 
 /// A record. Without `facts` the receiver uses those that it has, if their
@@ -20,7 +20,7 @@
     #[prost(uint32, tag = "4")]
     pub(crate) state: u32,
     #[prost(uint64, tag = "5")]
-    pub(crate) voucher: u64,
+    pub(crate) registrar: u64,
     #[prost(uint64, tag = "6")]
     pub(crate) boot: u64,
     /// Milliseconds since the last proof of life or the end.
@@ -29,12 +29,12 @@
     #[prost(fixed32, tag = "8")]
     pub(crate) digest: u32,
     #[prost(message, optional, tag = "9")]
-    pub(crate) facts: Option<FactsRecord>,
+    pub(crate) facts: Option<MetadataRecord>,
 }
 
 /// What seldom changes about an upstream.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct FactsRecord {
+pub(crate) struct MetadataRecord {
     #[prost(string, tag = "1")]
     id: String,
     #[prost(string, tag = "2")]
@@ -85,7 +85,7 @@
     slots: u32,
 }
 
-/// An announcement without news, passed on to the voucher.
+/// An announcement without news, passed on to the registrar.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(crate) struct Renewal {
     #[prost(fixed64, tag = "1")]
@@ -104,7 +104,7 @@
 
 /// Load reports as columns: one entry costs about nine bytes.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct Loads {
+pub(crate) struct LoadReports {
     #[prost(fixed32, repeated, tag = "1")]
     pub(crate) keys: Vec<u32>,
     /// Lowest seven bits of each incarnation.
@@ -146,7 +146,7 @@
             incarnation: version.incarnation.0,
             sequence: version.sequence,
             state: state_code(version.state) | silent,
-            voucher: version.voucher.0,
+            registrar: version.registrar.0,
             boot: version.boot.0,
             age,
             digest,
@@ -161,14 +161,14 @@
             state: state_of(self.state & !SILENT)?,
             sequence: self.sequence,
             silent: self.state & SILENT != 0,
-            voucher: InstanceId(self.voucher),
+            registrar: InstanceId(self.registrar),
             boot: Incarnation(self.boot),
         })
     }
 }
 
-impl From<&Facts> for FactsRecord {
-    fn from(facts: &Facts) -> Self {
+impl From<&Metadata> for MetadataRecord {
+    fn from(facts: &Metadata) -> Self {
         Self {
             id: facts.id.0.to_string(),
             address: facts.address.to_string(),
@@ -201,10 +201,10 @@
     }
 }
 
-impl FactsRecord {
+impl MetadataRecord {
     /// The facts, or `None` when they are incomplete.
-    pub(crate) fn facts(self) -> Option<Facts> {
-        Some(Facts {
+    pub(crate) fn facts(self) -> Option<Metadata> {
+        Some(Metadata {
             id: UpstreamId(self.id.into()),
             address: self.address.parse::<SocketAddr>().ok()?,
             domain: self.domain,
