--- a/src/control/voters.rs
+++ b/src/control/voters.rs
@@ -8,7 +8,7 @@
 
 use super::{Answer, COMMIT, Control, Problem, json, no_leader, not_found, problem};
 use crate::event;
-use crate::message::{self, Ask, AskGroup, ChangeVoter, GroupReply, VoterChanged};
+use crate::message::{self, Ask, ChangeVoter, GroupStatusReply, GroupStatusRequest, VoterChanged};
 use crate::propose::Proposer;
 
 /// Pause before a leader is asked again for a newcomer it hasn't heard of.
@@ -79,12 +79,12 @@
         Err(voter_problem(VoterChanged::NotFound))
     }
 
-    async fn group_state(&self, proposer: &Proposer) -> Result<GroupReply, Problem> {
-        let ask = Ask::Group(AskGroup {
+    async fn group_state(&self, proposer: &Proposer) -> Result<GroupStatusReply, Problem> {
+        let ask = Ask::GroupStatus(GroupStatusRequest {
             group: proposer.group(),
         });
         match proposer.ask_leader(ask, COMMIT).await {
-            Some(message::Answer::Group(reply)) => Ok(reply),
+            Some(message::Answer::GroupStatus(reply)) => Ok(reply),
             _ => Err(no_leader()),
         }
     }
@@ -97,7 +97,7 @@
         store: u64,
         remove: bool,
     ) -> Result<VoterChanged, Problem> {
-        let ask = Ask::Member(ChangeVoter {
+        let ask = Ask::ChangeVoter(ChangeVoter {
             group: proposer.group(),
             instance,
             remove,
@@ -106,7 +106,7 @@
         let end = Instant::now() + COMMIT;
         loop {
             let answer = proposer.ask_leader(ask.clone(), COMMIT).await;
-            let Some(message::Answer::Changed(changed)) = answer else {
+            let Some(message::Answer::VoterChanged(changed)) = answer else {
                 return Err(no_leader());
             };
             let changed = VoterChanged::try_from(changed).unwrap_or(VoterChanged::Unknown);
--- a/src/controller/heartbeat.rs
+++ b/src/controller/heartbeat.rs
@@ -119,7 +119,7 @@
             ask: Some(Ask::Heartbeats(batch)),
         };
         match self.peers.call(leader, request, TAKE).await.ok()?.answer {
-            Some(Answer::Taken(taken)) => Some(taken),
+            Some(Answer::Heartbeats(taken)) => Some(taken),
             _ => None,
         }
     }
@@ -138,6 +138,6 @@
                 self.note(&mut board, news);
             }
         }
-        Answer::Taken(Taken { unknown })
+        Answer::Heartbeats(Taken { unknown })
     }
 }
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -14,7 +14,7 @@
 use crate::clock::Time;
 use crate::id::InstanceId;
 use crate::lease::LeasedCatalogue;
-use crate::message::FeedReply;
+use crate::message::CatalogueReply;
 
 /// A poll for all commands after index `applied`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,7 +65,7 @@
     }
 
     /// Handles the reply to a poll.
-    pub(crate) fn on_reply(&mut self, poll: Poll, feed: &FeedReply) {
+    pub(crate) fn on_reply(&mut self, poll: Poll, feed: &CatalogueReply) {
         let before = self.book.catalogue_revision();
         if !feed.snapshot.is_empty() && !self.restore(&feed.snapshot) {
             return self.on_failure(poll);
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -25,7 +25,7 @@
 use crate::id::Incarnation;
 use crate::lease::LeasedCatalogue;
 use crate::log;
-use crate::node::{CATALOGUE_GROUP, CLAIM_GROUP, CLAIM_SHARDS, Node, Vote, spread};
+use crate::node::{CATALOGUE_GROUP, CLAIM_GROUP, CLAIM_SHARDS, LocalVoter, Node, order_voters};
 use crate::peer::{self, Peers};
 use crate::periodic::{keep_claims, keep_shares, start_views};
 use crate::poll::Poller;
@@ -99,12 +99,12 @@
 
         let peers = Peers::new(settings.key.clone(), peer_runtime.handle().clone());
         for (id, addr) in &settings.voters {
-            peers.learn(*id, *addr);
+            peers.set_address(*id, *addr);
         }
-        let vote = start_vote(&settings, &clock, &peers, &supervisor)?;
+        let local = start_voter(&settings, &clock, &peers, &supervisor)?;
         let mut voters: Vec<_> = settings.voters.keys().copied().collect();
-        spread(&mut voters, settings.instance);
-        let node = Node::new(settings.instance, peers.clone(), vote, voters.clone());
+        order_voters(&mut voters, settings.instance);
+        let node = Node::new(settings.instance, peers.clone(), local, voters.clone());
         let fleet = start_fleet(&settings, &clock, incarnation, &supervisor)?;
 
         let force = Arc::new(LeasedCatalogue::new());
@@ -220,8 +220,8 @@
 
     fn stop(self) {
         self.fleet.stop();
-        if let Some(vote) = self.node.vote() {
-            vote.voter.stop();
+        if let Some(local) = self.node.local_voter() {
+            local.voter.stop();
         }
         self.caller_runtime.shutdown_timeout(LINGER);
         self.control_runtime.shutdown_background();
@@ -244,12 +244,12 @@
     built.map_err(|e| start_error(name, &e))
 }
 
-fn start_vote(
+fn start_voter(
     settings: &Settings,
     clock: &Arc<dyn Clock>,
     peers: &Peers,
     supervisor: &Supervisor,
-) -> Result<Option<Vote>> {
+) -> Result<Option<LocalVoter>> {
     let Some(data) = settings.data.clone() else {
         return Ok(None);
     };
@@ -283,7 +283,7 @@
             panic!("the voter's store failed: {e}");
         }
     });
-    Ok(Some(Vote {
+    Ok(Some(LocalVoter {
         read_batcher: ReadBatcher::start(voter.clone(), CATALOGUE_GROUP, peers.runtime()),
         voter,
         catalogue,
@@ -370,7 +370,10 @@
                 queued: serving.queued(),
                 draining: gate.closed(),
             },
-            groups: node.vote().map(|v| v.voter.status()).unwrap_or_default(),
+            groups: node
+                .local_voter()
+                .map(|v| v.voter.status())
+                .unwrap_or_default(),
             fleet: fleet.dump(),
             bounds: serving.bounds().into_iter().collect(),
         }
--- a/src/message.rs
+++ b/src/message.rs
@@ -46,19 +46,19 @@
 pub(crate) enum Ask {
     /// For the catalogue.
     #[prost(message, tag = "1")]
-    Follow(Follow),
+    Catalogue(CatalogueRequest),
     /// For a command to be committed.
     #[prost(message, tag = "2")]
     Propose(Propose),
     /// For shares of the limits.
     #[prost(message, tag = "3")]
-    Share(limit::ShareRequest),
+    LimitShares(limit::ShareRequest),
     /// For a change of the voters of a group.
     #[prost(message, tag = "4")]
-    Member(ChangeVoter),
+    ChangeVoter(ChangeVoter),
     /// For the state of a group as its leader sees it.
     #[prost(message, tag = "5")]
-    Group(AskGroup),
+    GroupStatus(GroupStatusRequest),
     /// For what an entry instance misses.
     #[prost(message, tag = "6")]
     Sync(crate::sync::Sync),
@@ -70,10 +70,10 @@
 /// Asks a voter for what the sender misses of the catalogue, confirmed after
 /// the request arrived.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Follow {
+pub(crate) struct CatalogueRequest {
     /// Index of the last command that the sender has applied.
     #[prost(uint64, tag = "1")]
-    pub have: u64,
+    pub applied: u64,
 }
 
 /// Asks a voter to commit a command.
@@ -122,7 +122,7 @@
 
 /// Asks the leader of a group for its state.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct AskGroup {
+pub(crate) struct GroupStatusRequest {
     /// Group of the replicated log.
     #[prost(uint32, tag = "1")]
     pub group: u32,
@@ -130,7 +130,7 @@
 
 /// State of a group as its leader sees it.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct GroupReply {
+pub(crate) struct GroupStatusReply {
     /// Its members.
     #[prost(message, repeated, tag = "1")]
     pub members: Vec<replica::Member>,
@@ -155,7 +155,7 @@
 pub(crate) enum Answer {
     /// What the follower misses.
     #[prost(message, tag = "1")]
-    Feed(FeedReply),
+    Catalogue(CatalogueReply),
     /// The reply of the state machine to the committed command.
     #[prost(bytes = "bytes", tag = "2")]
     Committed(bytes::Bytes),
@@ -164,7 +164,7 @@
     NotLeader(u64),
     /// Whether the command is or will be committed isn't known.
     #[prost(bool, tag = "4")]
-    Unknown(bool),
+    OutcomeUnknown(bool),
     /// The asked instance has no vote or no leader to ask.
     #[prost(bool, tag = "5")]
     Unavailable(bool),
@@ -173,21 +173,21 @@
     Grant(limit::Grant),
     /// What became of a change of the voters.
     #[prost(enumeration = "VoterChanged", tag = "7")]
-    Changed(i32),
+    VoterChanged(i32),
     /// The state of a group.
     #[prost(message, tag = "8")]
-    Group(GroupReply),
+    GroupStatus(GroupStatusReply),
     /// What an entry instance missed.
     #[prost(message, tag = "9")]
     State(Box<crate::sync::State>),
     /// What became of heartbeats.
     #[prost(message, tag = "10")]
-    Taken(crate::relay::Taken),
+    Heartbeats(crate::relay::Taken),
 }
 
 /// What a follower misses of the catalogue.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct FeedReply {
+pub(crate) struct CatalogueReply {
     /// Everything committed before the request arrived is contained.
     #[prost(message, repeated, tag = "1")]
     pub commands: Vec<Command>,
@@ -199,7 +199,7 @@
     pub voters: Vec<u64>,
 }
 
-impl FeedReply {
+impl CatalogueReply {
     /// The message that carries `feed`.
     pub(crate) fn new(feed: Feed, voters: Vec<u64>) -> Self {
         let empty = Self {
--- a/src/node.rs
+++ b/src/node.rs
@@ -14,7 +14,8 @@
 use crate::id::InstanceId;
 use crate::limit;
 use crate::message::{
-    Answer, Ask, ChangeVoter, FeedReply, Follow, GroupReply, Propose, Reply, Request, VoterChanged,
+    Answer, Ask, CatalogueReply, CatalogueRequest, ChangeVoter, GroupStatusReply, Propose, Reply,
+    Request, VoterChanged,
 };
 use crate::peer::{Handler, NoReply, Peers, ReplySink};
 use crate::replica::{self, Change, Peer, Role};
@@ -31,9 +32,9 @@
 /// instances, and stay so while claims live.
 pub(crate) const CLAIM_SHARDS: u32 = 1;
 
-/// The vote of an instance that has one.
+/// The voter of an instance that has one.
 #[derive(Clone)]
-pub(crate) struct Vote {
+pub(crate) struct LocalVoter {
     /// The replicas of this instance.
     pub(crate) voter: Voter,
     /// The catalogue as applied here.
@@ -45,7 +46,7 @@
     pub(crate) clock: Arc<dyn Clock>,
 }
 
-impl Vote {
+impl LocalVoter {
     fn status(&self, group: u32) -> Option<GroupStatus> {
         self.voter.status().into_iter().find(|s| s.group == group)
     }
@@ -72,7 +73,7 @@
 struct Inner {
     instance: InstanceId,
     peers: Peers,
-    vote: Option<Vote>,
+    voter: Option<LocalVoter>,
     /// Voters as last heard of. Never empty.
     voters: ArcSwap<Vec<InstanceId>>,
 }
@@ -82,17 +83,17 @@
 pub(crate) struct Node(Arc<Inner>);
 
 impl Node {
-    /// `vote` is `None` on an instance without a vote.
+    /// `voter` is `None` on an instance without a voter.
     pub(crate) fn new(
         instance: InstanceId,
         peers: Peers,
-        vote: Option<Vote>,
+        voter: Option<LocalVoter>,
         voters: Vec<InstanceId>,
     ) -> Self {
         Self(Arc::new(Inner {
             instance,
             peers,
-            vote,
+            voter,
             voters: ArcSwap::from_pointee(voters),
         }))
     }
@@ -104,17 +105,17 @@
     }
 
     /// Learns the voters from a voter's answer.
-    pub(crate) fn learn_voters(&self, voters: &[u64]) {
+    pub(crate) fn set_voters(&self, voters: &[u64]) {
         let mut voters: Vec<_> = voters.iter().copied().map(InstanceId).collect();
-        spread(&mut voters, self.0.instance);
+        order_voters(&mut voters, self.0.instance);
         if !voters.is_empty() && voters != *self.voters() {
             self.0.voters.store(Arc::new(voters));
         }
     }
 
-    /// The vote, on an instance that has one.
-    pub(crate) fn vote(&self) -> Option<&Vote> {
-        self.0.vote.as_ref()
+    /// The voter, on an instance that has one.
+    pub(crate) fn local_voter(&self) -> Option<&LocalVoter> {
+        self.0.voter.as_ref()
     }
 
     /// Asks an instance, which may be this one.
@@ -141,15 +142,19 @@
         let answer = |answer| Reply {
             answer: Some(answer),
         };
-        let Some(vote) = self.0.vote.clone() else {
+        let Some(local) = self.0.voter.clone() else {
             return done(answer(Answer::Unavailable(true)));
         };
         match request.ask {
-            Some(Ask::Follow(follow)) => feed(&vote, follow, move |a| done(answer(a))),
-            Some(Ask::Share(ask)) => share(&vote, ask, move |a| done(answer(a))),
-            Some(Ask::Propose(propose)) => commit(&vote, propose, move |a| done(answer(a))),
-            Some(Ask::Member(change)) => change_voter(&vote, change, move |a| done(answer(a))),
-            Some(Ask::Group(ask)) => done(answer(group(&vote, ask.group))),
+            Some(Ask::Catalogue(request)) => {
+                send_catalogue(&local, request, move |a| done(answer(a)))
+            }
+            Some(Ask::LimitShares(ask)) => grant_shares(&local, ask, move |a| done(answer(a))),
+            Some(Ask::Propose(propose)) => commit(&local, propose, move |a| done(answer(a))),
+            Some(Ask::ChangeVoter(change)) => {
+                change_voter(&local, change, move |a| done(answer(a)))
+            }
+            Some(Ask::GroupStatus(ask)) => done(answer(group_status(&local, ask.group))),
             // Only controllers know it.
             Some(Ask::Sync(_) | Ask::Heartbeats(_)) => done(answer(Answer::Unavailable(true))),
             // Of a later release: no answer is the only honest one.
@@ -158,28 +163,36 @@
     }
 }
 
-fn feed(vote: &Vote, follow: Follow, done: impl FnOnce(Answer) + Send + 'static) {
-    let reader = vote.clone();
+fn send_catalogue(
+    local: &LocalVoter,
+    request: CatalogueRequest,
+    done: impl FnOnce(Answer) + Send + 'static,
+) {
+    let reader = local.clone();
     let read = move |confirmed: bool| {
         if !confirmed {
             return done(Answer::Unavailable(true));
         }
         let voters = reader.voters(CATALOGUE_GROUP);
-        let feed = reader.catalogue.feed(follow.have);
-        done(Answer::Feed(FeedReply::new(feed, voters)));
+        let feed = reader.catalogue.feed(request.applied);
+        done(Answer::Catalogue(CatalogueReply::new(feed, voters)));
     };
-    vote.read_batcher.confirm(Box::new(read));
+    local.read_batcher.confirm(Box::new(read));
 }
 
 /// Grants shares, if this instance leads in one and the same term before and
 /// after a quorum has confirmed the leader. Then it led at the confirmation,
 /// and whoever leads later starts its allocator later than this grant's
 /// question was sent. A former leader that doesn't know yet can't pass.
-fn share(vote: &Vote, ask: limit::ShareRequest, done: impl FnOnce(Answer) + Send + 'static) {
-    let Some(term) = vote.leads(CATALOGUE_GROUP) else {
-        return done(Answer::NotLeader(vote.leader(CATALOGUE_GROUP)));
+fn grant_shares(
+    local: &LocalVoter,
+    ask: limit::ShareRequest,
+    done: impl FnOnce(Answer) + Send + 'static,
+) {
+    let Some(term) = local.leads(CATALOGUE_GROUP) else {
+        return done(Answer::NotLeader(local.leader(CATALOGUE_GROUP)));
     };
-    let reader = vote.clone();
+    let reader = local.clone();
     let read = move |confirmed: bool| {
         if !confirmed || reader.leads(CATALOGUE_GROUP) != Some(term) {
             return done(Answer::NotLeader(reader.leader(CATALOGUE_GROUP)));
@@ -191,18 +204,18 @@
             None => done(Answer::Unavailable(true)),
         }
     };
-    vote.read_batcher.confirm(Box::new(read));
+    local.read_batcher.confirm(Box::new(read));
 }
 
 /// The state of a group, if this instance leads it.
-fn group(vote: &Vote, group: u32) -> Answer {
-    let Some(status) = vote.status(group) else {
+fn group_status(local: &LocalVoter, group: u32) -> Answer {
+    let Some(status) = local.status(group) else {
         return Answer::Unavailable(true);
     };
     if !status.leads {
         return Answer::NotLeader(status.leader.map_or(0, |id| id.0));
     }
-    Answer::Group(GroupReply {
+    Answer::GroupStatus(GroupStatusReply {
         members: status.members,
         strangers: status.strangers,
         leader: status.me.id,
@@ -210,8 +223,8 @@
 }
 
 /// Adds the store that an instance offers, or removes the one it has.
-fn change_voter(vote: &Vote, ask: ChangeVoter, done: impl FnOnce(Answer) + Send + 'static) {
-    let Some(status) = vote.status(ask.group) else {
+fn change_voter(local: &LocalVoter, ask: ChangeVoter, done: impl FnOnce(Answer) + Send + 'static) {
+    let Some(status) = local.status(ask.group) else {
         return done(Answer::Unavailable(true));
     };
     if !status.leads {
@@ -223,31 +236,32 @@
     } else {
         let offered = |p: &Peer| p.id == ask.instance && p.store == ask.store;
         if status.members.iter().any(|m| offered(&m.peer())) {
-            return done(Answer::Changed(VoterChanged::Done.into()));
+            return done(Answer::VoterChanged(VoterChanged::Done.into()));
         }
         let stranger = status.strangers.iter().find(|p| offered(p));
         stranger.copied().map(Change::Add)
     };
     let Some(change) = change else {
-        return done(Answer::Changed(VoterChanged::NotFound.into()));
+        return done(Answer::VoterChanged(VoterChanged::NotFound.into()));
     };
     let changed = move |result: Result<(), ChangeError>| {
         done(match result {
-            Ok(()) => Answer::Changed(VoterChanged::Done.into()),
-            Err(ChangeError::Busy) => Answer::Changed(VoterChanged::Busy.into()),
-            Err(ChangeError::Unsafe) => Answer::Changed(VoterChanged::Unsafe.into()),
-            Err(ChangeError::Unknown) => Answer::Changed(VoterChanged::Unknown.into()),
+            Ok(()) => Answer::VoterChanged(VoterChanged::Done.into()),
+            Err(ChangeError::Busy) => Answer::VoterChanged(VoterChanged::Busy.into()),
+            Err(ChangeError::Unsafe) => Answer::VoterChanged(VoterChanged::Unsafe.into()),
+            Err(ChangeError::Unknown) => Answer::VoterChanged(VoterChanged::Unknown.into()),
             Err(ChangeError::NotLeader { hint }) => Answer::NotLeader(hint.map_or(0, |id| id.0)),
             Err(ChangeError::Stopped) => Answer::Unavailable(true),
         });
     };
-    vote.voter
+    local
+        .voter
         .change_member(ask.group, change, Box::new(changed));
 }
 
 /// Puts `own` first if it is among `voters`; else begins at a place that
 /// depends on it.
-pub(crate) fn spread(voters: &mut [InstanceId], own: InstanceId) {
+pub(crate) fn order_voters(voters: &mut [InstanceId], own: InstanceId) {
     if voters.is_empty() {
         return;
     }
@@ -257,24 +271,25 @@
     voters.rotate_left(at.unwrap_or(other));
 }
 
-fn commit(vote: &Vote, propose: Propose, done: impl FnOnce(Answer) + Send + 'static) {
+fn commit(local: &LocalVoter, propose: Propose, done: impl FnOnce(Answer) + Send + 'static) {
     let proposed = move |result: Result<Vec<u8>, ProposeError>| {
         done(match result {
             Ok(reply) => Answer::Committed(reply.into()),
             Err(ProposeError::NotLeader { hint }) => Answer::NotLeader(hint.map_or(0, |id| id.0)),
             Err(ProposeError::Stopped | ProposeError::Busy) => Answer::Unavailable(true),
-            Err(ProposeError::Unknown) => Answer::Unknown(true),
+            Err(ProposeError::Unknown) => Answer::OutcomeUnknown(true),
         });
     };
     let command = propose.command;
-    vote.voter
+    local
+        .voter
         .propose(propose.group, command, Box::new(proposed));
 }
 
 impl Handler for Node {
     fn deliver(&self, message: replica::Message) {
-        if let Some(vote) = self.vote() {
-            vote.voter.deliver(message);
+        if let Some(local) = self.local_voter() {
+            local.voter.deliver(message);
         }
     }
 
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -128,7 +128,7 @@
     }
 
     /// Learns or corrects the address of a peer.
-    pub(crate) fn learn(&self, peer: InstanceId, addr: SocketAddr) {
+    pub(crate) fn set_address(&self, peer: InstanceId, addr: SocketAddr) {
         let mut addresses = self.0.addresses.write().expect("no holder panics");
         addresses.insert(peer, addr);
     }
--- a/src/periodic.rs
+++ b/src/periodic.rs
@@ -35,7 +35,7 @@
         serving.share_due().await;
         let Some(ask) = serving.ask() else { continue };
         let request = Request {
-            ask: Some(Ask::Share(ask)),
+            ask: Some(Ask::LimitShares(ask)),
         };
         let to = leader.target();
         match node.call(to, request, SHARE_LIMIT).await.map(|r| r.answer) {
@@ -56,7 +56,7 @@
     let mut ticker = Ticker::new(CLAIM_TICK);
     loop {
         tokio::time::sleep(CLAIM_TICK).await;
-        let leads = node.vote().and_then(|v| v.leads(group)).is_some();
+        let leads = node.local_voter().and_then(|v| v.leads(group)).is_some();
         let action = ticker.poll(clock.now()).filter(|_| leads);
         let Some(action) = action else { continue };
         let reply = claims.propose(action.into_bytes().into(), CLAIM_TICK).await;
@@ -89,7 +89,7 @@
                 viewed = Instant::now();
                 serving.refresh();
                 for member in &fleet.members().members {
-                    peers.learn(member.id, member.peer);
+                    peers.set_address(member.id, member.peer);
                 }
             }
         }
--- a/src/poll.rs
+++ b/src/poll.rs
@@ -8,7 +8,7 @@
 use crate::catalogue::Past;
 use crate::clock::Clock;
 use crate::follow::CatalogueFollower;
-use crate::message::{Answer, Ask, Follow, Request};
+use crate::message::{Answer, Ask, CatalogueRequest, Request};
 use crate::node::Node;
 
 /// Longest delay before another voter is polled after a failure.
@@ -74,14 +74,16 @@
     async fn poll_once(&self) -> bool {
         let poll = self.lock().poll(self.clock.now());
         let request = Request {
-            ask: Some(Ask::Follow(Follow { have: poll.applied })),
+            ask: Some(Ask::Catalogue(CatalogueRequest {
+                applied: poll.applied,
+            })),
         };
         let reply = self.node.call(poll.voter, request, self.limit).await;
         let mut follower = self.lock();
         match reply.map(|r| r.answer) {
-            Ok(Some(Answer::Feed(feed))) => {
+            Ok(Some(Answer::Catalogue(feed))) => {
                 follower.on_reply(poll, &feed);
-                self.node.learn_voters(&feed.voters);
+                self.node.set_voters(&feed.voters);
                 follower.set_voters(&self.node.voters());
                 true
             }
--- a/src/tests/follow.rs
+++ b/src/tests/follow.rs
@@ -15,7 +15,7 @@
 use crate::follow::{CatalogueFollower, Poll};
 use crate::id::InstanceId;
 use crate::lease::LeasedCatalogue;
-use crate::message::FeedReply;
+use crate::message::CatalogueReply;
 use crate::voter::StateMachine;
 
 const LEASE: Duration = Duration::from_secs(4);
@@ -76,8 +76,8 @@
         }
     }
 
-    fn feed(&self, have: u64) -> FeedReply {
-        FeedReply::new(self.shared.feed(have), Vec::new())
+    fn feed(&self, have: u64) -> CatalogueReply {
+        CatalogueReply::new(self.shared.feed(have), Vec::new())
     }
 }
 
@@ -85,7 +85,7 @@
 struct InFlight {
     due: u64,
     poll: Poll,
-    feed: FeedReply,
+    feed: CatalogueReply,
 }
 
 struct World {
--- a/src/tests/peer.rs
+++ b/src/tests/peer.rs
@@ -69,7 +69,7 @@
     let silent = Arc::new(AtomicUsize::new(0));
     let listener = TcpListener::bind(local).await.unwrap();
     let peers = Peers::new(key, Handle::current());
-    peers.learn(PEER, listener.local_addr().unwrap());
+    peers.set_address(PEER, listener.local_addr().unwrap());
     tokio::spawn(relay(listener, peer, Arc::clone(&silent)));
     (peers, silent)
 }
