--- a/src/gossip/driver.rs
+++ b/src/gossip/driver.rs
@@ -59,7 +59,7 @@
     socket: UdpSocket,
     clock: Arc<dyn Clock>,
     shared: Arc<Shared>,
-    period: Duration,
+    probe_period: Duration,
     overflow: Arc<std::sync::atomic::AtomicU64>,
     last_turn: Time,
     failed: u64,
@@ -76,7 +76,7 @@
     let socket = fleet::bind(settings.bind)?;
     let bound = fleet::local_address(&socket, settings.bind)?;
     let reader = fleet::reader(&socket, settings.bind, READ_TIMEOUT)?;
-    let period = settings.period;
+    let probe_period = settings.probe_period;
     let mut address = settings.gossip;
     if address.port() == 0 {
         address.set_port(bound.port());
@@ -89,7 +89,7 @@
         socket,
         clock,
         shared,
-        period,
+        probe_period,
         overflow: Arc::clone(&overflow),
         last_turn: now,
         failed: 0,
@@ -134,8 +134,8 @@
         own,
         seeds: settings.seeds,
         key: settings.key,
-        period: settings.period,
-        seed: settings.seed,
+        probe_period: settings.probe_period,
+        rng_seed: settings.rng_seed,
     }
 }
 
@@ -168,7 +168,7 @@
 
 impl Driver {
     fn run(&mut self, commands: &Receiver<Command>, datagrams: &Receiver<Incoming>) {
-        let turns = tick(self.period / TURNS);
+        let turns = tick(self.probe_period / TURNS);
         loop {
             let goes_on = select_biased! {
                 recv(turns) -> _ => {
@@ -219,7 +219,7 @@
                 "the process was suspended"
             );
         }
-        if gap >= self.period / TURNS {
+        if gap >= self.probe_period / TURNS {
             self.last_turn = now;
             self.node.step(now, NodeEvent::Tick, &mut self.out);
             self.publish(now);
@@ -278,7 +278,7 @@
             .step(self.clock.now(), NodeEvent::Leave, &mut self.out);
         for _ in 0..FAREWELL {
             self.flush();
-            std::thread::sleep(self.period / TURNS);
+            std::thread::sleep(self.probe_period / TURNS);
             let now = self.clock.now();
             self.node.farewell(now, &mut self.out);
         }
--- a/src/gossip/fleet.rs
+++ b/src/gossip/fleet.rs
@@ -50,9 +50,9 @@
     /// Secret of the fleet.
     pub key: FleetKey,
     /// Time between two probes. One second suits a fleet in service.
-    pub period: Duration,
+    pub probe_period: Duration,
     /// Seed of random choices. Each instance takes another one.
-    pub seed: u64,
+    pub rng_seed: u64,
 }
 
 /// Why an instance can't take part in the fleet.
@@ -210,7 +210,7 @@
             remedy: "use 20 ms to 10 s",
         };
         let bounds = Duration::from_millis(20)..=Duration::from_secs(10);
-        ensure!(bounds.contains(&self.period), period);
+        ensure!(bounds.contains(&self.probe_period), period);
         Ok(())
     }
 }
--- a/src/gossip/node.rs
+++ b/src/gossip/node.rs
@@ -57,9 +57,9 @@
     /// Secret of the fleet.
     pub key: FleetKey,
     /// Time between two probes.
-    pub period: Duration,
+    pub probe_period: Duration,
     /// Seed of all random choices.
-    pub seed: u64,
+    pub rng_seed: u64,
 }
 
 /// What happens to a node.
@@ -107,7 +107,7 @@
     load_rumours: Rumours<u64>,
     key: FleetKey,
     traffic: TrafficCounts,
-    period: Duration,
+    probe_period: Duration,
     last_tick: Time,
     /// End of the last suspension of this process.
     woke: Option<Time>,
@@ -129,12 +129,16 @@
             own,
             seeds,
             key,
-            period,
-            seed,
+            probe_period,
+            rng_seed,
         } = settings;
-        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(rng_seed);
         let registry = Registry::new(own.id, own.incarnation);
-        let detector = DetectorSettings { own, seeds, period };
+        let detector = DetectorSettings {
+            own,
+            seeds,
+            probe_period,
+        };
         let detector_rng = ChaCha8Rng::seed_from_u64(rng.random());
         Self {
             members: Membership::new(now, detector, detector_rng),
@@ -144,13 +148,13 @@
             load_rumours: Rumours::new(),
             key,
             traffic: TrafficCounts::default(),
-            period,
+            probe_period,
             last_tick: now,
             woke: None,
             next_round: now,
             next_loads: now,
             answers: ANSWERS,
-            next_sync: now + period,
+            next_sync: now + probe_period,
             next_pass: now,
             rng,
             out: Vec::new(),
@@ -303,17 +307,18 @@
         self.members.tick(now, &mut effects);
         self.on_members(now, effects, None);
         if now >= self.next_sync {
-            self.next_sync = now + (self.period * SYNC).mul_f64(self.rng.random_range(0.75..1.25));
+            self.next_sync =
+                now + (self.probe_period * SYNC).mul_f64(self.rng.random_range(0.75..1.25));
             let peers = self.members.pick(1);
             peers.into_iter().for_each(|to| self.compare(now, to));
         }
         if now >= self.next_round {
-            self.next_round = now + self.period / ROUNDS;
+            self.next_round = now + self.probe_period / ROUNDS;
             self.answers = ANSWERS;
             self.send_round(now);
         }
         if now >= self.next_loads {
-            self.next_loads = now + self.period / LOAD_ROUNDS;
+            self.next_loads = now + self.probe_period / LOAD_ROUNDS;
             self.send_loads();
         }
     }
--- a/src/gossip/node/receive.rs
+++ b/src/gossip/node/receive.rs
@@ -139,7 +139,7 @@
         let offset = self.rng.random_range(0..1_024);
         let listings = sync::listings(now, buckets, offset, &self.members, &self.registry);
         if !listings.is_empty() {
-            self.next_sync = self.next_sync.min(now + self.period / 2);
+            self.next_sync = self.next_sync.min(now + self.probe_period / 2);
         }
         for listing in listings {
             self.out.push(self.datagram(from, Body::Listing(listing)));
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -308,10 +308,10 @@
         peer: settings.advertised,
         control: settings.control,
         voter: settings.data.is_some(),
-        period: GOSSIP,
+        probe_period: GOSSIP,
         seeds: seeds.filter(|s| *s != settings.advertised).collect(),
         key: settings.key.clone(),
-        seed: rand::random(),
+        rng_seed: rand::random(),
     };
     let (fleet, thread) =
         Fleet::spawn(fleet_settings, Arc::clone(clock)).map_err(|e| start_error("fleet", &e))?;
--- a/src/membership/detector.rs
+++ b/src/membership/detector.rs
@@ -53,7 +53,7 @@
     /// Addresses to join through.
     pub(crate) seeds: Vec<SocketAddr>,
     /// Time between two probes.
-    pub(crate) period: Duration,
+    pub(crate) probe_period: Duration,
 }
 
 /// What the owner of the detector must do.
@@ -102,7 +102,7 @@
     pub(super) health: u32,
     /// Probes in a row that got no answer.
     pub(super) failures: u32,
-    pub(super) period: Duration,
+    pub(super) probe_period: Duration,
     pub(super) rng: ChaCha8Rng,
     pub(super) dirty: bool,
     pub(super) seeds: Vec<SocketAddr>,
@@ -120,7 +120,7 @@
         let DetectorSettings {
             own,
             mut seeds,
-            period,
+            probe_period,
         } = settings;
         seeds.retain(|seed| *seed != own.gossip);
         let id = own.id;
@@ -146,12 +146,12 @@
             sequence: 0,
             health: 0,
             failures: 0,
-            period,
+            probe_period,
             rng,
             dirty: true,
             seeds,
             last_tick: None,
-            next_retry: now + period * RETRY,
+            next_retry: now + probe_period * RETRY,
             next_seed: now,
             version: 0,
             conflicts: 0,
@@ -299,7 +299,7 @@
     pub(super) fn suspicion(&self) -> Duration {
         let size = f64::from(u32::try_from(self.present()).unwrap_or(u32::MAX));
         let scale = size.log10().max(1.0);
-        (self.period * SUSPICION * (1 + self.health)).mul_f64(scale)
+        (self.probe_period * SUSPICION * (1 + self.health)).mul_f64(scale)
     }
 
     /// Raises the own revision with a change.
--- a/src/membership/probe.rs
+++ b/src/membership/probe.rs
@@ -105,7 +105,7 @@
     }
 
     fn start_probe(&mut self, now: Time, out: &mut Vec<MemberEffect>) {
-        self.next_probe = now + self.period;
+        self.next_probe = now + self.probe_period;
         let Some((target, to)) = self.next_target() else {
             return;
         };
@@ -116,7 +116,7 @@
             target,
             sequence,
             ask_at: now + self.patience() * stretch,
-            end_at: now + self.period * stretch,
+            end_at: now + self.probe_period * stretch,
             asked: None,
             helped: false,
         });
@@ -282,6 +282,6 @@
     }
 
     fn patience(&self) -> Duration {
-        self.period.mul_f64(PATIENCE)
+        self.probe_period.mul_f64(PATIENCE)
     }
 }
--- a/src/membership/upkeep.rs
+++ b/src/membership/upkeep.rs
@@ -44,7 +44,7 @@
         if now < self.next_retry {
             return;
         }
-        self.next_retry = now + self.period * RETRY;
+        self.next_retry = now + self.probe_period * RETRY;
         self.forget(now);
         let dead = self
             .slots
@@ -84,7 +84,7 @@
         let alone = present <= 1;
         let pause = if alone { 1 } else { RESEED.max(present / 2) };
         let jitter = self.rng.random_range(0.5..1.5);
-        self.next_seed = now + (self.period * pause).mul_f64(jitter);
+        self.next_seed = now + (self.probe_period * pause).mul_f64(jitter);
         let count = if alone { self.seeds.len() } else { 1 };
         let visited = self.seeds.sample(&mut self.rng, count);
         out.extend(visited.copied().map(MemberEffect::Sync));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -26,8 +26,8 @@
         voter: false,
         seeds: seeds.iter().map(|f| f.address()).collect(),
         key: FleetKey::new(b"secret"),
-        period: Duration::from_millis(100),
-        seed: id,
+        probe_period: Duration::from_millis(100),
+        rng_seed: id,
     };
     Fleet::spawn(settings, clock).unwrap()
 }
