--- a/examples/fleet.rs
+++ b/examples/fleet.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use laburnumquay::{MemberState, Time, UpstreamState};
-use simulation::{Shape, Simulation};
+use simulation::{Simulation, SimulationSettings};
 
 const WARM_UP: Duration = Duration::from_secs(60);
 const SPAN: Duration = Duration::from_secs(60);
@@ -28,7 +28,7 @@
         args.get(i)
             .map_or(default, |a| a.parse().expect("a number"))
     };
-    let shape = Shape {
+    let settings = SimulationSettings {
         seed: 1,
         hosts: number(2, 9.0) as usize,
         domains: 7,
@@ -36,12 +36,15 @@
         loss: number(5, 0.0),
         duplicate: 0.0,
         late: 0.0,
-        restless: number(4, 0.1),
+        load_churn: number(4, 0.1),
     };
-    let (hosts, upstreams, restless) = (shape.hosts, shape.upstreams, shape.restless);
-    print!("{},{hosts},{upstreams},{restless},{},", args[1], shape.loss);
+    let (hosts, upstreams, restless) = (settings.hosts, settings.upstreams, settings.load_churn);
+    print!(
+        "{},{hosts},{upstreams},{restless},{},",
+        args[1], settings.loss
+    );
     let before = resident();
-    let mut sim = Simulation::new(shape);
+    let mut sim = Simulation::new(settings);
     sim.run(WARM_UP, |_| ());
     match args[1].as_str() {
         "rest" => rest(&mut sim, before),
@@ -80,8 +83,8 @@
 
 fn counts(sim: &Simulation) -> Vec<[u64; 4]> {
     let count = |h: &simulation::Host| {
-        let micros = h.busy.as_micros() as u64;
-        [h.sent, h.received, h.datagrams, micros]
+        let micros = h.cpu_time.as_micros() as u64;
+        [h.bytes_sent, h.bytes_received, h.datagrams_sent, micros]
     };
     sim.hosts.iter().map(count).collect()
 }
@@ -120,7 +123,7 @@
 fn leave(sim: &mut Simulation) {
     let mut times = Vec::new();
     for trial in 0..TRIALS {
-        sim.end(trial, UpstreamState::Leaving);
+        sim.end_upstream(trial, UpstreamState::Leaving);
         let all: Vec<_> = (0..sim.hosts.len()).collect();
         times.extend(wait_for(sim, &all, |sim, h| !sim.uses(h, trial)));
         sim.run(10 * STEP, |_| ());
--- a/tests/fleet_faults.rs
+++ b/tests/fleet_faults.rs
@@ -6,12 +6,12 @@
 
 use laburnumquay::{FleetKey, MemberState, Time, UpstreamState};
 use proptest::prelude::*;
-use simulation::{Shape, Simulation};
+use simulation::{Simulation, SimulationSettings};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 fn fleet(hosts: usize, upstreams: usize) -> Simulation {
-    let mut sim = Simulation::new(Shape {
+    let mut sim = Simulation::new(SimulationSettings {
         seed: 11,
         hosts,
         domains: 3,
@@ -19,7 +19,7 @@
         loss: 0.0,
         duplicate: 0.0,
         late: 0.0,
-        restless: 0.2,
+        load_churn: 0.2,
     });
     sim.run(30 * SECOND, |_| ());
     sim
@@ -87,12 +87,12 @@
 #[test]
 fn fleet_frozen_datagrams() {
     let mut sim = fleet(9, 4);
-    sim.silence(0);
+    sim.silence_upstream(0);
     sim.run(20 * SECOND, |_| ());
     sim.freeze(5);
-    sim.renew(0);
+    sim.restart_upstream(0);
     sim.run(5 * SECOND, |_| ());
-    sim.end(0, UpstreamState::Gone);
+    sim.end_upstream(0, UpstreamState::Gone);
     sim.run(60 * SECOND, |_| ());
     sim.thaw(5);
     assert!(!sim.uses(5, 0));
@@ -107,7 +107,7 @@
     let mut sim = fleet(9, 40);
     sim.freeze(5);
     sim.run(10 * SECOND, |_| ());
-    (0..40).for_each(|u| sim.end(u, UpstreamState::Gone));
+    (0..40).for_each(|u| sim.end_upstream(u, UpstreamState::Gone));
     sim.run(60 * SECOND, |_| ());
     sim.thaw(5);
     assert_eq!(uses_any(&mut sim, 5), 0);
@@ -121,7 +121,7 @@
     let mut sim = fleet(30, 60);
     sim.partition(|i| usize::from(i == 7));
     sim.upstreams.iter_mut().for_each(|u| u.side = 0);
-    (0..60).for_each(|u| sim.end(u, UpstreamState::Leaving));
+    (0..60).for_each(|u| sim.end_upstream(u, UpstreamState::Leaving));
     sim.run(30 * SECOND, |_| ());
     assert_eq!(uses_any(&mut sim, 7), 0);
     sim.run(30 * SECOND, |sim| assert_eq!(uses_any(sim, 7), 0));
@@ -182,7 +182,7 @@
 /// instance knows every other.
 #[test]
 fn fleet_cold_start() {
-    let mut sim = Simulation::new(Shape {
+    let mut sim = Simulation::new(SimulationSettings {
         seed: 11,
         hosts: 60,
         domains: 3,
@@ -190,14 +190,14 @@
         loss: 0.0,
         duplicate: 0.0,
         late: 0.0,
-        restless: 0.2,
+        load_churn: 0.2,
     });
     let mut before = vec![0; 60];
     let mut burst = 0;
     sim.run(20 * SECOND, |sim| {
         for (host, before) in sim.hosts.iter().zip(&mut before) {
-            burst = burst.max(host.datagrams - *before);
-            *before = host.datagrams;
+            burst = burst.max(host.datagrams_sent - *before);
+            *before = host.datagrams_sent;
         }
     });
     assert!(burst <= 250, "{burst} datagrams in half a second");
@@ -244,7 +244,7 @@
 }
 
 fn small() -> Simulation {
-    let mut sim = Simulation::new(Shape {
+    let mut sim = Simulation::new(SimulationSettings {
         seed: 3,
         hosts: 2,
         domains: 1,
@@ -252,7 +252,7 @@
         loss: 0.0,
         duplicate: 0.0,
         late: 0.0,
-        restless: 0.0,
+        load_churn: 0.0,
     });
     sim.run(2 * SECOND, |_| ());
     sim
--- a/tests/fleet_random.rs
+++ b/tests/fleet_random.rs
@@ -9,7 +9,7 @@
 use laburnumquay::{MemberState, Time, UpstreamState};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use simulation::{Shape, Simulation};
+use simulation::{Simulation, SimulationSettings};
 
 /// Longest that an instance is held for alive after its end, or for dead
 /// while it is within reach. Both with up to 30% loss.
@@ -49,8 +49,8 @@
     Leave(usize),
     Gone(usize),
     Silence(usize),
-    Renew(usize),
-    Repeat(usize, usize),
+    RestartUpstream(usize),
+    Replay(usize, usize),
 }
 
 fn faults(hosts: usize, upstreams: usize) -> impl Strategy<Value = Fault> {
@@ -65,8 +65,8 @@
         (0..upstreams).prop_map(Fault::Leave),
         (0..upstreams).prop_map(Fault::Gone),
         (0..upstreams).prop_map(Fault::Silence),
-        (0..upstreams).prop_map(Fault::Renew),
-        ((0..hosts), any::<usize>()).prop_map(|(h, p)| Fault::Repeat(h, p)),
+        (0..upstreams).prop_map(Fault::RestartUpstream),
+        ((0..hosts), any::<usize>()).prop_map(|(h, p)| Fault::Replay(h, p)),
     ]
 }
 
@@ -84,11 +84,11 @@
                 .collect();
             of_domain.into_iter().for_each(|h| sim.crash(h));
         }
-        Fault::Leave(u) => sim.end(u, UpstreamState::Leaving),
-        Fault::Gone(u) => sim.end(u, UpstreamState::Gone),
-        Fault::Silence(u) => sim.silence(u),
-        Fault::Renew(u) => sim.renew(u),
-        Fault::Repeat(h, past) => sim.repeat(h, past),
+        Fault::Leave(u) => sim.end_upstream(u, UpstreamState::Leaving),
+        Fault::Gone(u) => sim.end_upstream(u, UpstreamState::Gone),
+        Fault::Silence(u) => sim.silence_upstream(u),
+        Fault::RestartUpstream(u) => sim.restart_upstream(u),
+        Fault::Replay(h, past) => sim.replay(h, past),
     }
 }
 
@@ -117,8 +117,8 @@
     fn check_traffic(&mut self, sim: &Simulation) {
         self.sent.resize(sim.hosts.len(), 0);
         for (host, sent) in sim.hosts.iter().zip(&mut self.sent) {
-            let burst = host.datagrams - *sent;
-            *sent = host.datagrams;
+            let burst = host.datagrams_sent - *sent;
+            *sent = host.datagrams_sent;
             assert!(burst <= MAX_BURST, "{burst} datagrams in half a second");
         }
     }
@@ -161,7 +161,7 @@
     /// An ended upstream isn't used beyond the bound.
     fn check_upstreams(&mut self, sim: &mut Simulation) {
         for u in 0..sim.upstreams.len() {
-            let Some(ended) = sim.upstreams[u].ended else {
+            let Some(ended) = sim.upstreams[u].ended_at else {
                 continue;
             };
             for h in 0..sim.hosts.len() {
@@ -186,17 +186,17 @@
 fn check_use(sim: &Simulation, host: usize, index: usize, ended: Time) {
     let upstream = &sim.upstreams[index];
     let near = upstream.side == sim.hosts[host].side;
-    let calm = |told: &Time| sim.disturbed + MEMBER_BOUND <= *told;
-    let (since, bound) = match upstream.told.filter(|told| near && calm(told)) {
+    let calm = |told: &Time| sim.last_fault + MEMBER_BOUND <= *told;
+    let (since, bound) = match upstream.acked_at.filter(|told| near && calm(told)) {
         Some(told) => (told, LEAVE_BOUND),
         None => (ended, EXPIRY_BOUND),
     };
-    let calm = sim.now.since(since.max(sim.disturbed));
+    let calm = sim.now.since(since.max(sim.last_fault));
     let past = sim.now.since(ended);
     assert!(
         calm <= bound && past <= ANY_BOUND,
         "{host} uses {index}, ended {past:?} ago, told {:?}, calm for {calm:?}",
-        upstream.told
+        upstream.acked_at
     );
 }
 
@@ -225,21 +225,21 @@
     for h in 0..sim.hosts.len() {
         for s in 0..sim.hosts.len() {
             let state = sim.state(h, s);
-            let lossless = sim.shape.loss == 0.0;
+            let lossless = sim.settings.loss == 0.0;
             assert!(
                 !lossless || state == Some(MemberState::Alive),
                 "{h} of {s}: {state:?}"
             );
         }
         for u in 0..sim.upstreams.len() {
-            let running = sim.upstreams[u].ended.is_none();
+            let running = sim.upstreams[u].ended_at.is_none();
             assert_eq!(sim.uses(h, u), running, "{h} of upstream {u}");
         }
     }
 }
 
-fn run_case(shape: Shape, script: &[(u64, Fault)]) {
-    let mut sim = Simulation::new(shape);
+fn run_case(settings: SimulationSettings, script: &[(u64, Fault)]) {
+    let mut sim = Simulation::new(settings);
     let mut monitor = Monitor::default();
     sim.run(Duration::from_secs(15), |sim| monitor.check(sim));
     for (pause, fault) in script {
@@ -271,7 +271,7 @@
     let script = prop::collection::vec((0..25_u64, faults(hosts, upstreams)), 1..10);
     let strategy = (any::<u64>(), losses, script);
     let outcome = runner.run(&strategy, |(seed, loss, script)| {
-        let shape = Shape {
+        let settings = SimulationSettings {
             seed,
             hosts,
             domains: 3,
@@ -279,9 +279,9 @@
             loss,
             duplicate: 0.05,
             late: 0.02,
-            restless: 0.2,
+            load_churn: 0.2,
         };
-        run_case(shape, &script);
+        run_case(settings, &script);
         Ok(())
     });
     if let Err(failure) = outcome {
@@ -315,7 +315,7 @@
 #[case(0.1, 3)]
 #[case(0.3, 6)]
 fn fleet_leaving_undisturbed(#[case] loss: f64, #[case] seconds: u64) {
-    let mut sim = Simulation::new(Shape {
+    let mut sim = Simulation::new(SimulationSettings {
         seed: 7,
         hosts: 9,
         domains: 3,
@@ -323,11 +323,11 @@
         loss,
         duplicate: 0.05,
         late: 0.0,
-        restless: 0.2,
+        load_churn: 0.2,
     });
     sim.run(Duration::from_secs(30), |_| ());
     for u in 0..sim.upstreams.len() {
-        sim.end(u, UpstreamState::Leaving);
+        sim.end_upstream(u, UpstreamState::Leaving);
         sim.run(Duration::from_secs(seconds), |_| ());
         let using = (0..9).filter(|h| sim.uses(*h, u)).count();
         assert_eq!(using, 0, "of upstream {u}");
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -24,15 +24,15 @@
 use rustix::time::{ClockId, clock_gettime};
 
 /// Headers of IPv4 and UDP, in bytes.
-pub const HEADERS: u64 = 28;
+pub const HEADER_BYTES: u64 = 28;
 
 const TICK: Duration = Duration::from_millis(100);
 const PERIOD: Duration = Duration::from_secs(1);
 const FIRST_PORT: u16 = 10_000;
 
-/// Shape of a run.
+/// Settings of a run.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct SimulationSettings {
     pub seed: u64,
     pub hosts: usize,
     pub domains: usize,
@@ -44,13 +44,13 @@
     /// Part that comes up to two seconds late.
     pub late: f64,
     /// Chance a second that the load of an upstream changes.
-    pub restless: f64,
+    pub load_churn: f64,
 }
 
 pub struct Host {
     pub node: Option<Node>,
     pub view: MemberView,
-    pub boot: u64,
+    pub incarnation: u64,
     /// Side of the partition.
     pub side: usize,
     pub domain: usize,
@@ -58,11 +58,11 @@
     /// What came while the host was frozen.
     inbox: Vec<Input>,
     /// Start of this host's clock.
-    offset: u64,
-    pub sent: u64,
-    pub received: u64,
-    pub datagrams: u64,
-    pub busy: Duration,
+    clock_offset: u64,
+    pub bytes_sent: u64,
+    pub bytes_received: u64,
+    pub datagrams_sent: u64,
+    pub cpu_time: Duration,
 }
 
 pub struct Upstream {
@@ -71,9 +71,9 @@
     /// Whether it announces itself.
     pub running: bool,
     /// When it left, was gone or fell silent.
-    pub ended: Option<Time>,
+    pub ended_at: Option<Time>,
     /// When a host that ran on for a second heard that it left or is gone.
-    pub told: Option<Time>,
+    pub acked_at: Option<Time>,
 }
 
 enum Input {
@@ -81,7 +81,7 @@
     Announcement(Box<Announcement>),
 }
 
-enum Act {
+enum Action {
     Tick(usize, u64),
     Deliver(usize, Input),
     Announce(usize),
@@ -89,64 +89,64 @@
 
 pub struct Simulation {
     pub now: Time,
-    pub shape: Shape,
+    pub settings: SimulationSettings,
     pub hosts: Vec<Host>,
     pub upstreams: Vec<Upstream>,
     /// Last fault or repair.
-    pub disturbed: Time,
+    pub last_fault: Time,
     /// Announcements that were once made, for late repeats.
     pub history: Vec<Announcement>,
     pub last_datagram: Vec<u8>,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
-    acts: std::collections::HashMap<u64, Act>,
-    order: u64,
+    actions: std::collections::HashMap<u64, Action>,
+    event_id: u64,
     rng: ChaCha8Rng,
 }
 
 impl Simulation {
-    pub fn new(shape: Shape) -> Self {
+    pub fn new(settings: SimulationSettings) -> Self {
         let mut sim = Self {
             now: Time(0),
-            rng: ChaCha8Rng::seed_from_u64(shape.seed),
+            rng: ChaCha8Rng::seed_from_u64(settings.seed),
             hosts: Vec::new(),
             upstreams: Vec::new(),
-            disturbed: Time(0),
+            last_fault: Time(0),
             history: Vec::new(),
             last_datagram: Vec::new(),
             queue: BinaryHeap::new(),
-            acts: Default::default(),
-            order: 0,
-            shape,
+            actions: Default::default(),
+            event_id: 0,
+            settings,
         };
-        for index in 0..sim.shape.hosts {
+        for index in 0..sim.settings.hosts {
             let host = Host {
                 node: None,
                 view: MemberView::default(),
-                boot: 0,
+                incarnation: 0,
                 side: 0,
-                domain: index % sim.shape.domains,
+                domain: index % sim.settings.domains,
                 frozen: false,
                 inbox: Vec::new(),
-                offset: sim.rng.random_range(0..7_200_000_000),
-                sent: 0,
-                received: 0,
-                datagrams: 0,
-                busy: Duration::ZERO,
+                clock_offset: sim.rng.random_range(0..7_200_000_000),
+                bytes_sent: 0,
+                bytes_received: 0,
+                datagrams_sent: 0,
+                cpu_time: Duration::ZERO,
             };
             sim.hosts.push(host);
             sim.start(index);
         }
-        for index in 0..sim.shape.upstreams {
+        for index in 0..sim.settings.upstreams {
             let upstream = Upstream {
                 announcement: announcement(index),
                 side: 0,
                 running: true,
-                ended: None,
-                told: None,
+                ended_at: None,
+                acked_at: None,
             };
             sim.upstreams.push(upstream);
             let at = sim.now + Duration::from_millis(sim.rng.random_range(0..1_000));
-            sim.at(at, Act::Announce(index));
+            sim.schedule(at, Action::Announce(index));
         }
         sim
     }
@@ -162,8 +162,8 @@
                 }
                 self.queue.pop();
                 self.now = at;
-                let act = self.acts.remove(&order).unwrap();
-                self.perform(act);
+                let action = self.actions.remove(&order).unwrap();
+                self.perform(action);
             }
             self.now = pause;
             check(self);
@@ -172,15 +172,15 @@
 
     /// Starts a host, with a higher incarnation and no memory.
     pub fn start(&mut self, index: usize) {
-        let seed = self.rng.random();
+        let rng_seed = self.rng.random();
         let host = &mut self.hosts[index];
-        host.boot += 1;
+        host.incarnation += 1;
         host.frozen = false;
         host.inbox.clear();
         let address = address(index);
         let own = Member {
             id: InstanceId(index as u64 + 1),
-            incarnation: Incarnation(host.boot),
+            incarnation: Incarnation(host.incarnation),
             domain: format!("domain-{}", host.domain),
             peer: address,
             gossip: address,
@@ -193,35 +193,35 @@
             own,
             seeds: (0..3).map(self::address).collect(),
             key: FleetKey::new(b"secret"),
-            period: PERIOD,
-            seed,
+            probe_period: PERIOD,
+            rng_seed,
         };
-        let now = Time(self.now.0 + host.offset);
+        let now = Time(self.now.0 + host.clock_offset);
         host.node = Some(Node::new(now, settings));
-        let boot = host.boot;
-        self.disturb();
+        let boot = host.incarnation;
+        self.note_fault();
         let at = self.now + Duration::from_micros(self.rng.random_range(0..100_000));
-        self.at(at, Act::Tick(index, boot));
+        self.schedule(at, Action::Tick(index, boot));
     }
 
     pub fn crash(&mut self, index: usize) {
         self.hosts[index].node = None;
         self.hosts[index].frozen = false;
-        self.disturb();
+        self.note_fault();
     }
 
     pub fn freeze(&mut self, index: usize) {
         self.hosts[index].frozen = self.hosts[index].node.is_some();
-        self.disturb();
+        self.note_fault();
     }
 
     /// Notes a fault. Word that was given just before it may be lost with the
     /// host that heard it.
-    fn disturb(&mut self) {
-        self.disturbed = self.now;
+    fn note_fault(&mut self) {
+        self.last_fault = self.now;
         let recent = self.now - Duration::from_secs(1);
         for upstream in &mut self.upstreams {
-            upstream.told = upstream.told.filter(|told| *told < recent);
+            upstream.acked_at = upstream.acked_at.filter(|told| *told < recent);
         }
     }
 
@@ -230,12 +230,12 @@
         if !std::mem::take(&mut self.hosts[index].frozen) {
             return;
         }
-        self.disturb();
+        self.note_fault();
         for input in std::mem::take(&mut self.hosts[index].inbox) {
-            self.input(index, input);
+            self.deliver(index, input);
         }
-        let boot = self.hosts[index].boot;
-        self.at(self.now, Act::Tick(index, boot));
+        let boot = self.hosts[index].incarnation;
+        self.schedule(self.now, Action::Tick(index, boot));
     }
 
     /// Puts hosts and upstreams on sides that don't reach each other.
@@ -246,52 +246,52 @@
         for (index, upstream) in self.upstreams.iter_mut().enumerate() {
             upstream.side = side(index);
         }
-        self.disturb();
+        self.note_fault();
     }
 
     /// Makes an upstream announce that it leaves or is gone.
-    pub fn end(&mut self, index: usize, state: UpstreamState) {
+    pub fn end_upstream(&mut self, index: usize, state: UpstreamState) {
         let now = self.now;
         let upstream = &mut self.upstreams[index];
         upstream.announcement.state = upstream.announcement.state.max(state);
-        upstream.ended.get_or_insert(now);
+        upstream.ended_at.get_or_insert(now);
         self.announce(index);
         self.upstreams[index].running &= state != UpstreamState::Gone;
     }
 
     /// Makes an upstream fall silent.
-    pub fn silence(&mut self, index: usize) {
+    pub fn silence_upstream(&mut self, index: usize) {
         let now = self.now;
         let upstream = &mut self.upstreams[index];
         upstream.running = false;
-        upstream.ended.get_or_insert(now);
+        upstream.ended_at.get_or_insert(now);
     }
 
     /// Starts an upstream again, with a higher incarnation.
-    pub fn renew(&mut self, index: usize) {
+    pub fn restart_upstream(&mut self, index: usize) {
         let upstream = &mut self.upstreams[index];
         upstream.announcement.incarnation.0 += 1;
         upstream.announcement.sequence = 0;
         upstream.announcement.state = UpstreamState::Up;
         upstream.running = true;
-        upstream.ended = None;
-        upstream.told = None;
+        upstream.ended_at = None;
+        upstream.acked_at = None;
     }
 
     /// Gives an announcement of the past to a host that runs. A host on the
     /// other side of a partition can't know that the upstream ended; for the
     /// invariants it ends anew.
-    pub fn repeat(&mut self, index: usize, past: usize) {
+    pub fn replay(&mut self, index: usize, past: usize) {
         if self.history.is_empty() || !self.runs(index) {
             return;
         }
         let past = self.history[past % self.history.len()].clone();
-        let outcome = self.give(index, &past);
+        let outcome = self.announce_to(index, &past);
         let (now, side) = (self.now, self.hosts[index].side);
-        let upstream = self.upstream(&past);
+        let upstream = self.upstream_mut(&past);
         if upstream.side != side && outcome == Ok(AnnounceOutcome::Accepted) {
-            upstream.ended = upstream.ended.map(|_| now);
-            upstream.told = None;
+            upstream.ended_at = upstream.ended_at.map(|_| now);
+            upstream.acked_at = None;
         }
     }
 
@@ -309,7 +309,7 @@
     pub fn state(&self, observer: usize, subject: usize) -> Option<MemberState> {
         let id = InstanceId(subject as u64 + 1);
         let member = self.hosts[observer].view.get(id)?;
-        let current = member.incarnation.0 == self.hosts[subject].boot;
+        let current = member.incarnation.0 == self.hosts[subject].incarnation;
         let ended = member.state >= MemberState::Dead;
         (current || !ended).then_some(member.state)
     }
@@ -324,27 +324,27 @@
 
     /// Time on the clock of a host.
     pub fn clock(&self, host: usize) -> Time {
-        Time(self.now.0 + self.hosts[host].offset)
+        Time(self.now.0 + self.hosts[host].clock_offset)
     }
 
-    fn at(&mut self, at: Time, act: Act) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order)));
-        self.acts.insert(self.order, act);
+    fn schedule(&mut self, at: Time, action: Action) {
+        self.event_id += 1;
+        self.queue.push(Reverse((at, self.event_id)));
+        self.actions.insert(self.event_id, action);
     }
 
-    fn perform(&mut self, act: Act) {
-        match act {
-            Act::Tick(index, boot) => {
-                if !self.runs(index) || self.hosts[index].boot != boot {
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::Tick(index, boot) => {
+                if !self.runs(index) || self.hosts[index].incarnation != boot {
                     return;
                 }
                 self.step(index, NodeEvent::Tick);
-                self.at(self.now + TICK, Act::Tick(index, boot));
+                self.schedule(self.now + TICK, Action::Tick(index, boot));
             }
-            Act::Deliver(index, input) => self.input(index, input),
-            Act::Announce(index) => {
-                self.at(self.now + Duration::from_secs(1), Act::Announce(index));
+            Action::Deliver(index, input) => self.deliver(index, input),
+            Action::Announce(index) => {
+                self.schedule(self.now + Duration::from_secs(1), Action::Announce(index));
                 if self.upstreams[index].running {
                     self.change_load(index);
                     self.announce(index);
@@ -371,11 +371,11 @@
         if self.history.len() < 10_000 {
             self.history.push(announcement.clone());
         }
-        self.input(host, Input::Announcement(Box::new(announcement)));
+        self.deliver(host, Input::Announcement(Box::new(announcement)));
     }
 
     fn change_load(&mut self, index: usize) {
-        if !self.rng.random_bool(self.shape.restless) {
+        if !self.rng.random_bool(self.settings.load_churn) {
             return;
         }
         let load = Load {
@@ -385,7 +385,7 @@
         self.upstreams[index].announcement.load = load;
     }
 
-    fn input(&mut self, index: usize, input: Input) {
+    fn deliver(&mut self, index: usize, input: Input) {
         if self.hosts[index].node.is_none() {
             return;
         }
@@ -396,12 +396,12 @@
         match input {
             Input::Datagram(from, bytes) => self.step(index, NodeEvent::Datagram(from, &bytes)),
             Input::Announcement(announcement) => {
-                let _ = self.give(index, &announcement);
+                let _ = self.announce_to(index, &announcement);
             }
         }
     }
 
-    fn give(
+    fn announce_to(
         &mut self,
         index: usize,
         announcement: &Announcement,
@@ -409,30 +409,30 @@
         let now = self.clock(index);
         let mut out = Vec::new();
         let host = &mut self.hosts[index];
-        let start = processor_time();
+        let start = thread_cpu_time();
         let node = host.node.as_mut().unwrap();
         let outcome = node.announce(now, announcement, &mut out);
-        host.busy += processor_time().saturating_sub(start);
+        host.cpu_time += thread_cpu_time().saturating_sub(start);
         self.send(index, out);
-        self.note_told(announcement, &outcome);
+        self.note_end_ack(announcement, &outcome);
         outcome
     }
 
-    fn upstream(&mut self, given: &Announcement) -> &mut Upstream {
+    fn upstream_mut(&mut self, given: &Announcement) -> &mut Upstream {
         let named = |u: &&mut Upstream| u.announcement.id == given.id;
         self.upstreams.iter_mut().find(named).unwrap()
     }
 
-    fn note_told(
+    fn note_end_ack(
         &mut self,
         given: &Announcement,
         outcome: &Result<AnnounceOutcome, AnnounceError>,
     ) {
         let now = self.now;
-        let upstream = self.upstream(given);
+        let upstream = self.upstream_mut(given);
         let current = upstream.announcement.incarnation == given.incarnation;
         if current && given.state != UpstreamState::Up && outcome.is_ok() {
-            upstream.told.get_or_insert(now);
+            upstream.acked_at.get_or_insert(now);
         }
     }
 
@@ -441,9 +441,9 @@
         let mut out = Vec::new();
         let host = &mut self.hosts[index];
         if let NodeEvent::Datagram(_, bytes) = event {
-            host.received += bytes.len() as u64 + HEADERS;
+            host.bytes_received += bytes.len() as u64 + HEADER_BYTES;
         }
-        let start = processor_time();
+        let start = thread_cpu_time();
         let node = host.node.as_mut().unwrap();
         node.step(now, event, &mut out);
         if matches!(event, NodeEvent::Tick) {
@@ -452,7 +452,7 @@
         if let Some(view) = node.changed_members() {
             host.view = view;
         }
-        host.busy += processor_time().saturating_sub(start);
+        host.cpu_time += thread_cpu_time().saturating_sub(start);
         self.send(index, out);
     }
 
@@ -460,35 +460,35 @@
         for datagram in out {
             self.last_datagram.clone_from(&datagram.bytes);
             let host = &mut self.hosts[from];
-            host.sent += datagram.bytes.len() as u64 + HEADERS;
-            host.datagrams += 1;
+            host.bytes_sent += datagram.bytes.len() as u64 + HEADER_BYTES;
+            host.datagrams_sent += 1;
             let to = usize::from(datagram.to.port() - FIRST_PORT);
             if to >= self.hosts.len() {
                 continue;
             }
             let cut = self.hosts[to].side != self.hosts[from].side;
-            if cut || self.rng.random_bool(self.shape.loss) {
+            if cut || self.rng.random_bool(self.settings.loss) {
                 continue;
             }
-            if self.rng.random_bool(self.shape.duplicate) {
-                self.post(from, to, datagram.bytes.clone());
+            if self.rng.random_bool(self.settings.duplicate) {
+                self.transmit(from, to, datagram.bytes.clone());
             }
-            self.post(from, to, datagram.bytes);
+            self.transmit(from, to, datagram.bytes);
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let late = self.rng.random_bool(self.shape.late);
+    fn transmit(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        let late = self.rng.random_bool(self.settings.late);
         let delay = if late { 0..2_000_000 } else { 200..1_000 };
         let at = self.now + Duration::from_micros(self.rng.random_range(delay));
         let input = Input::Datagram(address(from), bytes);
-        self.at(at, Act::Deliver(to, input));
+        self.schedule(at, Action::Deliver(to, input));
     }
 }
 
 /// Processor time of this thread. Unlike the time of day it doesn't grow while
 /// other programs use the processor.
-fn processor_time() -> Duration {
+fn thread_cpu_time() -> Duration {
     let ts = clock_gettime(ClockId::ThreadCPUTime);
     let secs = u64::try_from(ts.tv_sec).unwrap_or(0);
     Duration::from_secs(secs) + Duration::from_nanos(u64::try_from(ts.tv_nsec).unwrap_or(0))
