--- a/src/membership/detector.rs
+++ b/src/membership/detector.rs
@@ -12,7 +12,7 @@
 use crate::id::{Incarnation, InstanceId};
 use crate::membership::member::{Member, MemberDump, MemberState, MemberVersion, MemberView, Slot};
 use crate::membership::probe::{Probe, Relay};
-use crate::upstream::{Since, Vouchers};
+use crate::upstream::{InstanceLiveness, PastInstant};
 
 /// Most instances, dead ones included.
 pub(crate) const MAX_MEMBERS: usize = 1_024;
@@ -53,7 +53,7 @@
     /// Addresses to join through.
     pub(crate) seeds: Vec<SocketAddr>,
     /// Time between two probes.
-    pub(crate) period: Duration,
+    pub(crate) probe_period: Duration,
 }
 
 /// What the owner of the detector must do.
@@ -102,7 +102,7 @@
     pub(super) health: u32,
     /// Probes in a row that got no answer.
     pub(super) failures: u32,
-    pub(super) period: Duration,
+    pub(super) probe_period: Duration,
     pub(super) rng: ChaCha8Rng,
     pub(super) dirty: bool,
     pub(super) seeds: Vec<SocketAddr>,
@@ -120,7 +120,7 @@
         let DetectorSettings {
             own,
             mut seeds,
-            period,
+            probe_period,
         } = settings;
         seeds.retain(|seed| *seed != own.gossip);
         let id = own.id;
@@ -132,7 +132,7 @@
         let slot = Slot {
             member: Arc::new(own),
             version,
-            since: Since::now(now),
+            since: PastInstant::now(now),
             deadline: None,
         };
         Self {
@@ -146,12 +146,12 @@
             sequence: 0,
             health: 0,
             failures: 0,
-            period,
+            probe_period,
             rng,
             dirty: true,
             seeds,
             last_tick: None,
-            next_retry: now + period * RETRY,
+            next_retry: now + probe_period * RETRY,
             next_seed: now,
             version: 0,
             conflicts: 0,
@@ -287,7 +287,7 @@
             return;
         };
         slot.version.state = state;
-        slot.since = Since::now(now);
+        slot.since = PastInstant::now(now);
         slot.deadline = deadline;
         Arc::make_mut(&mut slot.member).state = state;
         self.dirty = true;
@@ -299,7 +299,7 @@
     pub(super) fn suspicion(&self) -> Duration {
         let size = f64::from(u32::try_from(self.present()).unwrap_or(u32::MAX));
         let scale = size.log10().max(1.0);
-        (self.period * SUSPICION * (1 + self.health)).mul_f64(scale)
+        (self.probe_period * SUSPICION * (1 + self.health)).mul_f64(scale)
     }
 
     /// Raises the own revision with a change.
@@ -328,8 +328,8 @@
 /// Guards against an instance alone behind a silent partition. It finds out
 /// about one other instance a period, which takes minutes in a large fleet;
 /// all that time it would give work to upstreams that left.
-impl Vouchers for Membership {
-    fn alive(&self, id: InstanceId, boot: Incarnation) -> bool {
+impl InstanceLiveness for Membership {
+    fn is_alive(&self, id: InstanceId, boot: Incarnation) -> bool {
         let alive = |slot: &Slot| {
             slot.version.state == MemberState::Alive && slot.version.incarnation == boot
         };
--- a/src/tests/follow.rs
+++ b/src/tests/follow.rs
@@ -8,14 +8,14 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::catalogue::{
-    CatalogueMachine, Change, Class, Entry, EntryKey, Expect, Kind, Limits, Operation,
-    Organisation, Outcome, Pool, Route, Shared, Target, digest,
+    CatalogueHandle, CatalogueMachine, Change, Class, Entry, EntryKey, Expect, Kind, Limits,
+    Operation, Organisation, Outcome, Pool, Route, Target, digest,
 };
 use crate::clock::Time;
 use crate::follow::{CatalogueFollower, Poll};
 use crate::id::InstanceId;
 use crate::lease::LeasedCatalogue;
-use crate::message::FeedReply;
+use crate::message::CatalogueReply;
 use crate::voter::StateMachine;
 
 const LEASE: Duration = Duration::from_secs(4);
@@ -54,7 +54,7 @@
 /// One voter that has applied the log up to index `applied`.
 struct Replica {
     machine: CatalogueMachine,
-    shared: Arc<Shared>,
+    shared: Arc<CatalogueHandle>,
     applied: usize,
 }
 
@@ -76,8 +76,8 @@
         }
     }
 
-    fn feed(&self, have: u64) -> FeedReply {
-        FeedReply::new(self.shared.feed(have), Vec::new())
+    fn feed(&self, have: u64) -> CatalogueReply {
+        CatalogueReply::new(self.shared.feed(have), Vec::new())
     }
 }
 
@@ -85,7 +85,7 @@
 struct InFlight {
     due: u64,
     poll: Poll,
-    feed: FeedReply,
+    feed: CatalogueReply,
 }
 
 struct World {
--- a/src/tests/mod.rs
+++ b/src/tests/mod.rs
@@ -19,7 +19,7 @@
 mod generation;
 mod http;
 mod leader;
-mod life;
+mod lifecycle;
 mod limit;
 mod metric;
 mod peer;
