--- a/src/controller/call.rs
+++ b/src/controller/call.rs
@@ -77,9 +77,9 @@
             Call::Replace => self.replace(path, body).await,
             Call::Fetch => self.fetch().await,
             Call::Heartbeat(id) => self.heartbeat(path, id, &body).await,
-            Call::Leave(id) => self.leave(path, id).await,
+            Call::Deregister(id) => self.leave(path, id).await,
             Call::ListQuarantined => json(StatusCode::OK, self.list_quarantined().into()),
-            Call::Lift(fingerprint) => self.lift(path, fingerprint).await,
+            Call::LiftQuarantine(fingerprint) => self.lift(path, fingerprint).await,
         }
     }
 
@@ -140,7 +140,10 @@
         if !self.handle_announcement(announcement).await {
             return self.redirect(path);
         }
-        json(StatusCode::OK, call::next_heartbeat(self.control).into())
+        json(
+            StatusCode::OK,
+            call::heartbeat_response(self.control).into(),
+        )
     }
 
     async fn leave(&self, path: &str, id: &str) -> Response<Reply> {
@@ -173,7 +176,10 @@
                 "upstream left"
             );
         }
-        json(StatusCode::OK, call::next_heartbeat(self.control).into())
+        json(
+            StatusCode::OK,
+            call::heartbeat_response(self.control).into(),
+        )
     }
 
     /// Lifts the quarantine of a request.
@@ -240,7 +246,7 @@
             return unavailable("no leader is known; try another instance");
         };
         let mut response = empty(StatusCode::TEMPORARY_REDIRECT);
-        let location = call::elsewhere(control, path);
+        let location = call::redirect_location(control, path);
         let location =
             HeaderValue::try_from(location).expect("a received path is a valid header value");
         response.headers_mut().insert(LOCATION, location);
@@ -263,7 +269,7 @@
 }
 
 fn failure(status: StatusCode, reason: &str) -> Response<Reply> {
-    json(status, call::failure(reason).into())
+    json(status, call::error_body(reason).into())
 }
 
 fn unavailable(reason: &str) -> Response<Reply> {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -259,10 +259,10 @@
 /// that later comes back empty must not bootstrap again: it has lost its votes
 /// and acknowledgements.
 fn voter_settings(settings: &RoleSettings, boot: &Boot) -> Result<VoterSettings> {
-    let data_dir = role::required(boot.data.clone(), "a data folder")?;
+    let data_dir = role::required(boot.data_dir.clone(), "a data folder")?;
     let used = std::fs::read_dir(&data_dir).is_ok_and(|mut names| names.next().is_some());
     let seeds = role::seeds(boot);
-    let initial_voters = if boot.founding || used {
+    let initial_voters = if boot.first_start || used {
         seeds.clone()
     } else {
         Vec::new()
@@ -383,7 +383,7 @@
                 silence: silence(m.peer()).map_or(Duration::ZERO, |s| Duration::from_millis(s.1)),
             })
             .collect();
-        let wanted = members::required_voters(self.boot.tolerated);
+        let wanted = members::required_voters(self.boot.fault_tolerance);
         if let Some(change) = members::next_change(&voters, &status.strangers, wanted) {
             let done = move |outcome: std::result::Result<(), _>| match outcome {
                 Ok(()) => tracing::info!(event = event::VOTER_CHANGED.id, ?change, "voter changed"),
--- a/src/controller/place.rs
+++ b/src/controller/place.rs
@@ -70,7 +70,7 @@
 
     /// Sends an order and records the answer. Returns whether the engine may carry it out.
     async fn send_order(&self, order: &PlacementOrder) -> bool {
-        let body = Bytes::from(engine::place(order.range, order.fence));
+        let body = Bytes::from(engine::placement_order(order.range, order.fence));
         let request = Request::post(engine::ORDER);
         let answer = call(
             order.address.into(),
@@ -81,7 +81,7 @@
         )
         .await;
         let status = answer.map(|a| a.0);
-        let accepted = engine::is_taken(status);
+        let accepted = engine::is_accepted(status);
         match status {
             Some(_) if accepted => {}
             Some(_) => self
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -258,7 +258,7 @@
     let request = request
         .header(header::HOST, address.to_string())
         .header(header::CONTENT_TYPE, "application/json")
-        .header(headers::EXPECTED, id)
+        .header(headers::EXPECTED_UPSTREAM, id)
         .body(Full::from(body))
         .expect("the parts of the head are valid");
     let exchange = async {
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -150,7 +150,7 @@
             .shared()
             .allowance
             .record_request(call.began, &call.service);
-        let last_event = head::number(&call.headers, headers::LAST_EVENT);
+        let last_event = head::number(&call.headers, headers::LAST_EVENT_ID);
         Self {
             entry,
             table,
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -27,12 +27,15 @@
             map.insert(HeaderName::from_static(name), value);
         };
         set(headers::DEADLINE, millis(self.left()).max(1).to_string());
-        set(headers::EXPECTED, selection.upstream.id.to_string());
+        set(
+            headers::EXPECTED_UPSTREAM,
+            selection.upstream.id.to_string(),
+        );
         if let Some(path) = &selection.path {
             set(headers::PATH, path.clone());
         }
         if let Some(last) = self.last_event {
-            set(headers::LAST_EVENT, last.to_string());
+            set(headers::LAST_EVENT_ID, last.to_string());
         }
         *request.headers_mut() = map;
         request
@@ -47,16 +50,16 @@
         self.note_limit(
             sent,
             &opened.selection.upstream,
-            head::text(map, headers::LIMIT),
+            head::text(map, headers::RATE_LIMIT),
         );
         let not_run =
-            map.contains_key(headers::NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST;
+            map.contains_key(headers::NOT_EXECUTED) || status == StatusCode::MISDIRECTED_REQUEST;
         if not_run {
-            let named = head::text(map, headers::CULPRIT).and_then(|a| a.parse().ok());
+            let named = head::text(map, headers::FAILED_ENGINE).and_then(|a| a.parse().ok());
             let named = named.map(|a: SocketAddrV4| address_key(a));
             // A live engine refuses at once; a dead engine in the path shows only after a
             // stall.
-            let stalled = self.entry.now().since(sent) >= self.entry.boot.bounds.stall / 2;
+            let stalled = self.entry.now().since(sent) >= self.entry.boot.bounds.stall_timeout / 2;
             return Outcome::Failed {
                 failure: Failure::NotRun,
                 culprit: Some(named.unwrap_or(first)),
@@ -64,7 +67,7 @@
             };
         }
         let signed = map.contains_key(headers::SIGNATURE);
-        let echoed = head::text(map, headers::ATTEMPT);
+        let echoed = head::text(map, headers::ATTEMPT_ID);
         let ours = echoed.is_none_or(|id| id == self.call.attempt);
         if !signed || !ours {
             return Outcome::Failed {
--- a/src/entry/head.rs
+++ b/src/entry/head.rs
@@ -22,9 +22,9 @@
 
 /// Headers that only the router sets on requests to upstreams.
 const RESERVED: &[&str] = &[
-    headers::KEY,
+    headers::CREDENTIAL,
     headers::ORGANISATION,
-    headers::EXPECTED,
+    headers::EXPECTED_UPSTREAM,
     headers::PATH,
     headers::DEADLINE,
 ];
@@ -87,6 +87,6 @@
 
 /// Number of prompt tokens and maximum number of response tokens.
 pub(super) fn tokens(map: &HeaderMap) -> Option<(f64, f64)> {
-    let (prompt, answer) = text(map, headers::TOKENS)?.split_once(',')?;
+    let (prompt, answer) = text(map, headers::TOKEN_USAGE)?.split_once(',')?;
     Some((prompt.trim().parse().ok()?, answer.trim().parse().ok()?))
 }
--- a/src/entry/listen.rs
+++ b/src/entry/listen.rs
@@ -106,7 +106,7 @@
         head: Parts,
         body: Bytes,
     ) -> Result<Admitted, Box<Response<Body>>> {
-        let attempt = head::text(&head.headers, headers::ATTEMPT)
+        let attempt = head::text(&head.headers, headers::ATTEMPT_ID)
             .unwrap_or("-")
             .to_owned();
         let refused = |reason: Reason| {
@@ -119,7 +119,7 @@
         let confirmed = view.is_confirmed(self.now());
         let host = head::text(&head.headers, HOST.as_str());
         let host = host.or(head.uri.host()).unwrap_or("");
-        let key = head::text(&head.headers, headers::KEY);
+        let key = head::text(&head.headers, headers::CREDENTIAL);
         let found = table.find_route(host, head.uri.path(), key);
         // Without a lease the configuration may be out of date: routes or keys may have been
         // added or removed.
@@ -184,7 +184,7 @@
 fn estimate_work(model: &Model, head: &Parts) -> Work {
     let (prompt, most) =
         head::tokens(&head.headers).unwrap_or((model.usual_prompt, model.usual_answer));
-    let guess: Option<f64> = head::number(&head.headers, headers::LENGTH);
+    let guess: Option<f64> = head::number(&head.headers, headers::LENGTH_HINT);
     Work {
         prompt,
         answer: guess
@@ -224,12 +224,12 @@
 
 /// Response body for a quarantined request.
 pub(super) fn quarantine_body(fingerprint: &Fingerprint) -> Body {
-    body::full(call::quarantined(&fingerprint.to_string()).into())
+    body::full(call::quarantined_body(&fingerprint.to_string()).into())
 }
 
 /// An error response of this instance.
 pub(super) fn error_response(status: StatusCode, reason: &str) -> Response<Body> {
-    let mut response = Response::new(body::full(call::failure(reason).into()));
+    let mut response = Response::new(body::full(call::error_body(reason).into()));
     *response.status_mut() = status;
     let kind = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, kind);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -249,7 +249,7 @@
         let running = self.gate.running();
         tracing::info!(event = event::DRAINING.id, running, "draining");
         let began = Instant::now();
-        let limit = self.boot.bounds.grace.mul_f64(GRACE_SHARE);
+        let limit = self.boot.bounds.grace_period.mul_f64(GRACE_SHARE);
         sleep(BALANCER_DELAY.min(limit)).await;
         close.send_replace(true);
         while self.gate.running() > 0 && began.elapsed() < limit {
--- a/src/entry/reroute.rs
+++ b/src/entry/reroute.rs
@@ -112,12 +112,12 @@
         let Some(path) = self.model().and_then(detour) else {
             return false;
         };
-        let body = order::repath(&self.call.attempt, &path.text);
+        let body = order::reroute_order(&self.call.attempt, &path.text);
         let status = self
             .call_engine(selection, Request::post(order::ORDER), body)
             .await;
         let status = status.map(|a| a.0);
-        let taken = order::is_taken(status);
+        let taken = order::is_accepted(status);
         let label = if taken { "yes" } else { "no" };
         metrics::counter!(metric::REROUTES.name, "cause" => cause, "taken" => label).increment(1);
         tracing::info!(
--- a/src/role.rs
+++ b/src/role.rs
@@ -90,7 +90,7 @@
 
 /// Returns the time for which keys may be used after the last confirmation.
 pub(crate) fn key_lease(boot: &Boot) -> Duration {
-    boot.bounds.revoke.mul_f64(KEY_LEASE_FRACTION)
+    boot.bounds.revocation_limit.mul_f64(KEY_LEASE_FRACTION)
 }
 
 /// Returns the id of the instance at an address.
@@ -130,7 +130,7 @@
         role,
         machine = boot.machine,
         domain = boot.domain,
-        founding = boot.founding,
+        founding = boot.first_start,
         seeds = ?boot.seeds,
         release = env!("CARGO_PKG_VERSION"),
         "started"
--- a/src/tests/platform.rs
+++ b/src/tests/platform.rs
@@ -57,9 +57,9 @@
     assert_eq!(boot.domain, "a");
     assert_eq!(boot.ports, (7340, 7355));
     assert_eq!(boot.seeds.len(), 2);
-    assert!(boot.founding);
-    assert_eq!(boot.tolerated, 2);
-    assert_eq!(boot.bounds.stall, Duration::from_millis(2500));
+    assert!(boot.first_start);
+    assert_eq!(boot.fault_tolerance, 2);
+    assert_eq!(boot.bounds.stall_timeout, Duration::from_millis(2500));
     assert_eq!(boot.bounds.retry_window, Duration::from_secs(10));
     assert_eq!(boot.callers, None);
 }
@@ -158,7 +158,7 @@
 #[case("POST", "/v1/Config.Replace", Some(Call::Replace))]
 #[case("GET", "/v1/Config.Fetch", Some(Call::Fetch))]
 #[case("POST", "/v1/Instances.Heartbeat/i-1", Some(Call::Heartbeat("i-1")))]
-#[case("POST", "/v1/Instances.Deregister/i-1", Some(Call::Leave("i-1")))]
+#[case("POST", "/v1/Instances.Deregister/i-1", Some(Call::Deregister("i-1")))]
 #[case("GET", "/v1/Config.Replace", None)]
 #[case("GET", "/", None)]
 fn decode_call(#[case] method: &str, #[case] path: &str, #[case] call: Option<Call<'_>>) {
