--- a/src/control.rs
+++ b/src/control.rs
@@ -80,8 +80,8 @@
 /// Accepts operators, upstreams and probes until the runtime ends.
 pub(crate) async fn serve(control: Arc<Control>, listener: TcpListener) {
     let bounds = Bounds {
-        head: control.settings.head,
-        receive: control.settings.receive,
+        head: control.settings.max_head,
+        receive: control.settings.receive_timeout,
     };
     http::accept(listener, bounds, move |request| {
         Arc::clone(&control).answer(request)
@@ -135,7 +135,7 @@
             let given = digest(key);
             bool::from(subtle::ConstantTimeEq::ct_eq(
                 given.as_bytes(),
-                self.settings.operator.as_bytes(),
+                self.settings.operator_digest.as_bytes(),
             ))
         });
         if known {
@@ -149,7 +149,7 @@
     }
 
     async fn read(&self, body: Incoming, most: usize) -> Result<Bytes, Problem> {
-        let read = http::receive(body, most, self.settings.receive).await;
+        let read = http::receive(body, most, self.settings.receive_timeout).await;
         read.map_err(|e| match e {
             Unreceived::TooLarge => problem(
                 StatusCode::PAYLOAD_TOO_LARGE,
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -61,7 +61,7 @@
 ///
 /// When a part can't start, or one failed that the instance can't do without.
 pub(crate) fn run(settings: Settings) -> Result<()> {
-    log::start(settings.json);
+    log::start(settings.json_logs);
     let parts = Parts::start(Arc::new(settings))?;
     let result = parts.wait();
     parts.stop();
@@ -93,11 +93,11 @@
         let peer_runtime = runtime("peers", 1)?;
         let caller_runtime = runtime("callers", settings.workers)?;
         let control_runtime = runtime("control", 1)?;
-        let control_listener = listen(settings.control, "operators and upstreams")?;
-        let peer_listener = listen(settings.peer, "instances")?;
-        let caller_listener = listen(settings.caller, "callers")?;
+        let control_listener = listen(settings.control_addr, "operators and upstreams")?;
+        let peer_listener = listen(settings.peer_addr, "instances")?;
+        let caller_listener = listen(settings.caller_addr, "callers")?;
 
-        let peers = Peers::new(settings.key.clone(), peer_runtime.handle().clone());
+        let peers = Peers::new(settings.fleet_key.clone(), peer_runtime.handle().clone());
         for (id, addr) in &settings.voters {
             peers.set_address(*id, *addr);
         }
@@ -133,10 +133,10 @@
 
         peer_runtime.spawn(run_peers(
             peer_listener,
-            settings.key.clone(),
+            settings.fleet_key.clone(),
             Arc::new(node.clone()),
         ));
-        peer_runtime.spawn(poller.clone().run(settings.poll));
+        peer_runtime.spawn(poller.clone().run(settings.poll_interval));
         peer_runtime.spawn(keep_shares(
             node.clone(),
             Arc::clone(&catalogue),
@@ -200,7 +200,7 @@
         self.fleet.drain();
         let running = self.gate.running();
         tracing::info!(event = event::DRAINING.id, running, "draining");
-        let limit = crossbeam::channel::after(self.settings.drain);
+        let limit = crossbeam::channel::after(self.settings.drain_timeout);
         let look = tick(DRAIN_LOOK);
         let linger = crossbeam::channel::after(LINGER);
         let mut lingered = false;
@@ -250,7 +250,7 @@
     peers: &Peers,
     supervisor: &Supervisor,
 ) -> Result<Option<LocalVoter>> {
-    let Some(data) = settings.data.clone() else {
+    let Some(data) = settings.data_dir.clone() else {
         return Ok(None);
     };
     let (machine, catalogue) = CatalogueMachine::new();
@@ -258,8 +258,8 @@
         instance: settings.instance,
         data_dir: data,
         initial_voters: settings.voters.keys().copied().collect(),
-        election_timeout: settings.election,
-        heartbeat_interval: settings.election / HEARTBEATS,
+        election_timeout: settings.election_timeout,
+        heartbeat_interval: settings.election_timeout / HEARTBEATS,
         contacts: Vec::new(),
         snapshot_interval: COMPACT,
         retained_entries: KEEP,
@@ -303,14 +303,14 @@
         id: settings.instance,
         incarnation,
         domain: settings.domain.clone(),
-        bind: settings.peer,
-        gossip: settings.advertised,
-        peer: settings.advertised,
-        control: settings.control,
-        voter: settings.data.is_some(),
+        bind: settings.peer_addr,
+        gossip: settings.advertised_addr,
+        peer: settings.advertised_addr,
+        control: settings.control_addr,
+        voter: settings.data_dir.is_some(),
         probe_period: GOSSIP,
-        seeds: seeds.filter(|s| *s != settings.advertised).collect(),
-        key: settings.key.clone(),
+        seeds: seeds.filter(|s| *s != settings.advertised_addr).collect(),
+        key: settings.fleet_key.clone(),
         rng_seed: rand::random(),
     };
     let (fleet, thread) =
--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -94,7 +94,7 @@
         let organisation = secret.and_then(|s| catalogue.organisation(s)).cloned();
         let organisation =
             organisation.ok_or_else(|| refuse(RefusalCode::Unauthenticated, None))?;
-        let longest = self.parts.settings.deadline;
+        let longest = self.parts.settings.max_deadline;
         let time = head.deadline.map_or(longest, |d| d.min(longest));
         Ok(Known {
             id: self.next_id(),
--- a/src/serve/generate.rs
+++ b/src/serve/generate.rs
@@ -94,8 +94,8 @@
     ) {
         let settings = &self.parts.settings;
         let (layers, first) = match &job.work {
-            Work::Engine(_) => (self.layers(&job.model, &job.pools), settings.first),
-            Work::Call(_) => (SERVICE_LAYERS, settings.call),
+            Work::Engine(_) => (self.layers(&job.model, &job.pools), settings.first_timeout),
+            Work::Call(_) => (SERVICE_LAYERS, settings.call_timeout),
         };
         let bounds = Bounds {
             max_tokens: job.limit,
@@ -103,7 +103,7 @@
             max_attempts: ATTEMPTS,
             deadline: job.deadline,
             first_timeout: first,
-            idle_timeout: settings.idle,
+            idle_timeout: settings.idle_timeout,
         };
         let mut effects = Vec::new();
         let generation = Generation::new(life, bounds, &mut effects);
@@ -480,7 +480,7 @@
         self.serving.note(self.job.id, &answer);
         // The closing event may wait for a slow reader a little longer; one
         // that reads nothing sees its stream end without the marker.
-        let grace = self.serving.parts.settings.idle;
+        let grace = self.serving.parts.settings.idle_timeout;
         let _ = tokio::time::timeout(grace, self.output.send(Output::Finish(answer))).await;
         drop(self.job.running);
     }
--- a/src/serve/listen.rs
+++ b/src/serve/listen.rs
@@ -27,8 +27,8 @@
     /// Accepts callers until the runtime ends.
     pub(crate) async fn accept(self: Arc<Self>, listener: StdListener) {
         let bounds = Bounds {
-            head: self.parts.settings.head,
-            receive: self.parts.settings.receive,
+            head: self.parts.settings.max_head,
+            receive: self.parts.settings.receive_timeout,
         };
         http::accept(listener, bounds, move |request| {
             Arc::clone(&self).answer(request)
@@ -93,7 +93,7 @@
     async fn receive(&self, request: Request<Incoming>) -> Result<Received, RefusalCode> {
         let settings = &self.parts.settings;
         let (head, body) = request.into_parts();
-        match http::receive(body, settings.body, settings.receive).await {
+        match http::receive(body, settings.max_body, settings.receive_timeout).await {
             Ok(body) => Ok(Received { head, body }),
             Err(Unreceived::TooLarge) => Err(RefusalCode::TooLarge),
             Err(Unreceived::Cut) => Err(RefusalCode::InvalidRequest),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -30,49 +30,49 @@
     /// Its failure domain.
     pub domain: String,
     /// Where callers connect.
-    pub caller: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Where operators and upstreams connect.
-    pub control: SocketAddr,
+    pub control_addr: SocketAddr,
     /// Where other instances connect (TCP) and gossip (UDP).
-    pub peer: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// Where other instances are told to find `peer`; the same unless a relay
     /// stands before it.
-    pub advertised: SocketAddr,
+    pub advertised_addr: SocketAddr,
     /// Peer addresses of the initial voters. Never empty.
     pub voters: BTreeMap<InstanceId, SocketAddr>,
     /// Where a voter keeps its state; `None` on an instance that has no vote
     /// and can't be given one.
-    pub data: Option<PathBuf>,
+    pub data_dir: Option<PathBuf>,
     /// Key that all instances share.
-    pub key: FleetKey,
+    pub fleet_key: FleetKey,
     /// SHA-256 digest of the operators' key.
-    pub operator: String,
+    pub operator_digest: String,
     /// How long the catalogue may be acted on after its last confirmation.
     pub lease: Duration,
     /// Period of confirming the catalogue; a fraction of `lease`.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Election timeout of the voters, least value.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// Longest wait for running answers after SIGTERM.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Longest body of a request, in bytes.
-    pub body: usize,
+    pub max_body: usize,
     /// Longest head of a request, in bytes.
-    pub head: usize,
+    pub max_head: usize,
     /// Longest time for a caller to send its request.
-    pub receive: Duration,
-    /// Deadline of a request that names none.
-    pub deadline: Duration,
+    pub receive_timeout: Duration,
+    /// Longest deadline of a request; also the deadline of one that names none.
+    pub max_deadline: Duration,
     /// Longest wait for the first token of an attempt.
-    pub first: Duration,
+    pub first_timeout: Duration,
     /// Longest wait for the answer of a plain service.
-    pub call: Duration,
+    pub call_timeout: Duration,
     /// Longest silence of an engine between two tokens.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Worker threads for callers' connections.
     pub workers: usize,
     /// Whether logs are JSON lines.
-    pub json: bool,
+    pub json_logs: bool,
 }
 
 impl Settings {
@@ -83,32 +83,32 @@
     /// [`Error::Settings`] with every fault found, not only the first.
     pub fn from_matches(matches: &ArgMatches) -> Result<Self> {
         let mut faults = Vec::new();
-        let peer = value(matches, "peer-addr");
-        let advertised = matches.get_one("peer-advertise").copied();
+        let peer_addr = value(matches, "peer-addr");
+        let advertised_addr = matches.get_one("peer-advertise").copied();
         let settings = Self {
             instance: InstanceId(value(matches, "instance-id")),
             domain: value(matches, "domain"),
-            caller: value(matches, "caller-addr"),
-            control: value(matches, "control-addr"),
-            peer,
-            advertised: advertised.unwrap_or(peer),
+            caller_addr: value(matches, "caller-addr"),
+            control_addr: value(matches, "control-addr"),
+            peer_addr,
+            advertised_addr: advertised_addr.unwrap_or(peer_addr),
             voters: parse_voters(&value::<String>(matches, "voters"), &mut faults),
-            data: matches.get_one::<PathBuf>("data-dir").cloned(),
-            key: FleetKey::new(&read_secret(matches, "fleet-key-file", &mut faults)),
-            operator: digest_bytes(&read_secret(matches, "operator-key-file", &mut faults)),
+            data_dir: matches.get_one::<PathBuf>("data-dir").cloned(),
+            fleet_key: FleetKey::new(&read_secret(matches, "fleet-key-file", &mut faults)),
+            operator_digest: digest_bytes(&read_secret(matches, "operator-key-file", &mut faults)),
             lease: millis(matches, "lease-ms"),
-            poll: millis(matches, "poll-ms"),
-            election: millis(matches, "election-ms"),
-            drain: millis(matches, "drain-ms"),
-            body: value(matches, "max-body"),
-            head: value(matches, "max-head"),
-            receive: millis(matches, "receive-ms"),
-            deadline: millis(matches, "deadline-ms"),
-            call: millis(matches, "call-ms"),
-            first: millis(matches, "first-ms"),
-            idle: millis(matches, "idle-ms"),
+            poll_interval: millis(matches, "poll-ms"),
+            election_timeout: millis(matches, "election-ms"),
+            drain_timeout: millis(matches, "drain-ms"),
+            max_body: value(matches, "max-body"),
+            max_head: value(matches, "max-head"),
+            receive_timeout: millis(matches, "receive-ms"),
+            max_deadline: millis(matches, "deadline-ms"),
+            call_timeout: millis(matches, "call-ms"),
+            first_timeout: millis(matches, "first-ms"),
+            idle_timeout: millis(matches, "idle-ms"),
             workers: value(matches, "workers"),
-            json: matches.get_flag("json-logs"),
+            json_logs: matches.get_flag("json-logs"),
         };
         settings.check(&mut faults);
         if faults.is_empty() {
@@ -138,23 +138,23 @@
             "--domain is empty: name the failure domain",
         );
         expect(
-            !self.votes() || self.data.is_some(),
+            !self.votes() || self.data_dir.is_some(),
             "--data-dir is missing: this instance is named in --voters and needs a disk",
         );
         expect(
-            self.poll * MIN_POLLS <= self.lease,
+            self.poll_interval * MIN_POLLS <= self.lease,
             "--poll-ms is too long: at least three polls must fit in --lease-ms",
         );
         expect(
-            self.election >= Duration::from_millis(50),
+            self.election_timeout >= Duration::from_millis(50),
             "--election-ms is below 50: no leader would last; raise it",
         );
         expect(
-            self.head >= MIN_HEAD,
+            self.max_head >= MIN_HEAD,
             "--max-head is below 8192 bytes, the least that the HTTP library takes: raise it",
         );
         expect(self.workers > 0, "--workers is 0: set 1 or more");
-        let addrs = [self.caller, self.control, self.peer];
+        let addrs = [self.caller_addr, self.control_addr, self.peer_addr];
         expect(
             addrs
                 .iter()
@@ -162,12 +162,14 @@
             "--caller-addr, --control-addr and --peer-addr need an IP number and a port: others are told of them",
         );
         expect(
-            self.caller != self.control && self.control != self.peer && self.caller != self.peer,
+            self.caller_addr != self.control_addr
+                && self.control_addr != self.peer_addr
+                && self.caller_addr != self.peer_addr,
             "--caller-addr, --control-addr and --peer-addr share an address: give each its own",
         );
         if let Some(addr) = self.voters.get(&self.instance) {
             expect(
-                *addr == self.advertised,
+                *addr == self.advertised_addr,
                 "--voters names another address for this instance than the one it tells: make them equal",
             );
         }
