--- a/src/control.rs
+++ b/src/control.rs
@@ -170,7 +170,7 @@
     }
 
     fn ready(&self) -> Response<Reply> {
-        let reason = self.gate.not_ready(&self.force, self.clock.now());
+        let reason = self.gate.unready_reason(&self.force, self.clock.now());
         match reason {
             None => text(StatusCode::OK, "ready\n"),
             Some(reason) => text(StatusCode::SERVICE_UNAVAILABLE, reason),
--- a/src/controller/measure.rs
+++ b/src/controller/measure.rs
@@ -8,32 +8,34 @@
     /// Sets the gauges. Those of the leader's state are 0 on other controllers.
     pub(super) fn measure(&self) {
         let leads = self.leader_info().term.is_some();
-        metrics::gauge!(metric::LEADS.name).set(u8::from(leads));
+        metrics::gauge!(metric::IS_LEADER.name).set(u8::from(leads));
         let age = self.confirmation_age().unwrap_or_default();
         metrics::gauge!(metric::QUORUM_AGE.name).set(age.as_secs_f64());
         let members = self.status().into_iter().flat_map(|s| s.members);
         let voters = members.filter(|m| m.role() == Role::Voter).count();
         metrics::gauge!(metric::VOTERS.name).set(voters as f64);
-        metrics::gauge!(metric::COMMITTED.name).set(self.register.version() as f64);
+        metrics::gauge!(metric::COMMITTED_VERSION.name).set(self.register.version() as f64);
         let table = self.routing_table();
         let state = self.leader_state();
         // A deposed leader still has the state of its last term, which must not be reported.
         let factor = f64::from(u8::from(leads));
         let counts = state.counts();
         for ((service, state), count) in counts.upstreams {
-            metrics::gauge!(metric::KNOWN.name, "service" => service, "state" => state)
+            metrics::gauge!(metric::KNOWN_UPSTREAMS.name, "service" => service, "state" => state)
                 .set(factor * f64::from(count));
         }
-        metrics::gauge!(metric::PENDING.name).set(factor * counts.pending as f64);
-        metrics::gauge!(metric::QUARANTINED.name).set(self.register.quarantined().len() as f64);
-        metrics::gauge!(metric::SUSPECTS.name).set(factor * counts.suspects as f64);
-        metrics::gauge!(metric::ENTRIES.name).set(factor * counts.entries as f64);
+        metrics::gauge!(metric::PENDING_ORDERS.name).set(factor * counts.pending as f64);
+        metrics::gauge!(metric::QUARANTINED_REQUESTS.name)
+            .set(self.register.quarantined().len() as f64);
+        metrics::gauge!(metric::SUSPECT_REQUESTS.name).set(factor * counts.suspects as f64);
+        metrics::gauge!(metric::ENTRY_INSTANCES.name).set(factor * counts.entries as f64);
         let models = table.iter().flat_map(|t| t.configuration.models());
         for (service, model) in models {
             for (domain, ranges) in state.missing_layers(service, model) {
                 let layers: u32 = ranges.iter().map(|r| r.len()).sum();
                 let labels = [("service", service.to_owned()), ("domain", domain)];
-                metrics::gauge!(metric::MISSING.name, &labels).set(factor * f64::from(layers));
+                metrics::gauge!(metric::MISSING_LAYERS.name, &labels)
+                    .set(factor * f64::from(layers));
             }
         }
     }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -123,7 +123,7 @@
             run = self.attempts.may_have_run,
             idle = self.attempts.not_run,
             last = self.last_event,
-            draining = self.entry.gate.closed(),
+            draining = self.entry.gate.is_closed(),
             took_ms = millis(self.entry.now().since(self.call.began)),
             left_ms = millis(self.left()),
             "request abandoned"
@@ -349,7 +349,7 @@
                 next = retry::give_up(self.attempts, failure);
             }
         }
-        let failures = metric::FAILURES.name;
+        let failures = metric::FAILED_ATTEMPTS.name;
         metrics::counter!(failures, "cause" => cause, "next" => next.name()).increment(1);
         tracing::info!(
             event = event::ATTEMPT_FAILED.id,
--- a/src/entry/crash.rs
+++ b/src/entry/crash.rs
@@ -87,7 +87,7 @@
         let connected = timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await;
         let crashed = !matches!(connected, Ok(Ok(_)));
         let runs = self.shared().run_history.confirm(&engine, crashed);
-        metrics::counter!(metric::CUT_EARLY.name).increment(runs.len() as u64);
+        metrics::counter!(metric::RUNS_CUT_EARLY.name).increment(runs.len() as u64);
         for run in runs {
             tracing::info!(
                 event = event::RUN_CUT_EARLY.id,
--- a/src/entry/listen.rs
+++ b/src/entry/listen.rs
@@ -21,7 +21,7 @@
 use crate::decide::refusal::{self, Reason};
 use crate::event;
 use crate::fingerprint::Fingerprint;
-use crate::gate::Running;
+use crate::gate::RunningGuard;
 use crate::http::{self, Reply, Unreceived};
 use crate::metric;
 use crate::platform::{call, headers};
@@ -52,9 +52,9 @@
     /// were kept open, the next request could arrive just as the process ends.
     pub(super) async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let entry = Arc::clone(&self);
-        let running = self.gate.hold();
+        let running = self.gate.track();
         let mut response = self.respond(request, running).await;
-        if entry.gate.closed() {
+        if entry.gate.is_closed() {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
         }
@@ -64,7 +64,7 @@
     async fn respond(
         self: Arc<Self>,
         request: Request<Incoming>,
-        running: Running,
+        running: RunningGuard,
     ) -> Response<Body> {
         let (head, body) = request.into_parts();
         let view = self.view();
--- a/src/entry/measure.rs
+++ b/src/entry/measure.rs
@@ -12,17 +12,18 @@
     /// it.
     pub(super) fn measure(&self) {
         let (now, view) = (self.now(), self.view());
-        metrics::gauge!(metric::RUNNING.name).set(self.gate.running() as f64);
+        metrics::gauge!(metric::RUNNING_REQUESTS.name).set(self.gate.running() as f64);
         let waiting = self.queued.load(Ordering::Relaxed);
-        metrics::gauge!(metric::WAITING.name).set(waiting as f64);
-        metrics::gauge!(metric::SHARERS.name).set(self.sharers());
-        metrics::gauge!(metric::VERSION.name).set(view.version() as f64);
+        metrics::gauge!(metric::WAITING_REQUESTS.name).set(waiting as f64);
+        metrics::gauge!(metric::CAPACITY_SHARERS.name).set(self.sharers());
+        metrics::gauge!(metric::CONFIGURATION_VERSION.name).set(view.version() as f64);
         let lease = view.lease_end.since(now);
-        metrics::gauge!(metric::LEASE.name).set(lease.as_secs_f64());
+        metrics::gauge!(metric::LEASE_REMAINING.name).set(lease.as_secs_f64());
         let complete = u8::from(view.is_complete());
-        metrics::gauge!(metric::COMPLETE.name).set(complete);
+        metrics::gauge!(metric::ROSTER_COMPLETE.name).set(complete);
         let mut shared = self.shared();
-        metrics::gauge!(metric::LIMITED.name).set(shared.rate_limiter.limited_count() as f64);
+        metrics::gauge!(metric::LIMITED_UPSTREAMS.name)
+            .set(shared.rate_limiter.limited_count() as f64);
         for (service, upstreams) in &*view.services {
             let mut states = [("usable", 0), ("late", 0), ("left_out", 0)];
             let mut booked = 0.0;
@@ -39,9 +40,9 @@
                 let name = metric::UPSTREAMS.name;
                 metrics::gauge!(name, "service" => service.clone(), "state" => state).set(count);
             }
-            metrics::gauge!(metric::BOOKED.name, "service" => service.clone()).set(booked);
+            metrics::gauge!(metric::BOOKED_MEMORY.name, "service" => service.clone()).set(booked);
             let left = shared.allowance.remaining(now, service, view.entry_count());
-            metrics::gauge!(metric::RETRIES.name, "service" => service.clone()).set(left);
+            metrics::gauge!(metric::RETRIES_LEFT.name, "service" => service.clone()).set(left);
         }
     }
 }
@@ -53,15 +54,15 @@
         let kind = metric::kind(self.call.route.retry_policy);
         let took = self.entry.now().since(self.call.began);
         metrics::counter!(metric::REQUESTS.name, "kind" => kind, "outcome" => outcome).increment(1);
-        metrics::histogram!(metric::REQUEST_TIME.name, "kind" => kind, "outcome" => outcome)
+        metrics::histogram!(metric::REQUEST_DURATION.name, "kind" => kind, "outcome" => outcome)
             .record(took.as_secs_f64());
     }
 
     /// Records the time to the first event of a stream and its longest pause.
     pub(super) fn record_pauses(&self, first: Option<Duration>, pause: Duration) {
         if let Some(first) = first {
-            metrics::histogram!(metric::FIRST_EVENT.name).record(first.as_secs_f64());
-            metrics::histogram!(metric::PAUSE.name).record(pause.as_secs_f64());
+            metrics::histogram!(metric::FIRST_EVENT_DELAY.name).record(first.as_secs_f64());
+            metrics::histogram!(metric::STREAM_PAUSE.name).record(pause.as_secs_f64());
         }
     }
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -240,7 +240,7 @@
 
     /// Whether the load balancer should send callers here.
     fn is_ready(&self) -> bool {
-        !self.gate.closed() && self.view().is_confirmed(self.now())
+        !self.gate.is_closed() && self.view().is_confirmed(self.now())
     }
 
     /// Fails the readiness check, then waits for the last response.
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -14,11 +14,11 @@
 use crate::decide::refusal::Reason;
 use crate::decide::retry::{Failure, NextStep};
 use crate::event;
-use crate::gate::Running;
+use crate::gate::RunningGuard;
 
 impl Run {
     /// Answers the request. `running` counts it until its last byte.
-    pub(super) async fn answer(mut self, running: Running) -> Response<Body> {
+    pub(super) async fn answer(mut self, running: RunningGuard) -> Response<Body> {
         loop {
             let opened = match self.open().await {
                 Ok(opened) => opened,
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -22,7 +22,7 @@
 use crate::decide::run_history::HARMLESS_EVENTS;
 use crate::decide::stall;
 use crate::event;
-use crate::gate::Running;
+use crate::gate::RunningGuard;
 
 /// Multiple of the route's allowed pause after which a silent stream is resumed elsewhere.
 /// Clients disconnect after eight pauses; processing the prompt again takes one or two.
@@ -50,11 +50,11 @@
     longest_pause: Duration,
     last_at: Time,
     migration: Migration,
-    _running: Running,
+    _running: RunningGuard,
 }
 
 /// Builds the streaming response that `opened` begins.
-pub(super) fn answer(run: Run, mut opened: OpenResponse, running: Running) -> Response<Body> {
+pub(super) fn answer(run: Run, mut opened: OpenResponse, running: RunningGuard) -> Response<Body> {
     let status = opened.answer.response.status();
     let headers = std::mem::take(opened.answer.response.headers_mut());
     let last_at = run.entry.now();
--- a/src/gate.rs
+++ b/src/gate.rs
@@ -15,9 +15,9 @@
 
 /// One running request. Dropping it gives its place back.
 #[derive(Debug)]
-pub(crate) struct Running(Arc<Gate>);
+pub(crate) struct RunningGuard(Arc<Gate>);
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.running.fetch_sub(1, Ordering::AcqRel);
     }
@@ -29,17 +29,17 @@
     /// The count is raised before the gate is looked at. The other way round,
     /// a shutdown between the two would see no running request and cut off
     /// the one just let in.
-    pub(crate) fn enter(self: &Arc<Self>) -> Option<Running> {
+    pub(crate) fn admit(self: &Arc<Self>) -> Option<RunningGuard> {
         self.running.fetch_add(1, Ordering::SeqCst);
-        let running = Running(Arc::clone(self));
+        let running = RunningGuard(Arc::clone(self));
         (!self.closed.load(Ordering::SeqCst)).then_some(running)
     }
 
     /// Counts in work that belongs to a request which was let in before, such
     /// as recording its outcome; it must not be cut off either.
-    pub(crate) fn hold(self: &Arc<Self>) -> Running {
+    pub(crate) fn track(self: &Arc<Self>) -> RunningGuard {
         self.running.fetch_add(1, Ordering::SeqCst);
-        Running(Arc::clone(self))
+        RunningGuard(Arc::clone(self))
     }
 
     /// Lets no new request in from now on.
@@ -48,7 +48,7 @@
     }
 
     /// Whether the instance drains.
-    pub(crate) fn closed(&self) -> bool {
+    pub(crate) fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
 
@@ -58,8 +58,12 @@
     }
 
     /// Why the platform's balancer should send no work here, if so.
-    pub(crate) fn not_ready(&self, force: &LeasedCatalogue, now: Time) -> Option<&'static str> {
-        if self.closed() {
+    pub(crate) fn unready_reason(
+        &self,
+        force: &LeasedCatalogue,
+        now: Time,
+    ) -> Option<&'static str> {
+        if self.is_closed() {
             return Some("draining\n");
         }
         force.get(now).is_err().then_some("no catalogue lease\n")
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -27,13 +27,13 @@
 use crate::log;
 use crate::node::{CATALOGUE_GROUP, CLAIM_GROUP, CLAIM_SHARDS, LocalVoter, Node, order_voters};
 use crate::peer::{self, Peers};
-use crate::periodic::{keep_claims, keep_shares, start_views};
+use crate::periodic::{renew_limit_shares, run_claim_ticks, start_view_refresh};
 use crate::poll::Poller;
 use crate::propose::Proposer;
 use crate::serve::{self, Serving};
 use crate::settings::Settings;
 use crate::startup::{install_metrics, listen, start_error};
-use crate::supervise::{Policy, Supervisor};
+use crate::supervise::{RestartPolicy, Supervisor};
 use crate::voter::{StateMachine, Voter, VoterSettings};
 
 /// Period of looking whether the last request has ended while draining.
@@ -61,7 +61,7 @@
 ///
 /// When a part can't start, or one failed that the instance can't do without.
 pub(crate) fn run(settings: Settings) -> Result<()> {
-    log::start(settings.json_logs);
+    log::init(settings.json_logs);
     let parts = Parts::start(Arc::new(settings))?;
     let result = parts.wait();
     parts.stop();
@@ -137,17 +137,17 @@
             Arc::new(node.clone()),
         ));
         peer_runtime.spawn(poller.clone().run(settings.poll_interval));
-        peer_runtime.spawn(keep_shares(
+        peer_runtime.spawn(renew_limit_shares(
             node.clone(),
             Arc::clone(&catalogue),
             Arc::clone(&serving),
         ));
         for (group, register) in (CLAIM_GROUP..).zip(claims.clone()) {
             let clock = Arc::clone(&clock);
-            peer_runtime.spawn(keep_claims(node.clone(), group, register, clock));
+            peer_runtime.spawn(run_claim_ticks(node.clone(), group, register, clock));
         }
         caller_runtime.spawn(Arc::clone(&serving).accept(caller_listener));
-        start_views(&supervisor, &serving, &fleet, &peers);
+        start_view_refresh(&supervisor, &serving, &fleet, &peers);
         let control = Arc::new(Control {
             settings: Arc::clone(&settings),
             clock: Arc::clone(&clock),
@@ -327,7 +327,7 @@
     check: fn(T),
 ) {
     let mut thread = Some(thread);
-    supervisor.start(name, Policy::Escalate, move || {
+    supervisor.start(name, RestartPolicy::Escalate, move || {
         match thread.take().map(thread::JoinHandle::join) {
             Some(Ok(ended)) => check(ended),
             Some(Err(panic)) => std::panic::resume_unwind(panic),
@@ -368,7 +368,7 @@
             requests: RequestDump {
                 running: gate.running(),
                 queued: serving.queued(),
-                draining: gate.closed(),
+                draining: gate.is_closed(),
             },
             groups: node
                 .local_voter()
--- a/src/log.rs
+++ b/src/log.rs
@@ -27,7 +27,7 @@
 
 /// Starts logging to standard error, as text or as JSON lines. `RUST_LOG`
 /// sets the level; the default is `info`.
-pub(crate) fn start(json: bool) {
+pub(crate) fn init(json: bool) {
     let builder = fmt()
         .with_env_filter(level())
         .with_writer(std::io::stderr)
@@ -45,7 +45,7 @@
 /// Starts logging of a role: JSON lines on standard output, bounded by
 /// [`Cap`]. A thread writes them, so that a reader that stops reading delays no
 /// request; dropping the guard writes what waits.
-pub(crate) fn start_role() -> WorkerGuard {
+pub(crate) fn init_role() -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(WAITING)
         .finish(std::io::stdout());
@@ -66,7 +66,7 @@
 }
 
 /// Sums up once a second what was left out, for as long as the role runs.
-pub(crate) async fn sum_up() {
+pub(crate) async fn report_dropped() {
     loop {
         tokio::time::sleep(SUM).await;
         let left = CAP.get().map(Cap::take_left).unwrap_or_default();
--- a/src/metric.rs
+++ b/src/metric.rs
@@ -19,62 +19,64 @@
 /// Requests that ended.
 pub(crate) const REQUESTS: Metric = metric("entry_requests_total", &["kind", "outcome"]);
 /// Time from a request's arrival to its end.
-pub(crate) const REQUEST_TIME: Metric = metric("entry_request_seconds", &["kind", "outcome"]);
+pub(crate) const REQUEST_DURATION: Metric = metric("entry_request_seconds", &["kind", "outcome"]);
 /// Time from a request's arrival to the first event of its stream.
-pub(crate) const FIRST_EVENT: Metric = metric("entry_first_event_seconds", &[]);
+pub(crate) const FIRST_EVENT_DELAY: Metric = metric("entry_first_event_seconds", &[]);
 /// Longest pause between two events of a stream.
-pub(crate) const PAUSE: Metric = metric("entry_pause_seconds", &[]);
+pub(crate) const STREAM_PAUSE: Metric = metric("entry_pause_seconds", &[]);
 /// Requests that were refused as not run.
 pub(crate) const REFUSALS: Metric = metric("entry_refusals_total", &["reason"]);
 /// Attempts that failed.
-pub(crate) const FAILURES: Metric = metric("entry_failed_attempts_total", &["cause", "next"]);
+pub(crate) const FAILED_ATTEMPTS: Metric =
+    metric("entry_failed_attempts_total", &["cause", "next"]);
 /// Streams that were led around engines.
 pub(crate) const REROUTES: Metric = metric("entry_reroutes_total", &["cause", "taken"]);
 /// Runs that an engine crash cut off shortly after they began.
-pub(crate) const CUT_EARLY: Metric = metric("entry_runs_cut_early_total", &[]);
+pub(crate) const RUNS_CUT_EARLY: Metric = metric("entry_runs_cut_early_total", &[]);
 /// Requests under way.
-pub(crate) const RUNNING: Metric = metric("entry_running", &[]);
+pub(crate) const RUNNING_REQUESTS: Metric = metric("entry_running", &[]);
 /// Requests that wait in line for room on the engines.
-pub(crate) const WAITING: Metric = metric("entry_waiting", &[]);
+pub(crate) const WAITING_REQUESTS: Metric = metric("entry_waiting", &[]);
 /// Instances or requests among which the room on the engines is divided.
-pub(crate) const SHARERS: Metric = metric("entry_room_sharers", &[]);
+pub(crate) const CAPACITY_SHARERS: Metric = metric("entry_room_sharers", &[]);
 /// Upstreams as this instance uses them.
 pub(crate) const UPSTREAMS: Metric = metric("entry_upstreams", &["service", "state"]);
 /// Upstreams with a rate limit in force.
-pub(crate) const LIMITED: Metric = metric("entry_limited_upstreams", &[]);
+pub(crate) const LIMITED_UPSTREAMS: Metric = metric("entry_limited_upstreams", &[]);
 /// Memory for requests that is booked on the engines, of all instances.
-pub(crate) const BOOKED: Metric = metric("entry_booked_megabytes", &["service"]);
+pub(crate) const BOOKED_MEMORY: Metric = metric("entry_booked_megabytes", &["service"]);
 /// Version of the configuration in force; 0 before the first.
-pub(crate) const VERSION: Metric = metric("entry_configuration_version", &[]);
+pub(crate) const CONFIGURATION_VERSION: Metric = metric("entry_configuration_version", &[]);
 /// Time for which keys may still be used without another confirmation.
-pub(crate) const LEASE: Metric = metric("entry_lease_seconds", &[]);
+pub(crate) const LEASE_REMAINING: Metric = metric("entry_lease_seconds", &[]);
 /// Whether the roster holds every upstream that lives.
-pub(crate) const COMPLETE: Metric = metric("entry_roster_complete", &[]);
+pub(crate) const ROSTER_COMPLETE: Metric = metric("entry_roster_complete", &[]);
 /// Retries that are left in the present window.
-pub(crate) const RETRIES: Metric = metric("entry_retries_left", &["service"]);
+pub(crate) const RETRIES_LEFT: Metric = metric("entry_retries_left", &["service"]);
 
 /// Whether this controller leads.
-pub(crate) const LEADS: Metric = metric("controller_leads", &[]);
+pub(crate) const IS_LEADER: Metric = metric("controller_leads", &[]);
 /// Age of the latest confirmation by a quorum; only the leader has one.
 pub(crate) const QUORUM_AGE: Metric = metric("controller_quorum_age_seconds", &[]);
 /// Voters of the replicated log.
 pub(crate) const VOTERS: Metric = metric("controller_voters", &[]);
 /// Version of the configuration that is committed here.
-pub(crate) const COMMITTED: Metric = metric("controller_configuration_version", &[]);
+pub(crate) const COMMITTED_VERSION: Metric = metric("controller_configuration_version", &[]);
 /// Upstreams that the leader knows.
-pub(crate) const KNOWN: Metric = metric("controller_upstreams", &["service", "state"]);
+pub(crate) const KNOWN_UPSTREAMS: Metric = metric("controller_upstreams", &["service", "state"]);
 /// Layers that no engine of a failure domain holds.
-pub(crate) const MISSING: Metric = metric("controller_missing_layers", &["service", "domain"]);
+pub(crate) const MISSING_LAYERS: Metric =
+    metric("controller_missing_layers", &["service", "domain"]);
 /// Orders for layers that are under way.
-pub(crate) const PENDING: Metric = metric("controller_pending_orders", &[]);
+pub(crate) const PENDING_ORDERS: Metric = metric("controller_pending_orders", &[]);
 /// Orders for layers that were given.
 pub(crate) const ORDERS: Metric = metric("controller_orders_total", &["status"]);
 /// Entry instances that report to the leader.
-pub(crate) const ENTRIES: Metric = metric("controller_entries", &[]);
+pub(crate) const ENTRY_INSTANCES: Metric = metric("controller_entries", &[]);
 /// Quarantined requests.
-pub(crate) const QUARANTINED: Metric = metric("controller_quarantined_requests", &[]);
+pub(crate) const QUARANTINED_REQUESTS: Metric = metric("controller_quarantined_requests", &[]);
 /// Requests suspected of crashing engines and not quarantined.
-pub(crate) const SUSPECTS: Metric = metric("controller_suspect_requests", &[]);
+pub(crate) const SUSPECT_REQUESTS: Metric = metric("controller_suspect_requests", &[]);
 
 /// Heartbeats of upstreams that this controller took.
 pub(crate) const HEARTBEATS: Metric = metric("controller_heartbeats_total", &["way"]);
@@ -83,40 +85,40 @@
 #[cfg(test)]
 pub(crate) const ALL: &[Metric] = &[
     REQUESTS,
-    REQUEST_TIME,
-    FIRST_EVENT,
-    PAUSE,
+    REQUEST_DURATION,
+    FIRST_EVENT_DELAY,
+    STREAM_PAUSE,
     REFUSALS,
-    FAILURES,
+    FAILED_ATTEMPTS,
     REROUTES,
-    CUT_EARLY,
-    RUNNING,
-    WAITING,
-    SHARERS,
+    RUNS_CUT_EARLY,
+    RUNNING_REQUESTS,
+    WAITING_REQUESTS,
+    CAPACITY_SHARERS,
     UPSTREAMS,
-    LIMITED,
-    BOOKED,
-    VERSION,
-    LEASE,
-    COMPLETE,
-    RETRIES,
-    LEADS,
+    LIMITED_UPSTREAMS,
+    BOOKED_MEMORY,
+    CONFIGURATION_VERSION,
+    LEASE_REMAINING,
+    ROSTER_COMPLETE,
+    RETRIES_LEFT,
+    IS_LEADER,
     QUORUM_AGE,
     VOTERS,
-    COMMITTED,
-    KNOWN,
-    MISSING,
-    PENDING,
+    COMMITTED_VERSION,
+    KNOWN_UPSTREAMS,
+    MISSING_LAYERS,
+    PENDING_ORDERS,
     ORDERS,
-    ENTRIES,
-    QUARANTINED,
-    SUSPECTS,
+    ENTRY_INSTANCES,
+    QUARANTINED_REQUESTS,
+    SUSPECT_REQUESTS,
     HEARTBEATS,
 ];
 
 /// The kind of a request as the label `kind` names it.
-pub(crate) fn kind(repeat: RetryPolicy) -> &'static str {
-    match repeat {
+pub(crate) fn kind(policy: RetryPolicy) -> &'static str {
+    match policy {
         RetryPolicy::Never => "once",
         RetryPolicy::Always => "idempotent",
         RetryPolicy::Resume => "stream",
--- a/src/periodic.rs
+++ b/src/periodic.rs
@@ -12,7 +12,7 @@
 use crate::peer::Peers;
 use crate::propose::Proposer;
 use crate::serve::Serving;
-use crate::supervise::{Policy, Supervisor};
+use crate::supervise::{RestartPolicy, Supervisor};
 
 /// Period of moving the claims' time on.
 const CLAIM_TICK: Duration = Duration::from_secs(1);
@@ -30,7 +30,7 @@
 const VIEW: Duration = Duration::from_millis(100);
 
 /// Asks for shares of the limits whenever a question is due.
-pub(crate) async fn keep_shares(node: Node, leader: Arc<Proposer>, serving: Arc<Serving>) {
+pub(crate) async fn renew_limit_shares(node: Node, leader: Arc<Proposer>, serving: Arc<Serving>) {
     loop {
         serving.share_due().await;
         let Some(ask) = serving.ask() else { continue };
@@ -47,7 +47,7 @@
 }
 
 /// Moves the claims' time on while this instance leads their group.
-pub(crate) async fn keep_claims(
+pub(crate) async fn run_claim_ticks(
     node: Node,
     group: u32,
     claims: Arc<Proposer>,
@@ -67,7 +67,7 @@
 }
 
 /// Hands what the fleet knows to routing and to the connections.
-pub(crate) fn start_views(
+pub(crate) fn start_view_refresh(
     supervisor: &Supervisor,
     serving: &Arc<Serving>,
     fleet: &Fleet,
@@ -76,7 +76,7 @@
     let serving = Arc::clone(serving);
     let fleet = fleet.clone();
     let peers = peers.clone();
-    supervisor.start("views", Policy::Restart, move || {
+    supervisor.start("views", RestartPolicy::Restart, move || {
         let mut viewed = Instant::now();
         loop {
             thread::sleep(if serving.queued() > 0 {
--- a/src/program.rs
+++ b/src/program.rs
@@ -12,7 +12,7 @@
 
 /// Runs a role on the users' platform.
 fn role(matches: &ArgMatches, run: fn(&RoleSettings) -> Result<()>) -> Result<()> {
-    let _written = log::start_role();
+    let _written = log::init_role();
     run(&RoleSettings::from_matches(matches)?)
 }
 
--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -14,7 +14,7 @@
 use crate::clock::Time;
 use crate::dispatch::{Admission, Decision, Dispatcher, Placement, PlacementError};
 use crate::event;
-use crate::gate::Running;
+use crate::gate::RunningGuard;
 use crate::http::Reply;
 use crate::id::OrganisationId;
 use crate::request::{Admitted, Answer, Lifecycle, Received, RefusalCode, RequestId};
@@ -31,7 +31,7 @@
     pub(crate) catalogue: Arc<Catalogue>,
     pub(crate) deadline: Time,
     /// Counts the request as running for a graceful shutdown.
-    pub(crate) running: Running,
+    pub(crate) running: RunningGuard,
 }
 
 impl Known {
@@ -84,7 +84,7 @@
             let answer = Answer::refused_early(code, keyed, pause);
             Box::new(respond::refuse(&answer, "-"))
         };
-        let running = self.parts.gate.enter();
+        let running = self.parts.gate.admit();
         let running = running.ok_or_else(|| refuse(RefusalCode::Draining, Some(Duration::ZERO)))?;
         let now = self.now();
         let catalogue = self.parts.force.get(now);
--- a/src/serve/claims.rs
+++ b/src/serve/claims.rs
@@ -179,7 +179,7 @@
 
     fn record(self: &Arc<Self>, claims: Arc<Proposer>, action: Action) {
         // A graceful shutdown waits for it as for a running request.
-        let running = self.parts.gate.hold();
+        let running = self.parts.gate.track();
         tokio::spawn(async move {
             let _ = claims.propose(action.into_bytes().into(), RECORD).await;
             drop(running);
--- a/src/serve/complete.rs
+++ b/src/serve/complete.rs
@@ -99,7 +99,7 @@
             key,
             used,
             work: Work::Engine(completion.prompt.clone()),
-            running: self.parts.gate.hold(),
+            running: self.parts.gate.track(),
         };
         Ok((completion, self.start(job, life)))
     }
--- a/src/serve/job.rs
+++ b/src/serve/job.rs
@@ -7,7 +7,7 @@
 use super::service::Call;
 use crate::catalogue::Class;
 use crate::clock::Time;
-use crate::gate::Running;
+use crate::gate::RunningGuard;
 use crate::id::OrganisationId;
 use crate::request::{Answer, RequestId};
 
@@ -36,7 +36,7 @@
     /// What each attempt does.
     pub(crate) work: Work,
     /// Keeps a graceful shutdown waiting until the answer is whole.
-    pub(crate) running: Running,
+    pub(crate) running: RunningGuard,
 }
 
 /// What each attempt does.
--- a/src/serve/listen.rs
+++ b/src/serve/listen.rs
@@ -42,7 +42,7 @@
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
         let gate = Arc::clone(&self.parts.gate);
         let mut response = self.respond(request).await;
-        if gate.closed() {
+        if gate.is_closed() {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
         }
@@ -65,7 +65,11 @@
     }
 
     fn ready(&self) -> Response<Reply> {
-        match self.parts.gate.not_ready(&self.parts.force, self.now()) {
+        match self
+            .parts
+            .gate
+            .unready_reason(&self.parts.force, self.now())
+        {
             None => respond::plain(StatusCode::OK, "ready\n"),
             Some(reason) => respond::plain(StatusCode::SERVICE_UNAVAILABLE, reason),
         }
--- a/src/serve/service.rs
+++ b/src/serve/service.rs
@@ -121,7 +121,7 @@
             key,
             used,
             work: Work::Call(call),
-            running: self.parts.gate.hold(),
+            running: self.parts.gate.track(),
         };
         Ok((slot, self.start(job, life)))
     }
--- a/src/supervise.rs
+++ b/src/supervise.rs
@@ -16,11 +16,11 @@
 const PAUSE: Duration = Duration::from_millis(200);
 
 /// Restarts of one part before the failure counts as lasting.
-const MOST_RESTARTS: u32 = 20;
+const MAX_RESTARTS: u32 = 20;
 
 /// What to do when a part fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Policy {
+pub(crate) enum RestartPolicy {
     /// Start the part again.
     Restart,
     /// End the instance.
@@ -46,7 +46,7 @@
 
     /// Runs `part` on a thread of its own. A part that returns has ended as
     /// it should.
-    pub(crate) fn start<F>(&self, name: &'static str, policy: Policy, mut part: F)
+    pub(crate) fn start<F>(&self, name: &'static str, policy: RestartPolicy, mut part: F)
     where
         F: FnMut() + Send + 'static,
     {
@@ -54,7 +54,7 @@
         let body = move || {
             let mut restarts = 0;
             while catch_unwind(AssertUnwindSafe(&mut part)).is_err() {
-                if policy == Policy::Escalate || restarts == MOST_RESTARTS {
+                if policy == RestartPolicy::Escalate || restarts == MAX_RESTARTS {
                     tracing::error!(event = event::PART_FAILED.id, part = name, "part failed");
                     let _ = report.send(name.to_owned());
                     return;
