--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -1,8 +1,8 @@
-//! Upstreams that announced themselves, and how long a record of one lasts.
+//! Upstreams that announced themselves, and the lifetime of their records.
 //!
-//! The instance that hears an upstream vouches for it. Other instances keep
-//! the record for as long as they hold that instance for alive, so that a
-//! silent refresh costs no datagram to the fleet.
+//! The registrar of an upstream is the instance that tracks its announcements.
+//! Other instances keep the record for as long as they consider the registrar
+//! alive, so an announcement without changes needs no gossip to the fleet.
 
 mod announcement;
 mod dump;
@@ -19,7 +19,7 @@
 
 pub(crate) use announcement::MAX_NAME_LEN;
 pub(crate) use entry::PastInstant;
-pub(crate) use load::{LoadLevel, short_of};
+pub(crate) use load::{LoadLevel, short_key};
 pub(crate) use registry::{InstanceLiveness, Registry, RegistryEffect};
 pub(crate) use wire::{LoadReports, Renewal, UpstreamRecord};
 
--- a/src/upstream/announcement.rs
+++ b/src/upstream/announcement.rs
@@ -1,4 +1,4 @@
-//! What an upstream says about itself, as `docs/UPSTREAMS.md` describes it.
+//! Announcements that upstreams post, described in `docs/UPSTREAMS.md`.
 
 use std::net::SocketAddr;
 
@@ -7,32 +7,32 @@
 
 use crate::id::{Incarnation, UpstreamId};
 
-/// Longest name of an upstream, pool, domain, model and the like, in bytes.
+/// Maximum length of a name of an upstream, pool, domain, model and the like, in bytes.
 pub(crate) const MAX_NAME_LEN: usize = 64;
-/// Most layers of one model.
+/// Maximum number of layers of one model.
 const MAX_LAYERS: u32 = 1_024;
-/// Highest rate, in tokens a second.
+/// Maximum rate, in tokens per second.
 const MAX_RATE: u32 = 10_000_000;
-/// Most concurrent sequences or calls of one upstream.
+/// Maximum number of concurrent sequences or calls of one upstream.
 const MAX_SLOTS: u32 = 65_536;
-/// Fastest network link, in Mbit/s.
+/// Maximum bandwidth of a network link, in Mbit/s.
 const MAX_LINK: u32 = 10_000_000;
-/// Highest count in a load report.
+/// Maximum count in a load report.
 const MAX_LOAD: u32 = 1_000_000;
 
-/// Life cycle of an upstream. Within one incarnation it only goes forward.
+/// Lifecycle state of an upstream. Within one incarnation it only moves forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum UpstreamState {
-    /// Takes new work.
+    /// Accepts new work.
     Up,
-    /// Finishes running work and takes no new work.
+    /// Finishes running work and accepts no new work.
     Leaving,
-    /// Has ended.
+    /// Has terminated.
     Gone,
 }
 
-/// A range of layers of a model.
+/// A model engine, which runs a range of layers of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Engine {
     /// Name of the model.
@@ -43,137 +43,137 @@
     pub first: u32,
     /// Last layer, exclusive. At most `total`.
     pub end: u32,
-    /// Layers of the whole model.
+    /// Number of layers of the whole model.
     pub total: u32,
-    /// Kind of accelerator.
+    /// Type of accelerator.
     pub accelerator: String,
-    /// Tokens a second through this range.
+    /// Throughput of this range, in tokens per second.
     pub rate: u32,
-    /// Concurrent sequences.
+    /// Maximum number of concurrent sequences.
     pub slots: u32,
-    /// Network link in Mbit/s.
+    /// Bandwidth of the network link, in Mbit/s.
     pub link: u32,
 }
 
 /// A plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Service {
-    /// Name under which callers reach it.
+    /// Name under which callers address it.
     pub name: String,
-    /// Concurrent calls.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
 }
 
-/// What an upstream does.
+/// Type of work that an upstream performs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Serves {
     /// Runs layers of a model.
     Engine(Engine),
-    /// Answers calls of a plain service.
+    /// Answers calls to a plain service.
     Service(Service),
 }
 
-/// Work at an upstream. Of an upstream that announces itself to another
-/// instance both counts are rounded to the nearest step of a coarse scale.
+/// Load of an upstream. Both counts are rounded down to a step of a coarse
+/// scale if the upstream announces itself to another instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Load {
-    /// Sequences or calls that run.
+    /// Number of running sequences or calls.
     pub running: u32,
-    /// Sequences or calls that wait.
+    /// Number of waiting sequences or calls.
     pub waiting: u32,
 }
 
-/// One announcement, as an upstream posts it.
+/// One announcement that an upstream posts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// Name, unique in the fleet.
     pub id: UpstreamId,
-    /// Grows with each start of the upstream.
+    /// Increases with each start of the upstream.
     pub incarnation: Incarnation,
-    /// Grows with each announcement of one incarnation.
+    /// Increases with each announcement of one incarnation.
     pub sequence: u64,
-    /// Where it takes work, by IP number.
+    /// IP address and port at which it accepts work.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: String,
-    /// Pool whose credential it holds.
+    /// Pool whose credential it has.
     pub pool: String,
-    /// Life cycle.
+    /// Lifecycle state.
     pub state: UpstreamState,
-    /// What it does.
+    /// Type of work.
     pub serves: Serves,
-    /// Work that it has.
+    /// Current load.
     #[serde(default)]
     pub load: Load,
 }
 
-/// Why an announcement was refused.
+/// Reason for which an announcement is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[non_exhaustive]
 pub enum AnnounceError {
-    /// A name is empty, too long or holds other than printable ASCII.
+    /// A name is empty, too long or contains other than printable ASCII.
     #[snafu(display("{field} is not 1 to {MAX_NAME_LEN} printable ASCII characters: shorten it"))]
     Name {
-        /// Field that is wrong.
+        /// The invalid field.
         field: &'static str,
     },
-    /// The layer range isn't within the model.
+    /// The layer range isn't valid for the model.
     #[snafu(display(
         "layers {first}..{end} of {total} are no range: announce first < end <= total <= {MAX_LAYERS}"
     ))]
     Layers {
-        /// First layer.
+        /// First layer, inclusive.
         first: u32,
-        /// End layer.
+        /// Last layer, exclusive.
         end: u32,
-        /// Layers of the model.
+        /// Number of layers of the model.
         total: u32,
     },
-    /// A number is out of its bounds.
-    #[snafu(display("{field} is {value}: announce {least} to {most}"))]
+    /// A number is out of range.
+    #[snafu(display("{field} is {value}: announce {min} to {max}"))]
     Number {
-        /// Field that is wrong.
+        /// The invalid field.
         field: &'static str,
         /// Its value.
         value: u32,
-        /// Least value.
-        least: u32,
-        /// Highest value.
-        most: u32,
+        /// Minimum value.
+        min: u32,
+        /// Maximum value.
+        max: u32,
     },
-    /// The table is full of upstreams that are alive.
+    /// The registry is full of upstreams that are alive.
     #[snafu(display("{limit} upstreams are known already: retire some, or start another fleet"))]
     Full {
-        /// Most upstreams.
+        /// Maximum number of upstreams.
         limit: usize,
     },
-    /// Another name has the same digest.
+    /// Another upstream's name has the same digest.
     #[snafu(display("the digest of this id is taken by upstream {id}: choose another id"))]
-    Taken {
-        /// Upstream that has it.
+    IdCollision {
+        /// Upstream with that digest.
         id: UpstreamId,
     },
-    /// This instance was suspended and can't tell how old the announcement is.
+    /// This process was suspended, so the age of the announcement is unknown.
     #[snafu(display("the instance is catching up: announce again in {retry} ms"))]
     Stalled {
-        /// Milliseconds to the next try.
+        /// Delay before the next attempt, in milliseconds.
         retry: u64,
     },
 }
 
 impl Announcement {
-    /// Checks all bounds.
+    /// Checks names and ranges.
     ///
     /// # Errors
     ///
-    /// Names the first field that is out of bounds.
+    /// Returns an error for the first invalid field.
     pub fn validate(&self) -> Result<(), AnnounceError> {
-        name("id", &self.id.0)?;
-        name("domain", &self.domain)?;
-        name("pool", &self.pool)?;
-        number("running", self.load.running, 0, MAX_LOAD)?;
-        number("waiting", self.load.waiting, 0, MAX_LOAD)?;
+        check_name("id", &self.id.0)?;
+        check_name("domain", &self.domain)?;
+        check_name("pool", &self.pool)?;
+        check_range("running", self.load.running, 0, MAX_LOAD)?;
+        check_range("waiting", self.load.waiting, 0, MAX_LOAD)?;
         self.serves.validate()
     }
 }
@@ -192,40 +192,40 @@
         let Self {
             first, end, total, ..
         } = *self;
-        name("model", &self.model)?;
-        name("version", &self.version)?;
-        name("accelerator", &self.accelerator)?;
-        let within = first < end && end <= total && total <= MAX_LAYERS;
-        ensure!(within, LayersSnafu { first, end, total });
-        number("rate", self.rate, 1, MAX_RATE)?;
-        number("slots", self.slots, 1, MAX_SLOTS)?;
-        number("link", self.link, 1, MAX_LINK)
+        check_name("model", &self.model)?;
+        check_name("version", &self.version)?;
+        check_name("accelerator", &self.accelerator)?;
+        let valid = first < end && end <= total && total <= MAX_LAYERS;
+        ensure!(valid, LayersSnafu { first, end, total });
+        check_range("rate", self.rate, 1, MAX_RATE)?;
+        check_range("slots", self.slots, 1, MAX_SLOTS)?;
+        check_range("link", self.link, 1, MAX_LINK)
     }
 }
 
 impl Service {
     fn validate(&self) -> Result<(), AnnounceError> {
-        name("name", &self.name)?;
-        number("slots", self.slots, 1, MAX_SLOTS)
+        check_name("name", &self.name)?;
+        check_range("slots", self.slots, 1, MAX_SLOTS)
     }
 }
 
-fn name(field: &'static str, text: &str) -> Result<(), AnnounceError> {
-    let sized = (1..=MAX_NAME_LEN).contains(&text.len());
+fn check_name(field: &'static str, text: &str) -> Result<(), AnnounceError> {
+    let valid_len = (1..=MAX_NAME_LEN).contains(&text.len());
     let printable = text.bytes().all(|b| b.is_ascii_graphic());
-    ensure!(sized && printable, NameSnafu { field });
+    ensure!(valid_len && printable, NameSnafu { field });
     Ok(())
 }
 
-fn number(field: &'static str, value: u32, least: u32, most: u32) -> Result<(), AnnounceError> {
-    let bounds = least..=most;
+fn check_range(field: &'static str, value: u32, min: u32, max: u32) -> Result<(), AnnounceError> {
+    let bounds = min..=max;
     ensure!(
         bounds.contains(&value),
         NumberSnafu {
             field,
             value,
-            least,
-            most
+            min,
+            max
         }
     );
     Ok(())
--- a/src/upstream/dump.rs
+++ b/src/upstream/dump.rs
@@ -7,32 +7,32 @@
 use crate::upstream::entry::Entry;
 use crate::upstream::{Load, Registry, UpstreamState};
 
-/// One upstream in a dump, retired or not.
+/// One upstream in a state dump, retired or not.
 #[derive(Clone, Debug, Serialize)]
 pub struct UpstreamDump {
-    /// Name, or the digest of it when only the order is known.
+    /// Name, or its digest while the name is unknown.
     pub id: String,
-    /// Start of the upstream.
+    /// Incarnation of the upstream.
     pub incarnation: Incarnation,
-    /// Sequence of the record.
+    /// Highest known sequence.
     pub sequence: u64,
-    /// Life cycle.
+    /// Lifecycle state.
     pub state: UpstreamState,
-    /// Whether its registrar heard nothing for the expiry time.
+    /// Whether the registrar received no announcement for the expiry time.
     pub silent: bool,
-    /// Whether there was no proof of life here for the expiry time.
+    /// Whether this instance had no sign of life for the expiry time.
     pub lapsed: bool,
     /// Instance responsible for the record.
     #[serde(rename = "voucher")]
     pub registrar: InstanceId,
-    /// Milliseconds since the last proof of life.
+    /// Milliseconds since the last sign of life.
     pub age: u64,
-    /// Work that it had.
+    /// Last known load.
     pub load: Load,
 }
 
 impl Registry {
-    /// All entries, sorted by name.
+    /// Returns all entries, sorted by name.
     pub(crate) fn dump(&self, now: Time) -> Vec<UpstreamDump> {
         let entries = self.entries.iter();
         let mut dumps: Vec<_> = entries.map(|(key, e)| e.dump(now, *key)).collect();
@@ -43,11 +43,11 @@
 
 impl Entry {
     fn dump(&self, now: Time, key: u64) -> UpstreamDump {
-        let name = self.facts.as_deref().map(|f| f.id.to_string());
+        let name = self.metadata.as_deref().map(|f| f.id.to_string());
         UpstreamDump {
             id: name.unwrap_or_else(|| format!("{key:016x}")),
             incarnation: self.version.incarnation,
-            sequence: self.latest,
+            sequence: self.latest_sequence,
             state: self.version.state,
             silent: self.version.silent,
             lapsed: self.lapsed,
--- a/src/upstream/entry.rs
+++ b/src/upstream/entry.rs
@@ -1,4 +1,4 @@
-//! One upstream as an instance knows it.
+//! Registry entry of one upstream.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 use crate::id::{Incarnation, InstanceId, UpstreamId};
 use crate::upstream::{Announcement, Load, LoadLevel, Serves, Upstream, UpstreamState};
 
-/// A point in the past that may lie before this process's clock began.
+/// A point in the past that may precede the start of this process's clock.
 ///
-/// Clocks of two processes can't be compared, so an age crosses the wire. The
-/// receiver adds the time that passes on its own clock. Ages therefore add up
-/// over relays, and a record that is handed round in a circle still expires.
+/// Clocks of different processes can't be compared, so messages carry an age.
+/// The receiver adds the time elapsed on its own clock. Ages thus accumulate
+/// over relays, and a record that is relayed in a cycle still expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PastInstant {
     at: Time,
@@ -22,42 +22,43 @@
 }
 
 impl PastInstant {
-    /// The present.
+    /// Returns the present.
     pub(crate) fn now(now: Time) -> Self {
         Self::aged(now, Duration::ZERO)
     }
 
-    /// `age` before the present.
+    /// Returns the point `age` before the present.
     pub(crate) fn aged(now: Time, age: Duration) -> Self {
         Self { at: now, age }
     }
 
-    /// Time passed.
+    /// Returns the elapsed time.
     pub(crate) fn age(self, now: Time) -> Duration {
         now.since(self.at).saturating_add(self.age)
     }
 }
 
-/// Place of a record in the total order of one upstream's records. The higher
-/// one wins wherever they meet, so every instance ends with the same record
-/// whatever the order of arrival.
+/// Position of a record in the total order of one upstream's records. The
+/// higher version wins on every instance, so all converge on the same record
+/// regardless of the order of arrival.
 ///
-/// The order of the fields is the order of comparison. `state` stands before
-/// `sequence`: within one incarnation `leaving` and `gone` are final.
+/// Fields are compared in the order of declaration. `state` precedes `sequence`
+/// because `leaving` and `gone` are final within one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Version {
     pub(crate) incarnation: Incarnation,
     pub(crate) state: UpstreamState,
     pub(crate) sequence: u64,
-    /// The registrar heard nothing for the expiry time after `sequence`.
+    /// The registrar received nothing for the expiry time after `sequence`.
     pub(crate) silent: bool,
-    /// Instance that hears the upstream.
+    /// Instance that tracks the upstream's announcements.
     pub(crate) registrar: InstanceId,
-    /// Incarnation of the registrar. One that restarted vouches for nothing.
+    /// Incarnation of the registrar. After a restart it is no longer the
+    /// registrar of earlier records.
     pub(crate) boot: Incarnation,
 }
 
-/// What seldom changes about an upstream.
+/// Attributes of an upstream that seldom change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Metadata {
     pub(crate) id: UpstreamId,
@@ -79,9 +80,9 @@
     }
 }
 
-/// Key of an upstream on the wire and in the table: eight bytes of a digest
-/// of its name.
-pub(crate) fn key_of(id: &UpstreamId) -> u64 {
+/// Key of an upstream on the wire and in the registry: the first eight bytes
+/// of the SHA-256 digest of its name.
+pub(crate) fn upstream_key(id: &UpstreamId) -> u64 {
     first_bytes(&Sha256::digest(id.0.as_bytes()))
 }
 
@@ -91,42 +92,42 @@
     u64::from_le_bytes(bytes)
 }
 
-/// A record with its local state.
+/// A record and its local state.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) version: Version,
-    /// `None` of an upstream that is gone, and until they arrive.
-    pub(crate) facts: Option<Arc<Metadata>>,
-    /// Digest of the facts that belong to `version`.
+    /// `None` if the upstream is gone or the metadata hasn't arrived yet.
+    pub(crate) metadata: Option<Arc<Metadata>>,
+    /// Digest of the metadata that belongs to `version`.
     pub(crate) digest: u32,
-    /// Last proof of life, or the end of an upstream that is gone or silent.
+    /// Last sign of life, or the time at which the upstream became gone or silent.
     pub(crate) since: PastInstant,
-    /// No proof of life for the expiry time. Only a newer proof ends this.
+    /// No sign of life for the expiry time. Only a newer one resets this.
     pub(crate) lapsed: bool,
-    /// Highest sequence heard, at least that of `version`.
-    pub(crate) latest: u64,
-    /// Last load heard, and the sequence that it came with.
+    /// Highest sequence received, at least that of `version`.
+    pub(crate) latest_sequence: u64,
+    /// Last load received, and the sequence of its announcement.
     pub(crate) load: Load,
-    pub(crate) loaded: u64,
-    /// Load that the fleet was told last, and when.
-    pub(crate) told: LoadLevel,
-    pub(crate) told_at: Time,
-    /// What the view shows, until something of it changes.
-    pub(crate) shown: Option<Arc<Upstream>>,
+    pub(crate) load_sequence: u64,
+    /// Load last reported to the fleet, and when.
+    pub(crate) reported: LoadLevel,
+    pub(crate) reported_at: Time,
+    /// Cached element of the view, cleared on change.
+    pub(crate) cached: Option<Arc<Upstream>>,
 }
 
 impl Entry {
-    /// Whether requests may go there.
+    /// Whether the upstream accepts requests.
     pub(crate) fn usable(&self) -> bool {
-        self.version.state == UpstreamState::Up && !self.retired() && self.facts.is_some()
+        self.version.state == UpstreamState::Up && !self.retired() && self.metadata.is_some()
     }
 
-    /// Whether only the order is still of use.
+    /// Whether the entry only serves to reject older records.
     pub(crate) fn retired(&self) -> bool {
         self.ended() || self.lapsed
     }
 
-    /// Whether the whole fleet holds the upstream for ended.
+    /// Whether the whole fleet considers the upstream terminated.
     pub(crate) fn ended(&self) -> bool {
         self.version.state == UpstreamState::Gone || self.version.silent
     }
--- a/src/upstream/load.rs
+++ b/src/upstream/load.rs
@@ -1,8 +1,8 @@
-//! Load reports on a coarse scale of one byte.
+//! Load encoded in one byte on a coarse scale.
 
 use crate::upstream::Load;
 
-/// Steps of the scale. A count is rounded to the highest step not above it.
+/// Steps of the scale. A count is rounded down to a step.
 const STEPS: [u32; 16] = [0, 1, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48, 64, 96, 128, 256];
 
 /// A [`Load`] as two indices into the scale: running in the upper four bits,
@@ -11,15 +11,15 @@
 pub(crate) struct LoadLevel(pub(crate) u8);
 
 impl LoadLevel {
-    /// Steps between two levels, the larger of both counts.
+    /// Number of steps between two levels, the larger of the two counts.
     pub(crate) fn distance(self, other: Self) -> u8 {
         let running = (self.0 >> 4).abs_diff(other.0 >> 4);
         let waiting = (self.0 & 15).abs_diff(other.0 & 15);
         running.max(waiting)
     }
 
-    /// Whether one of the two has waiting work and the other hasn't.
-    pub(crate) fn crosses(self, other: Self) -> bool {
+    /// Whether only one of the two levels has waiting work.
+    pub(crate) fn waiting_differs(self, other: Self) -> bool {
         (self.0 & 15 == 0) != (other.0 & 15 == 0)
     }
 }
@@ -44,7 +44,7 @@
     u8::try_from(above - 1).unwrap_or(15)
 }
 
-/// Four bytes of an upstream's key, for load reports.
-pub(crate) fn short_of(key: u64) -> u32 {
+/// Lowest four bytes of an upstream's key, used in load reports.
+pub(crate) fn short_key(key: u64) -> u32 {
     (key & u64::from(u32::MAX)) as u32
 }
--- a/src/upstream/registry.rs
+++ b/src/upstream/registry.rs
@@ -1,4 +1,4 @@
-//! All upstreams that an instance knows: a state machine without I/O.
+//! Registry of all upstreams known to an instance: a state machine without I/O.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,87 +8,90 @@
 use crate::id::{Incarnation, InstanceId, UpstreamId};
 use crate::upstream::entry::{Entry, Metadata, PastInstant};
 use crate::upstream::wire::{MetadataRecord, Renewal};
-use crate::upstream::{AnnounceError, Load, Upstream, UpstreamState, UpstreamView, short_of};
+use crate::upstream::{AnnounceError, Load, Upstream, UpstreamState, UpstreamView, short_key};
 
 mod announce;
 mod merge;
 
-/// Silence after which an upstream is dropped from the view.
+/// Time without a sign of life after which an upstream is removed from the view.
 pub(crate) const EXPIRY: Duration = Duration::from_secs(10);
 
-/// How long the order of a retired upstream is kept.
+/// Retention time of the version of a retired upstream.
 ///
-/// An announcement that was sent before `leaving` or `gone` can wait in the
-/// socket of an instance that is suspended, or on the far side of a partition.
-/// Two hours outlast the hour for which regions lose each other now and then.
+/// An announcement sent before `leaving` or `gone` can be delayed in the socket
+/// of a suspended instance or beyond a network partition. Two hours exceed the
+/// occasional one-hour partitions between regions.
 pub(crate) const RETENTION: Duration = Duration::from_secs(7_200);
 
-/// Most entries, retired ones included. The one that retired first makes room.
+/// Maximum number of entries, including retired ones. A full registry evicts the
+/// entry that retired first.
 pub(crate) const MAX_ENTRIES: usize = 4_096;
 
-/// Least time between two load reports of one upstream, unless work begins or
-/// ceases to wait there.
-const LOAD_PERIOD: Duration = Duration::from_secs(2);
+/// Minimum time between two load reports of one upstream, unless its queue
+/// becomes empty or non-empty.
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time after which a change by one step of the scale is reported too.
-const LOAD_SETTLE: Duration = Duration::from_secs(10);
+/// Minimum time since the last load report before a change by a single step of
+/// the scale is reported.
+const LOAD_SETTLE_TIME: Duration = Duration::from_secs(10);
 
-/// What became of an announcement.
+/// Outcome of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnounceOutcome {
-    /// It was news, or proof of life.
+    /// It changed the record or renewed it.
     Accepted,
-    /// The same or a later one of this incarnation is known. Nothing changed.
+    /// The same or a later announcement of this incarnation is known. Nothing changed.
     Duplicate,
-    /// A higher incarnation is known, or this one is leaving or gone.
+    /// A higher incarnation or a later lifecycle state is known.
     Superseded,
 }
 
-/// What the owner of a registry must do.
+/// Action that the caller of the registry must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum RegistryEffect {
-    /// Tell the fleet of this record.
+    /// Send the record of this key to the fleet.
     Broadcast(u64),
-    /// Tell the fleet of this load.
+    /// Send the load of this key to the fleet.
     BroadcastLoad(u64),
-    /// Pass an announcement without news on to the instance that vouches.
+    /// Forward an announcement without changes to the registrar.
     ForwardRenewal(InstanceId, Renewal),
-    /// Ask the sender for the facts of this record.
+    /// Request the metadata of this key from the sender.
     RequestMetadata(u64),
 }
 
-/// Who is alive, as the failure detector sees it.
+/// Liveness of instances according to the failure detector.
 pub(crate) trait InstanceLiveness {
-    /// Whether the instance is alive in this incarnation.
+    /// Whether the instance is alive in incarnation `boot`.
     fn is_alive(&self, id: InstanceId, boot: Incarnation) -> bool;
 }
 
-/// Counts for dumps and metrics.
+/// Counts for state dumps and metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct RegistryCounts {
-    /// Upstreams that may be given work.
+    /// Upstreams that accept new work.
     pub usable: usize,
-    /// Upstreams that finish their work.
+    /// Upstreams that finish running work.
     pub leaving: usize,
-    /// Entries kept for their order alone.
+    /// Entries retained only to reject older records.
     pub retired: usize,
     /// Entries of which this instance is the registrar.
     #[serde(rename = "vouched")]
     pub registered: usize,
-    /// Records refused because the table was full.
+    /// Records and announcements rejected because they were invalid or the
+    /// registry was full.
     pub refused: u64,
-    /// Records that were older than the one known.
+    /// Records that were older than the known one.
     pub stale: u64,
 }
 
-/// The table of upstreams.
+/// Registry of upstreams.
 pub(crate) struct Registry {
     id: InstanceId,
     boot: Incarnation,
     pub(super) entries: HashMap<u64, Entry>,
-    /// Keys by their short form. Two keys can share one; reports of load
-    /// for both are then dropped.
-    shorts: HashMap<u32, Vec<u64>>,
+    /// Keys by short key. Load reports are dropped if several keys share a
+    /// short key.
+    short_keys: HashMap<u32, Vec<u64>>,
     view: Arc<UpstreamView>,
     dirty: bool,
     refused: u64,
@@ -96,13 +99,13 @@
 }
 
 impl Registry {
-    /// An empty table of the instance `id` in its incarnation `boot`.
+    /// Creates an empty registry of the instance `id` in its incarnation `boot`.
     pub(crate) fn new(id: InstanceId, boot: Incarnation) -> Self {
         Self {
             id,
             boot,
             entries: HashMap::default(),
-            shorts: HashMap::default(),
+            short_keys: HashMap::default(),
             view: Arc::default(),
             dirty: false,
             refused: 0,
@@ -110,12 +113,12 @@
         }
     }
 
-    /// Lets time pass. To be called about once a second, before other events
-    /// of the same time.
+    /// Expires and renews records. Must be called about once a second, before
+    /// other events of the same time.
     ///
-    /// Expiry goes before renewal by a registrar that is alive. After a long
-    /// suspension of this process every record lapses, since the fleet may
-    /// have moved on, and comes back only with a record from elsewhere.
+    /// Expiry precedes renewal by a live registrar. After a long suspension of
+    /// this process all records lapse because the fleet may have changed. Only a
+    /// record from another instance or a new announcement restores one.
     pub(crate) fn tick(
         &mut self,
         now: Time,
@@ -123,38 +126,38 @@
         out: &mut Vec<RegistryEffect>,
     ) {
         let own = (self.id, self.boot);
-        let mut ended = Vec::new();
+        let mut expired = Vec::new();
         for (key, entry) in &mut self.entries {
             let age = entry.since.age(now);
             if entry.retired() {
                 if age >= RETENTION {
-                    ended.push(*key);
+                    expired.push(*key);
                 }
                 continue;
             }
             let version = &mut entry.version;
-            let vouched = (version.registrar, version.boot);
+            let registrar = (version.registrar, version.boot);
             if age < EXPIRY {
-                if vouched != own && liveness.is_alive(vouched.0, vouched.1) {
+                if registrar != own && liveness.is_alive(registrar.0, registrar.1) {
                     entry.since = PastInstant::now(now);
                 }
                 continue;
             }
             self.dirty = true;
-            if vouched == own {
+            if registrar == own {
                 version.silent = true;
-                version.sequence = entry.latest;
+                version.sequence = entry.latest_sequence;
                 out.push(RegistryEffect::Broadcast(*key));
             } else {
                 entry.lapsed = true;
             }
         }
-        for key in ended {
+        for key in expired {
             self.remove(key);
         }
     }
 
-    /// The upstreams that may be given work.
+    /// Returns the upstreams that accept new work.
     pub(crate) fn snapshot(&mut self, now: Time) -> Arc<UpstreamView> {
         if self.dirty {
             self.dirty = false;
@@ -163,12 +166,12 @@
         Arc::clone(&self.view)
     }
 
-    /// Whether [`Registry::snapshot`] would give another view than before.
+    /// Whether [`Registry::snapshot`] would return a different view than before.
     pub(crate) fn changed(&self) -> bool {
         self.dirty
     }
 
-    /// Counts for dumps and metrics.
+    /// Returns counts for state dumps and metrics.
     pub(crate) fn counts(&self) -> RegistryCounts {
         let count = |f: &dyn Fn(&Entry) -> bool| self.entries.values().filter(|e| f(e)).count();
         let leaving = |e: &Entry| e.version.state == UpstreamState::Leaving && !e.retired();
@@ -190,11 +193,11 @@
             return Ok(());
         }
         self.refused += 1;
-        tracing::debug!(upstream = %id, "table of upstreams is full");
+        tracing::debug!(upstream = %id, "registry of upstreams is full");
         Err(AnnounceError::Full { limit: MAX_ENTRIES })
     }
 
-    /// Drops the entry that retired first. Only a full table comes to this.
+    /// Removes the entry that retired first, or returns false if there is none.
     fn evict(&mut self, now: Time) -> bool {
         let retired = self.entries.iter().filter(|(_, e)| e.retired());
         let oldest = retired.max_by_key(|(key, e)| (e.since.age(now), **key));
@@ -208,24 +211,24 @@
     fn insert(&mut self, key: u64, entry: Entry) {
         self.dirty = true;
         if self.entries.insert(key, entry).is_none() {
-            self.shorts.entry(short_of(key)).or_default().push(key);
+            self.short_keys.entry(short_key(key)).or_default().push(key);
         }
     }
 
     fn remove(&mut self, key: u64) {
         self.entries.remove(&key);
-        let short = short_of(key);
-        if let Some(keys) = self.shorts.get_mut(&short) {
+        let short = short_key(key);
+        if let Some(keys) = self.short_keys.get_mut(&short) {
             keys.retain(|k| *k != key);
             if keys.is_empty() {
-                self.shorts.remove(&short);
+                self.short_keys.remove(&short);
             }
         }
     }
 
     fn build(&mut self, now: Time) -> UpstreamView {
         let usable = self.entries.values_mut().filter(|e| e.usable());
-        let mut upstreams: Vec<_> = usable.filter_map(Entry::show).collect();
+        let mut upstreams: Vec<_> = usable.filter_map(Entry::cached_upstream).collect();
         upstreams.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         UpstreamView {
             version: self.view.version + 1,
@@ -236,30 +239,30 @@
 }
 
 impl Entry {
-    /// Notes a load; says whether it is another.
+    /// Stores a load and returns whether it changed.
     fn set_load(&mut self, load: Load) -> bool {
         let changed = self.load != load;
         self.load = load;
-        self.shown.take_if(|_| changed);
+        self.cached.take_if(|_| changed);
         changed
     }
 
-    fn show(&mut self) -> Option<Arc<Upstream>> {
-        if self.shown.is_none() {
-            self.shown = self.upstream().map(Arc::new);
+    fn cached_upstream(&mut self) -> Option<Arc<Upstream>> {
+        if self.cached.is_none() {
+            self.cached = self.to_upstream().map(Arc::new);
         }
-        self.shown.clone()
+        self.cached.clone()
     }
 
-    fn upstream(&self) -> Option<Upstream> {
-        let facts = self.facts.as_deref()?;
+    fn to_upstream(&self) -> Option<Upstream> {
+        let metadata = self.metadata.as_deref()?;
         Some(Upstream {
-            id: facts.id.clone(),
+            id: metadata.id.clone(),
             incarnation: self.version.incarnation,
-            address: facts.address,
-            domain: facts.domain.clone(),
-            pool: facts.pool.clone(),
-            serves: facts.serves.clone(),
+            address: metadata.address,
+            domain: metadata.domain.clone(),
+            pool: metadata.pool.clone(),
+            serves: metadata.serves.clone(),
             load: self.load,
         })
     }
--- a/src/upstream/registry/announce.rs
+++ b/src/upstream/registry/announce.rs
@@ -1,17 +1,18 @@
-//! Announcements that upstreams make, here or to another instance.
+//! Handling of announcements, received directly or forwarded by another instance.
 
 use std::sync::Arc;
 
 use crate::clock::Time;
-use crate::upstream::entry::{Entry, Metadata, PastInstant, Version, key_of};
+use crate::upstream::entry::{Entry, Metadata, PastInstant, Version, upstream_key};
 use crate::upstream::registry::{
-    AnnounceOutcome, InstanceLiveness, LOAD_PERIOD, LOAD_SETTLE, Registry, RegistryEffect,
+    AnnounceOutcome, InstanceLiveness, LOAD_REPORT_INTERVAL, LOAD_SETTLE_TIME, Registry,
+    RegistryEffect,
 };
-use crate::upstream::wire::{Renewal, state_code, state_of};
+use crate::upstream::wire::{Renewal, state_code, state_from_code};
 use crate::upstream::{AnnounceError, Announcement, Load, LoadLevel, UpstreamState};
 
 impl Registry {
-    /// Takes an announcement that the upstream itself made to this instance.
+    /// Handles an announcement that the upstream sent to this instance.
     pub(crate) fn announce(
         &mut self,
         now: Time,
@@ -20,33 +21,33 @@
         out: &mut Vec<RegistryEffect>,
     ) -> Result<AnnounceOutcome, AnnounceError> {
         a.validate()?;
-        let key = key_of(&a.id);
-        let facts = Metadata::from(a);
+        let key = upstream_key(&a.id);
+        let metadata = Metadata::from(a);
         let Some(entry) = self.entries.get_mut(&key) else {
             self.make_room(now, &a.id)?;
-            self.vouch(now, key, a, facts, out);
+            self.register(now, key, a, metadata, out);
             return Ok(AnnounceOutcome::Accepted);
         };
-        if let Some(known) = &entry.facts
+        if let Some(known) = &entry.metadata
             && known.id != a.id
         {
-            return Err(AnnounceError::Taken {
+            return Err(AnnounceError::IdCollision {
                 id: known.id.clone(),
             });
         }
-        let outcome = entry.judge(a);
+        let outcome = entry.classify(a);
         if outcome != AnnounceOutcome::Accepted {
             return Ok(outcome);
         }
-        if !entry.repeats(a, &facts) || !self.has_voucher(key, liveness) {
-            self.vouch(now, key, a, facts, out);
+        if !entry.is_renewal(a, &metadata) || !self.has_live_registrar(key, liveness) {
+            self.register(now, key, a, metadata, out);
             return Ok(AnnounceOutcome::Accepted);
         }
-        self.renewed(now, key, a, out);
+        self.apply_renewal(now, key, a, out);
         Ok(AnnounceOutcome::Accepted)
     }
 
-    /// Takes proof of life that another instance heard and passed on.
+    /// Handles a renewal forwarded by another instance.
     pub(crate) fn renew(&mut self, now: Time, renewal: &Renewal, out: &mut Vec<RegistryEffect>) {
         let (id, boot) = (self.id, self.boot);
         let Some(entry) = self.entries.get_mut(&renewal.key) else {
@@ -56,11 +57,12 @@
             incarnation, state, ..
         } = entry.version;
         let own = (entry.version.registrar, entry.version.boot) == (id, boot);
-        let same = incarnation.0 == renewal.incarnation && state_of(renewal.state) == Some(state);
-        if !own || !same || renewal.sequence <= entry.latest {
+        let same =
+            incarnation.0 == renewal.incarnation && state_from_code(renewal.state) == Some(state);
+        if !own || !same || renewal.sequence <= entry.latest_sequence {
             return;
         }
-        entry.latest = renewal.sequence;
+        entry.latest_sequence = renewal.sequence;
         entry.since = PastInstant::now(now);
         self.dirty |= std::mem::take(&mut entry.lapsed);
         if entry.version.silent {
@@ -73,20 +75,20 @@
             running: renewal.running,
             waiting: renewal.waiting,
         };
-        self.loaded(now, renewal.key, load, out);
+        self.update_load(now, renewal.key, load, out);
     }
 
-    /// Makes this instance the registrar.
-    fn vouch(
+    /// Makes this instance the registrar of the upstream.
+    fn register(
         &mut self,
         now: Time,
         key: u64,
         a: &Announcement,
-        facts: Metadata,
+        metadata: Metadata,
         out: &mut Vec<RegistryEffect>,
     ) {
         let gone = a.state == UpstreamState::Gone;
-        let digest = if gone { 0 } else { facts.digest() };
+        let digest = if gone { 0 } else { metadata.digest() };
         let old = self.entries.get(&key);
         let entry = Entry {
             version: Version {
@@ -97,35 +99,41 @@
                 registrar: self.id,
                 boot: self.boot,
             },
-            facts: (!gone).then(|| Arc::new(facts)),
+            metadata: (!gone).then(|| Arc::new(metadata)),
             digest,
             since: PastInstant::now(now),
             lapsed: false,
-            latest: a.sequence,
+            latest_sequence: a.sequence,
             load: old.map_or(Load::default(), |e| e.load),
-            loaded: 0,
-            told: old.map_or(LoadLevel::default(), |e| e.told),
-            told_at: old.map_or(now, |e| e.told_at),
-            shown: None,
+            load_sequence: 0,
+            reported: old.map_or(LoadLevel::default(), |e| e.reported),
+            reported_at: old.map_or(now, |e| e.reported_at),
+            cached: None,
         };
         self.insert(key, entry);
         out.push(RegistryEffect::Broadcast(key));
-        self.loaded(now, key, a.load, out);
+        self.update_load(now, key, a.load, out);
     }
 
-    /// Takes an announcement without news.
-    fn renewed(&mut self, now: Time, key: u64, a: &Announcement, out: &mut Vec<RegistryEffect>) {
+    /// Handles an announcement without changes.
+    fn apply_renewal(
+        &mut self,
+        now: Time,
+        key: u64,
+        a: &Announcement,
+        out: &mut Vec<RegistryEffect>,
+    ) {
         let Some(entry) = self.entries.get_mut(&key) else {
             return;
         };
-        entry.latest = a.sequence;
+        entry.latest_sequence = a.sequence;
         entry.since = PastInstant::now(now);
         let registrar = entry.version.registrar;
         if registrar == self.id {
-            self.loaded(now, key, a.load, out);
+            self.update_load(now, key, a.load, out);
             return;
         }
-        entry.loaded = a.sequence;
+        entry.load_sequence = a.sequence;
         self.dirty |= entry.set_load(a.load);
         let renewal = Renewal {
             key,
@@ -138,54 +146,54 @@
         out.push(RegistryEffect::ForwardRenewal(registrar, renewal));
     }
 
-    /// Notes a load as the registrar, and reports it when it changed enough.
-    fn loaded(&mut self, now: Time, key: u64, load: Load, out: &mut Vec<RegistryEffect>) {
+    /// Stores a load as the registrar and reports it if it changed sufficiently.
+    fn update_load(&mut self, now: Time, key: u64, load: Load, out: &mut Vec<RegistryEffect>) {
         let Some(entry) = self.entries.get_mut(&key) else {
             return;
         };
-        entry.loaded = entry.latest;
+        entry.load_sequence = entry.latest_sequence;
         self.dirty |= entry.set_load(load);
         let level = LoadLevel::from(load);
-        let quiet = now.since(entry.told_at);
-        let crosses = level.crosses(entry.told);
-        let report = match level.distance(entry.told) {
+        let elapsed = now.since(entry.reported_at);
+        let waiting_differs = level.waiting_differs(entry.reported);
+        let report = match level.distance(entry.reported) {
             0 => false,
-            1 if !crosses => quiet >= LOAD_SETTLE,
-            _ => crosses || quiet >= LOAD_PERIOD,
+            1 if !waiting_differs => elapsed >= LOAD_SETTLE_TIME,
+            _ => waiting_differs || elapsed >= LOAD_REPORT_INTERVAL,
         };
         if report {
-            entry.told = level;
-            entry.told_at = now;
+            entry.reported = level;
+            entry.reported_at = now;
             out.push(RegistryEffect::BroadcastLoad(key));
         }
     }
 
-    /// Whether the registrar of this entry is this instance or one alive.
-    fn has_voucher(&self, key: u64, liveness: &impl InstanceLiveness) -> bool {
+    /// Whether the registrar of this entry is this instance or another that is alive.
+    fn has_live_registrar(&self, key: u64, liveness: &impl InstanceLiveness) -> bool {
         self.entries.get(&key).is_some_and(|entry| {
-            let vouched = (entry.version.registrar, entry.version.boot);
-            vouched == (self.id, self.boot) || liveness.is_alive(vouched.0, vouched.1)
+            let registrar = (entry.version.registrar, entry.version.boot);
+            registrar == (self.id, self.boot) || liveness.is_alive(registrar.0, registrar.1)
         })
     }
 }
 
 impl Entry {
-    /// What an announcement is, compared with this entry.
-    fn judge(&self, a: &Announcement) -> AnnounceOutcome {
+    /// Compares an announcement with this entry.
+    fn classify(&self, a: &Announcement) -> AnnounceOutcome {
         let known = (self.version.incarnation, self.version.state);
         if (a.incarnation, a.state) < known {
             return AnnounceOutcome::Superseded;
         }
-        if (a.incarnation, a.state) == known && a.sequence <= self.latest {
+        if (a.incarnation, a.state) == known && a.sequence <= self.latest_sequence {
             return AnnounceOutcome::Duplicate;
         }
         AnnounceOutcome::Accepted
     }
 
-    /// Whether an accepted announcement is proof of life and nothing else.
-    fn repeats(&self, a: &Announcement, facts: &Metadata) -> bool {
+    /// Whether an accepted announcement only renews this entry.
+    fn is_renewal(&self, a: &Announcement, metadata: &Metadata) -> bool {
         let known = (self.version.incarnation, self.version.state);
         let same = (a.incarnation, a.state) == known && !self.retired();
-        same && self.facts.as_deref() == Some(facts)
+        same && self.metadata.as_deref() == Some(metadata)
     }
 }
--- a/src/upstream/registry/merge.rs
+++ b/src/upstream/registry/merge.rs
@@ -1,20 +1,20 @@
-//! Records and loads that other instances tell of.
+//! Handling of records and load reports from other instances.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::upstream::entry::{Entry, Metadata, PastInstant, Version, key_of};
+use crate::upstream::entry::{Entry, Metadata, PastInstant, Version, upstream_key};
 use crate::upstream::registry::{EXPIRY, MAX_ENTRIES, RETENTION, Registry, RegistryEffect};
 use crate::upstream::wire::{LoadReports, MetadataRecord, UpstreamRecord};
-use crate::upstream::{Load, LoadLevel, UpstreamState, short_of};
+use crate::upstream::{Load, LoadLevel, UpstreamState, short_key};
 
-/// Records this close to their end are no longer told of, so that instances
-/// which drop them at different times don't hand them back to each other.
-const FADE: Duration = Duration::from_secs(60);
+/// Records this close to the end of their retention are no longer sent, so that
+/// instances which remove them at different times don't restore them to each other.
+const RETENTION_MARGIN: Duration = Duration::from_secs(60);
 
 impl Registry {
-    /// Merges a record. `Spread` is among the effects when it was news.
+    /// Merges a record. The effects include [`RegistryEffect::Broadcast`] if it was new.
     pub(crate) fn receive(
         &mut self,
         now: Time,
@@ -29,19 +29,27 @@
         if since.age(now) >= RETENTION {
             return;
         }
-        let Ok(facts) = checked_facts(record.facts, record.key, record.digest) else {
+        let Ok(metadata) = verify_metadata(record.metadata, record.key, record.digest) else {
             self.refused += 1;
             return;
         };
         let known = self.entries.get(&record.key);
         match known.map(|e| version.cmp(&e.version)) {
             Some(std::cmp::Ordering::Less) => self.stale += 1,
-            Some(std::cmp::Ordering::Equal) => self.confirm(now, record.key, since, facts, out),
-            _ => self.replace(now, record.key, record.digest, version, since, facts, out),
+            Some(std::cmp::Ordering::Equal) => self.refresh(now, record.key, since, metadata, out),
+            _ => self.replace(
+                now,
+                record.key,
+                record.digest,
+                version,
+                since,
+                metadata,
+                out,
+            ),
         }
     }
 
-    /// Takes reports of load.
+    /// Merges load reports.
     pub(crate) fn receive_loads(&mut self, loads: &LoadReports, out: &mut Vec<RegistryEffect>) {
         let columns = loads.keys.iter().zip(&loads.incarnations);
         let columns = columns.zip(loads.sequences.iter().zip(&loads.levels));
@@ -50,69 +58,70 @@
         }
     }
 
-    /// The record of `key` for the wire, with facts if asked for.
-    pub(crate) fn record(&self, now: Time, key: u64, facts: bool) -> Option<UpstreamRecord> {
+    /// Returns the record of `key` for the wire, with its metadata if requested.
+    pub(crate) fn record(&self, now: Time, key: u64, metadata: bool) -> Option<UpstreamRecord> {
         let entry = self.entries.get(&key)?;
         let age = entry.since.age(now);
-        if age + FADE >= RETENTION {
+        if age + RETENTION_MARGIN >= RETENTION {
             return None;
         }
         let millis = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
         let mut record = UpstreamRecord::new(key, &entry.version, millis, entry.digest);
-        if facts {
-            record.facts = entry.facts.as_deref().map(Into::into);
+        if metadata {
+            record.metadata = entry.metadata.as_deref().map(Into::into);
         }
         Some(record)
     }
 
-    /// Whether the record of `key` says all that there is to say.
+    /// Whether the entry of `key` has its metadata or needs none.
     pub(crate) fn is_complete(&self, key: u64) -> bool {
         let entry = self.entries.get(&key);
-        entry.is_some_and(|e| e.facts.is_some() || e.ended())
+        entry.is_some_and(|e| e.metadata.is_some() || e.ended())
     }
 
-    /// One row of a [`LoadReports`]: short key, incarnation, sequence, level.
+    /// Returns one row of [`LoadReports`]: short key, incarnation, sequence, level.
     pub(crate) fn load_report(&self, key: u64) -> Option<(u32, u8, u64, u8)> {
         let entry = self.entries.get(&key).filter(|e| !e.retired())?;
         let incarnation = short_incarnation(&entry.version);
         Some((
-            short_of(key),
+            short_key(key),
             incarnation,
-            entry.loaded,
+            entry.load_sequence,
             LoadLevel::from(entry.load).0,
         ))
     }
 
-    /// Key and hash of each entry that is told of. Two instances whose
-    /// hashes are the same have nothing to tell each other.
+    /// Returns key and hash of each entry that may be sent. Two instances with
+    /// equal hashes have no records to exchange.
     pub(crate) fn hashes(&self, now: Time) -> impl Iterator<Item = (u64, u64)> + '_ {
-        let told = move |e: &Entry| e.since.age(now) + FADE < RETENTION;
-        let entries = self.entries.iter().filter(move |(_, e)| told(e));
+        let is_sent = move |e: &Entry| e.since.age(now) + RETENTION_MARGIN < RETENTION;
+        let entries = self.entries.iter().filter(move |(_, e)| is_sent(e));
         entries.map(|(key, entry)| (*key, entry.hash(*key)))
     }
 
-    /// Takes a record equal to the one known: perhaps a newer proof of life.
+    /// Merges a record with the known version, which may carry missing metadata
+    /// or a newer sign of life.
     ///
-    /// A record for which this instance vouches is never renewed by another:
-    /// the other counts it as alive only because this instance is.
-    fn confirm(
+    /// Another instance never renews a record of which this instance is the
+    /// registrar: it considers the upstream alive only because this instance is.
+    fn refresh(
         &mut self,
         now: Time,
         key: u64,
         since: PastInstant,
-        facts: Option<Metadata>,
+        metadata: Option<Metadata>,
         out: &mut Vec<RegistryEffect>,
     ) {
         let own = (self.id, self.boot);
         let Some(entry) = self.entries.get_mut(&key) else {
             return;
         };
-        if entry.facts.is_none() && !entry.ended() {
-            out.push(match facts {
+        if entry.metadata.is_none() && !entry.ended() {
+            out.push(match metadata {
                 Some(_) => RegistryEffect::Broadcast(key),
                 None => RegistryEffect::RequestMetadata(key),
             });
-            entry.facts = facts.map(Arc::new);
+            entry.metadata = metadata.map(Arc::new);
             self.dirty = true;
         }
         if (entry.version.registrar, entry.version.boot) == own {
@@ -135,7 +144,7 @@
         digest: u32,
         version: Version,
         since: PastInstant,
-        facts: Option<Metadata>,
+        metadata: Option<Metadata>,
         out: &mut Vec<RegistryEffect>,
     ) {
         let old = self.entries.get(&key);
@@ -146,26 +155,26 @@
         let old = self.entries.get(&key);
         let reused = old
             .filter(|e| e.digest == digest)
-            .and_then(|e| e.facts.clone());
+            .and_then(|e| e.metadata.clone());
         let gone = version.state == UpstreamState::Gone;
-        let facts = facts.map(Arc::new).or(reused).filter(|_| !gone);
+        let metadata = metadata.map(Arc::new).or(reused).filter(|_| !gone);
         let kept = old.filter(|e| e.version.incarnation == version.incarnation);
         let entry = Entry {
             lapsed: since.age(now) >= EXPIRY,
-            latest: kept.map_or(0, |e| e.latest).max(version.sequence),
+            latest_sequence: kept.map_or(0, |e| e.latest_sequence).max(version.sequence),
             load: kept.map_or(Load::default(), |e| e.load),
-            loaded: kept.map_or(0, |e| e.loaded),
-            told: kept.map_or(LoadLevel::default(), |e| e.told),
-            told_at: kept.map_or(now, |e| e.told_at),
+            load_sequence: kept.map_or(0, |e| e.load_sequence),
+            reported: kept.map_or(LoadLevel::default(), |e| e.reported),
+            reported_at: kept.map_or(now, |e| e.reported_at),
             version,
-            facts,
+            metadata,
             digest,
             since,
-            shown: None,
+            cached: None,
         };
-        let lacking = entry.facts.is_none() && !entry.ended();
+        let incomplete = entry.metadata.is_none() && !entry.ended();
         self.insert(key, entry);
-        out.push(match lacking {
+        out.push(match incomplete {
             true => RegistryEffect::RequestMetadata(key),
             false => RegistryEffect::Broadcast(key),
         });
@@ -179,7 +188,7 @@
         level: LoadLevel,
         out: &mut Vec<RegistryEffect>,
     ) {
-        let Some([key]) = self.shorts.get(&short).map(Vec::as_slice) else {
+        let Some([key]) = self.short_keys.get(&short).map(Vec::as_slice) else {
             return;
         };
         let Some(entry) = self.entries.get_mut(key) else {
@@ -187,11 +196,11 @@
         };
         let same = short_incarnation(&entry.version) == incarnation;
         let own = (entry.version.registrar, entry.version.boot) == (self.id, self.boot);
-        if own || !same || sequence <= entry.loaded {
+        if own || !same || sequence <= entry.load_sequence {
             return;
         }
-        entry.loaded = sequence;
-        entry.told = level;
+        entry.load_sequence = sequence;
+        entry.reported = level;
         self.dirty |= entry.set_load(level.into());
         out.push(RegistryEffect::BroadcastLoad(*key));
     }
@@ -201,8 +210,8 @@
     fn hash(&self, key: u64) -> u64 {
         use std::hash::{Hash, Hasher};
         let mut hasher = rustc_hash::FxHasher::default();
-        let known = self.facts.is_some();
-        (key, &self.version, self.lapsed, known, self.digest).hash(&mut hasher);
+        let has_metadata = self.metadata.is_some();
+        (key, &self.version, self.lapsed, has_metadata, self.digest).hash(&mut hasher);
         hasher.finish()
     }
 }
@@ -211,20 +220,20 @@
     (version.incarnation.0 & 127) as u8
 }
 
-struct BadFacts;
+struct InvalidMetadata;
 
-/// The facts of a record. They must belong to its key and digest.
-fn checked_facts(
+/// Decodes the metadata of a record and checks it against key and digest.
+fn verify_metadata(
     record: Option<MetadataRecord>,
     key: u64,
     digest: u32,
-) -> Result<Option<Metadata>, BadFacts> {
+) -> Result<Option<Metadata>, InvalidMetadata> {
     let Some(record) = record else {
         return Ok(None);
     };
-    let facts = record.facts().ok_or(BadFacts)?;
-    if key_of(&facts.id) != key || facts.digest() != digest {
-        return Err(BadFacts);
+    let metadata = record.into_metadata().ok_or(InvalidMetadata)?;
+    if upstream_key(&metadata.id) != key || metadata.digest() != digest {
+        return Err(InvalidMetadata);
     }
-    Ok(Some(facts))
+    Ok(Some(metadata))
 }
--- a/src/upstream/view.rs
+++ b/src/upstream/view.rs
@@ -1,4 +1,4 @@
-//! The upstreams that may be given work, as routing sees them.
+//! Read-only view of the upstreams available to routing.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,38 +9,38 @@
 use crate::id::{Incarnation, UpstreamId};
 use crate::upstream::{Load, Serves};
 
-/// One upstream that may be given work.
+/// One upstream that accepts new work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Upstream {
     /// Name, unique in the fleet.
     pub id: UpstreamId,
-    /// Start of the upstream that this is.
+    /// Incarnation of the upstream.
     pub incarnation: Incarnation,
-    /// Where it takes work.
+    /// IP address and port at which it accepts work.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: String,
-    /// Pool that it belongs to.
+    /// Pool to which it belongs.
     pub pool: String,
-    /// What it does.
+    /// Type of work.
     pub serves: Serves,
-    /// Work that it had when it was last heard of.
+    /// Last known load.
     pub load: Load,
 }
 
-/// All upstreams that are alive and not leaving, in the order of their names.
+/// All upstreams that are alive and not leaving.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamView {
-    /// Grows with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// When this view was made, on the local clock.
+    /// Time at which this view was built, on the local clock.
     pub built: Time,
     /// The upstreams, sorted by `id`.
     pub upstreams: Vec<Arc<Upstream>>,
 }
 
 impl UpstreamView {
-    /// The upstream of that name.
+    /// Returns the upstream with the given name.
     #[must_use]
     pub fn get(&self, id: &UpstreamId) -> Option<&Arc<Upstream>> {
         let found = self.upstreams.binary_search_by(|u| u.id.cmp(id));
--- a/src/upstream/wire.rs
+++ b/src/upstream/wire.rs
@@ -1,4 +1,4 @@
-//! Records of upstreams as datagrams carry them.
+//! Wire format of upstream records.
 
 use std::net::SocketAddr;
 
@@ -6,8 +6,8 @@
 use crate::upstream::entry::{Metadata, Version};
 use crate::upstream::{Engine, Serves, Service, UpstreamState};
 
-/// A record. Without `facts` the receiver uses those that it has, if their
-/// digest is the same, and asks for them otherwise.
+/// A record. Without `metadata` the receiver reuses its own if the digest is the
+/// same, and requests the metadata otherwise.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct UpstreamRecord {
     #[prost(fixed64, tag = "1")]
@@ -16,23 +16,23 @@
     pub(crate) incarnation: u64,
     #[prost(uint64, tag = "3")]
     pub(crate) sequence: u64,
-    /// State in the lower two bits, silence in the third.
+    /// State in the lower two bits, [`SILENT`] in the third.
     #[prost(uint32, tag = "4")]
     pub(crate) state: u32,
     #[prost(uint64, tag = "5")]
     pub(crate) registrar: u64,
     #[prost(uint64, tag = "6")]
     pub(crate) boot: u64,
-    /// Milliseconds since the last proof of life or the end.
+    /// Milliseconds since the last sign of life or the end of the upstream.
     #[prost(uint32, tag = "7")]
     pub(crate) age: u32,
     #[prost(fixed32, tag = "8")]
     pub(crate) digest: u32,
     #[prost(message, optional, tag = "9")]
-    pub(crate) facts: Option<MetadataRecord>,
+    pub(crate) metadata: Option<MetadataRecord>,
 }
 
-/// What seldom changes about an upstream.
+/// Attributes of an upstream that seldom change.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct MetadataRecord {
     #[prost(string, tag = "1")]
@@ -85,7 +85,7 @@
     slots: u32,
 }
 
-/// An announcement without news, passed on to the registrar.
+/// An announcement without changes, forwarded to the registrar.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(crate) struct Renewal {
     #[prost(fixed64, tag = "1")]
@@ -102,12 +102,12 @@
     pub(crate) waiting: u32,
 }
 
-/// Load reports as columns: one entry costs about nine bytes.
+/// Load reports in columns, about nine bytes per upstream.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct LoadReports {
     #[prost(fixed32, repeated, tag = "1")]
     pub(crate) keys: Vec<u32>,
-    /// Lowest seven bits of each incarnation.
+    /// Lowest seven bits of each upstream's incarnation.
     #[prost(bytes = "vec", tag = "2")]
     pub(crate) incarnations: Vec<u8>,
     #[prost(uint64, repeated, tag = "3")]
@@ -116,9 +116,10 @@
     pub(crate) levels: Vec<u8>,
 }
 
+/// Flag in [`UpstreamRecord::state`] of a silent upstream.
 const SILENT: u32 = 4;
 
-/// State as a number on the wire.
+/// Encodes a state for the wire.
 pub(crate) fn state_code(state: UpstreamState) -> u32 {
     match state {
         UpstreamState::Up => 0,
@@ -127,8 +128,8 @@
     }
 }
 
-/// State of a number on the wire.
-pub(crate) fn state_of(code: u32) -> Option<UpstreamState> {
+/// Decodes a state from the wire.
+pub(crate) fn state_from_code(code: u32) -> Option<UpstreamState> {
     match code {
         0 => Some(UpstreamState::Up),
         1 => Some(UpstreamState::Leaving),
@@ -138,7 +139,7 @@
 }
 
 impl UpstreamRecord {
-    /// A record without facts.
+    /// Creates a record without metadata.
     pub(crate) fn new(key: u64, version: &Version, age: u32, digest: u32) -> Self {
         let silent = if version.silent { SILENT } else { 0 };
         Self {
@@ -150,15 +151,15 @@
             boot: version.boot.0,
             age,
             digest,
-            facts: None,
+            metadata: None,
         }
     }
 
-    /// Its place in the order, or `None` when the state is unknown.
+    /// Returns the version, or `None` if the state is unknown.
     pub(crate) fn version(&self) -> Option<Version> {
         Some(Version {
             incarnation: Incarnation(self.incarnation),
-            state: state_of(self.state & !SILENT)?,
+            state: state_from_code(self.state & !SILENT)?,
             sequence: self.sequence,
             silent: self.state & SILENT != 0,
             registrar: InstanceId(self.registrar),
@@ -168,13 +169,13 @@
 }
 
 impl From<&Metadata> for MetadataRecord {
-    fn from(facts: &Metadata) -> Self {
+    fn from(metadata: &Metadata) -> Self {
         Self {
-            id: facts.id.0.to_string(),
-            address: facts.address.to_string(),
-            domain: facts.domain.clone(),
-            pool: facts.pool.clone(),
-            serves: Some((&facts.serves).into()),
+            id: metadata.id.0.to_string(),
+            address: metadata.address.to_string(),
+            domain: metadata.domain.clone(),
+            pool: metadata.pool.clone(),
+            serves: Some((&metadata.serves).into()),
         }
     }
 }
@@ -202,8 +203,8 @@
 }
 
 impl MetadataRecord {
-    /// The facts, or `None` when they are incomplete.
-    pub(crate) fn facts(self) -> Option<Metadata> {
+    /// Converts the record to metadata, or `None` if it is incomplete.
+    pub(crate) fn into_metadata(self) -> Option<Metadata> {
         Some(Metadata {
             id: UpstreamId(self.id.into()),
             address: self.address.parse::<SocketAddr>().ok()?,
