--- a/src/frame.rs
+++ b/src/frame.rs
@@ -1,9 +1,9 @@
 //! Frames between instances: length-delimited protobuf over TCP, each
 //! authenticated with the fleet's key.
 //!
-//! The accepting side sends a random nonce first. The tag of each frame covers
-//! the nonce, the direction and the frame's number, so a recorded frame can't
-//! be replayed on another connection, twice, out of order, or backwards.
+//! The accepting side first sends a random nonce. The tag of each frame covers
+//! the nonce, the direction and the frame's number, so a captured frame can't be
+//! replayed on another connection, repeated, reordered or reflected.
 
 use bytes::{Bytes, BytesMut};
 use futures_util::{SinkExt, StreamExt};
@@ -16,79 +16,82 @@
 
 use crate::auth::{FleetKey, TAG_LEN};
 
-/// Longest frame, in bytes: a snapshot chunk or a full catalogue.
-const MAX_FRAME: usize = 64 << 20;
+/// Maximum length of a frame, in bytes. The largest carry a snapshot chunk or a
+/// full catalogue.
+const MAX_FRAME_LEN: usize = 64 << 20;
 
-/// Bytes of the nonce that opens a connection.
+/// Length of the nonce sent at the start of a connection, in bytes.
 const NONCE_LEN: usize = 16;
 
-/// Why a connection between instances ended.
+/// Error that ends a connection between instances.
 #[derive(Debug, Snafu)]
 pub(crate) enum FrameError {
     /// The socket failed or was closed.
     #[snafu(
-        display("connection lost ({source}); it is opened again on demand"),
+        display("connection lost ({source}); it is reopened on demand"),
         context(false)
     )]
     Io { source: std::io::Error },
-    /// A frame's tag is wrong.
-    #[snafu(display("a frame isn't signed with the fleet's key; give all instances one key file"))]
+    /// The tag of a frame is invalid.
+    #[snafu(display(
+        "a frame isn't signed with the fleet's key; use the same key file on all instances"
+    ))]
     Tag,
-    /// A frame can't be decoded.
+    /// The body of a frame can't be decoded.
     #[snafu(
-        display("a frame can't be decoded ({source}); run one release on all instances"),
+        display("a frame can't be decoded ({source}); run the same release on all instances"),
         context(false)
     )]
     Decode { source: prost::DecodeError },
 }
 
-/// Which way frames go; part of each tag.
+/// Direction of frames, covered by each tag.
 #[derive(Clone, Copy)]
 enum Direction {
     ToAcceptor = 1,
-    ToOpener = 2,
+    ToConnector = 2,
 }
 
 struct Signer {
     key: FleetKey,
     nonce: [u8; NONCE_LEN],
     direction: Direction,
-    /// Number of the next frame. Never repeats on a connection.
+    /// Number of the next frame. Never reused on a connection.
     next: u64,
 }
 
 impl Signer {
     fn tag(&mut self, body: &[u8]) -> [u8; TAG_LEN] {
-        let mut covered = Vec::with_capacity(NONCE_LEN + 9 + body.len());
-        covered.extend_from_slice(&self.nonce);
-        covered.push(self.direction as u8);
-        covered.extend_from_slice(&self.next.to_be_bytes());
-        covered.extend_from_slice(body);
+        let mut input = Vec::with_capacity(NONCE_LEN + 9 + body.len());
+        input.extend_from_slice(&self.nonce);
+        input.push(self.direction as u8);
+        input.extend_from_slice(&self.next.to_be_bytes());
+        input.extend_from_slice(body);
         self.next += 1;
-        self.key.tag(&covered)
+        self.key.tag(&input)
     }
 }
 
-/// Counts a frame's bytes without the headers of TCP and IP.
-fn count(way: &'static str, bytes: usize) {
+/// Updates the counters for one frame. Headers of TCP and IP aren't counted.
+fn count_frame(way: &'static str, bytes: usize) {
     metrics::counter!("peer_frames_total", "way" => way).increment(1);
     metrics::counter!("peer_bytes_total", "way" => way).increment(bytes as u64);
 }
 
-/// Receives frames of one connection.
+/// Receiving half of a connection.
 pub(crate) struct Receiver {
     frames: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
     signer: Signer,
 }
 
-/// Sends frames of one connection.
+/// Sending half of a connection.
 pub(crate) struct Sender {
     frames: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
     signer: Signer,
 }
 
-/// Takes the opening side of a fresh connection.
-pub(crate) async fn open(
+/// Performs the handshake of a new connection on the connecting side.
+pub(crate) async fn connect(
     mut stream: TcpStream,
     key: &FleetKey,
 ) -> Result<(Sender, Receiver), FrameError> {
@@ -100,11 +103,11 @@
         key,
         nonce,
         Direction::ToAcceptor,
-        Direction::ToOpener,
+        Direction::ToConnector,
     ))
 }
 
-/// Takes the accepting side of a fresh connection.
+/// Performs the handshake of a new connection on the accepting side.
 pub(crate) async fn accept(
     mut stream: TcpStream,
     key: &FleetKey,
@@ -117,7 +120,7 @@
         stream,
         key,
         nonce,
-        Direction::ToOpener,
+        Direction::ToConnector,
         Direction::ToAcceptor,
     ))
 }
@@ -132,7 +135,7 @@
     let (read, write) = stream.into_split();
     let codec = || {
         LengthDelimitedCodec::builder()
-            .max_frame_length(MAX_FRAME)
+            .max_frame_length(MAX_FRAME_LEN)
             .new_codec()
     };
     let signer = |direction| Signer {
@@ -155,37 +158,37 @@
 impl Sender {
     /// Sends one message.
     pub(crate) async fn send<M: prost::Message>(&mut self, message: &M) -> Result<(), FrameError> {
-        let mut sealed = BytesMut::with_capacity(message.encoded_len() + TAG_LEN);
+        let mut frame = BytesMut::with_capacity(message.encoded_len() + TAG_LEN);
         message
-            .encode(&mut sealed)
+            .encode(&mut frame)
             .expect("the buffer grows on demand");
-        let tag = self.signer.tag(&sealed);
-        sealed.extend_from_slice(&tag);
-        count("sent", sealed.len());
-        self.frames.send(sealed.freeze()).await?;
+        let tag = self.signer.tag(&frame);
+        frame.extend_from_slice(&tag);
+        count_frame("sent", frame.len());
+        self.frames.send(frame.freeze()).await?;
         Ok(())
     }
 }
 
 impl Receiver {
-    /// Receives one message; `None` when the other side closed.
+    /// Receives one message, or `None` if the other side closed the connection.
     pub(crate) async fn next<M>(&mut self) -> Result<Option<M>, FrameError>
     where
         M: prost::Message + Default,
     {
-        let Some(sealed) = self.frames.next().await else {
+        let Some(frame) = self.frames.next().await else {
             return Ok(None);
         };
-        let mut sealed: Bytes = sealed?.freeze();
-        count("received", sealed.len());
-        let Some(length) = sealed.len().checked_sub(TAG_LEN) else {
+        let mut frame: Bytes = frame?.freeze();
+        count_frame("received", frame.len());
+        let Some(length) = frame.len().checked_sub(TAG_LEN) else {
             return TagSnafu.fail();
         };
-        let tag = sealed.split_off(length);
-        let expected = self.signer.tag(&sealed);
+        let tag = frame.split_off(length);
+        let expected = self.signer.tag(&frame);
         if !bool::from(subtle::ConstantTimeEq::ct_eq(&expected[..], &tag[..])) {
             return TagSnafu.fail();
         }
-        Ok(Some(M::decode(sealed)?))
+        Ok(Some(M::decode(frame)?))
     }
 }
--- a/src/message.rs
+++ b/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between instances, apart from gossip.
+//! Messages between instances, except gossip.
 
 use prost::{Message, Oneof};
 
@@ -8,27 +8,27 @@
 /// One frame on a connection between instances.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Frame {
-    /// Number of the call on this connection; 0 when no answer is awaited.
+    /// Number of the call on this connection, or 0 if no reply is expected.
     #[prost(uint64, tag = "1")]
     pub call: u64,
-    /// What the frame carries.
+    /// Content of the frame.
     #[prost(oneof = "Payload", tags = "2, 3, 4, 5")]
     pub payload: Option<Payload>,
 }
 
-/// What a frame carries.
+/// Content of a frame.
 #[derive(Clone, PartialEq, Oneof)]
 pub(crate) enum Payload {
     /// A message of the replicated log.
     #[prost(message, tag = "2")]
     Replica(replica::Message),
-    /// A request that awaits a reply.
+    /// A request that expects a reply.
     #[prost(message, tag = "3")]
     Request(Request),
     /// The reply to a request.
     #[prost(message, tag = "4")]
     Reply(Reply),
-    /// Asks for the same frame back, as a sign of life.
+    /// Keepalive that the receiver echoes.
     #[prost(bool, tag = "5")]
     Echo(bool),
 }
@@ -36,47 +36,47 @@
 /// A request from one instance to another.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Request {
-    /// What is asked.
+    /// Content of the request.
     #[prost(oneof = "Ask", tags = "1, 2, 3, 4, 5, 6, 7")]
     pub ask: Option<Ask>,
 }
 
-/// What is asked.
+/// Content of a request.
 #[derive(Clone, PartialEq, Oneof)]
 pub(crate) enum Ask {
-    /// For the catalogue.
+    /// Fetch the catalogue.
     #[prost(message, tag = "1")]
     Catalogue(CatalogueRequest),
-    /// For a command to be committed.
+    /// Commit a command.
     #[prost(message, tag = "2")]
     Propose(Propose),
-    /// For shares of the limits.
+    /// Grant shares of the limits.
     #[prost(message, tag = "3")]
     LimitShares(limit::ShareRequest),
-    /// For a change of the voters of a group.
+    /// Change the voters of a group.
     #[prost(message, tag = "4")]
     ChangeVoter(ChangeVoter),
-    /// For the state of a group as its leader sees it.
+    /// Fetch the status of a group from its leader.
     #[prost(message, tag = "5")]
     GroupStatus(GroupStatusRequest),
-    /// For what an entry instance misses.
+    /// Fetch the state that an entry instance lacks.
     #[prost(message, tag = "6")]
     Sync(crate::sync::Sync),
-    /// For heartbeats to be taken in.
+    /// Process heartbeats of upstreams.
     #[prost(message, tag = "7")]
     Heartbeats(crate::relay::Heartbeats),
 }
 
-/// Asks a voter for what the sender misses of the catalogue, confirmed after
-/// the request arrived.
+/// Fetches the catalogue commands that the sender lacks from a voter, which
+/// confirms the read after the request arrives.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct CatalogueRequest {
-    /// Index of the last command that the sender has applied.
+    /// Index of the last command applied by the sender.
     #[prost(uint64, tag = "1")]
     pub applied: u64,
 }
 
-/// Asks a voter to commit a command.
+/// Requests that a voter commit a command.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Propose {
     /// Group of the replicated log.
@@ -87,40 +87,41 @@
     pub command: bytes::Bytes,
 }
 
-/// Asks the leader of a group to add or remove a voter.
+/// Requests that the leader of a group add or remove a voter.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct ChangeVoter {
     /// Group of the replicated log.
     #[prost(uint32, tag = "1")]
     pub group: u32,
-    /// The instance.
+    /// The instance to add or remove.
     #[prost(uint64, tag = "2")]
     pub instance: u64,
-    /// Whether it is removed; else it is added.
+    /// Whether the instance is removed rather than added.
     #[prost(bool, tag = "3")]
     pub remove: bool,
-    /// The store to add; 0 for a removal.
+    /// The store to add, or 0 for a removal.
     #[prost(uint64, tag = "4")]
     pub store: u64,
 }
 
-/// What became of a [`ChangeVoter`].
+/// Outcome of a [`ChangeVoter`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum VoterChanged {
-    /// Committed. A newcomer votes once it has caught up.
+    /// Committed. An added voter votes once it has caught up.
     Done = 0,
-    /// The instance doesn't ask to become a voter, or isn't one.
+    /// The instance to add hasn't offered that store, or the instance to remove
+    /// isn't a member.
     NotFound = 1,
-    /// Another change runs.
+    /// Another change is in progress.
     Busy = 2,
-    /// The voters that answer would be no quorum.
+    /// The responsive voters wouldn't form a quorum.
     Unsafe = 3,
-    /// It may or may not take effect.
+    /// The change may or may not take effect.
     Unknown = 4,
 }
 
-/// Asks the leader of a group for its state.
+/// Requests the status of a group from its leader.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct GroupStatusRequest {
     /// Group of the replicated log.
@@ -128,79 +129,80 @@
     pub group: u32,
 }
 
-/// State of a group as its leader sees it.
+/// Status of a group on its leader.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct GroupStatusReply {
-    /// Its members.
+    /// Members of the group.
     #[prost(message, repeated, tag = "1")]
     pub members: Vec<replica::Member>,
-    /// Stores that ask to become members.
+    /// Stores that ask to become members of the group.
     #[prost(message, repeated, tag = "2")]
     pub strangers: Vec<replica::Peer>,
-    /// The leader.
+    /// Instance that leads the group.
     #[prost(uint64, tag = "3")]
     pub leader: u64,
 }
 
-/// The reply to a [`Request`].
+/// Reply to a [`Request`].
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Reply {
-    /// What is answered.
+    /// Content of the reply.
     #[prost(oneof = "Answer", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10")]
     pub answer: Option<Answer>,
 }
 
-/// What is answered.
+/// Content of a reply.
 #[derive(Clone, PartialEq, Oneof)]
 pub(crate) enum Answer {
-    /// What the follower misses.
+    /// Catalogue commands or a snapshot that the follower lacks.
     #[prost(message, tag = "1")]
     Catalogue(CatalogueReply),
-    /// The reply of the state machine to the committed command.
+    /// Result of the state machine for the committed command.
     #[prost(bytes = "bytes", tag = "2")]
     Committed(bytes::Bytes),
-    /// Another instance leads; its number, or 0 when unknown.
+    /// Another instance leads: its number, or 0 if unknown.
     #[prost(uint64, tag = "3")]
     NotLeader(u64),
-    /// Whether the command is or will be committed isn't known.
+    /// The command may or may not be committed.
     #[prost(bool, tag = "4")]
     OutcomeUnknown(bool),
-    /// The asked instance has no vote or no leader to ask.
+    /// The instance has no voter or can't process the request at present.
     #[prost(bool, tag = "5")]
     Unavailable(bool),
-    /// Shares of the limits.
+    /// Granted shares of the limits.
     #[prost(message, tag = "6")]
     Grant(limit::Grant),
-    /// What became of a change of the voters.
+    /// Outcome of a change of the voters.
     #[prost(enumeration = "VoterChanged", tag = "7")]
     VoterChanged(i32),
-    /// The state of a group.
+    /// Status of a group.
     #[prost(message, tag = "8")]
     GroupStatus(GroupStatusReply),
-    /// What an entry instance missed.
+    /// State that an entry instance lacks.
     #[prost(message, tag = "9")]
     State(Box<crate::sync::State>),
-    /// What became of heartbeats.
+    /// Outcome of heartbeats.
     #[prost(message, tag = "10")]
     Heartbeats(crate::relay::Taken),
 }
 
-/// What a follower misses of the catalogue.
+/// Catalogue commands or a snapshot that a follower lacks.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct CatalogueReply {
-    /// Everything committed before the request arrived is contained.
+    /// Commands that the follower lacks, including all committed before the request
+    /// arrived.
     #[prost(message, repeated, tag = "1")]
     pub commands: Vec<Command>,
-    /// The whole state, instead of commands. Empty when commands suffice.
+    /// Full state instead of commands, or empty if commands suffice.
     #[prost(bytes = "bytes", tag = "2")]
     pub snapshot: bytes::Bytes,
-    /// The voters of the catalogue's group, as its membership stands.
+    /// Voters of the catalogue's group according to its current membership.
     #[prost(uint64, repeated, tag = "3")]
     pub voters: Vec<u64>,
 }
 
 impl CatalogueReply {
-    /// The message that carries `feed`.
+    /// Creates the reply that carries `feed`.
     pub(crate) fn new(feed: Feed, voters: Vec<u64>) -> Self {
         let empty = Self {
             voters,
@@ -219,13 +221,13 @@
     }
 }
 
-/// A committed command.
+/// A committed command of the catalogue.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Command {
-    /// Its index in the log.
+    /// Index in the log.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// Its bytes.
+    /// Encoded command.
     #[prost(bytes = "bytes", tag = "2")]
     pub command: bytes::Bytes,
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,4 +1,5 @@
-//! What one instance answers to the others, and how it asks them or itself.
+//! Requests between instances: handling of those received, and calls to other
+//! instances or to this one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,21 +28,21 @@
 /// First group of the replicated log that holds claims.
 pub(crate) const CLAIM_GROUP: u32 = 1;
 
-/// Groups that the claims are spread over. Each has a leader of its own; one
-/// carries today's load, see docs/CAPACITY.md. It must be the same on all
-/// instances, and stay so while claims live.
+/// Number of groups that share the claims, each with its own leader. One carries
+/// the current load, see docs/CAPACITY.md. Must be the same on all instances and
+/// must not change while claims exist.
 pub(crate) const CLAIM_SHARDS: u32 = 1;
 
-/// The voter of an instance that has one.
+/// Voter of this instance and the state that it serves.
 #[derive(Clone)]
 pub(crate) struct LocalVoter {
-    /// The replicas of this instance.
+    /// Replicas of this instance.
     pub(crate) voter: Voter,
-    /// The catalogue as applied here.
+    /// Catalogue as applied on this instance.
     pub(crate) catalogue: Arc<Shared>,
-    /// Confirms reads of the catalogue's group.
+    /// Confirms reads of the catalogue's group with a quorum.
     pub(crate) read_batcher: ReadBatcher,
-    /// Shares of the limits, while this instance leads.
+    /// Allocator of the shares of the limits, used while this instance leads.
     pub(crate) shares: Arc<LeaderAllocator>,
     pub(crate) clock: Arc<dyn Clock>,
 }
@@ -51,20 +52,20 @@
         self.voter.status().into_iter().find(|s| s.group == group)
     }
 
-    /// The leader of a group as known here, or 0.
+    /// Returns the known leader of a group, or 0.
     fn leader(&self, group: u32) -> u64 {
         let leader = self.status(group).and_then(|s| s.leader);
         leader.map_or(0, |id| id.0)
     }
 
-    /// The voters of a group, as its membership stands here.
+    /// Returns the voters of a group according to the membership known here.
     fn voters(&self, group: u32) -> Vec<u64> {
         let members = self.status(group).map(|s| s.members).unwrap_or_default();
         let voting = members.iter().filter(|m| m.role() == Role::Voter);
         voting.map(|m| m.id).collect()
     }
 
-    /// The term in which this instance leads a group, as far as it knows.
+    /// Returns the term in which this instance leads a group, as far as it knows.
     pub(crate) fn leads(&self, group: u32) -> Option<u64> {
         self.status(group).filter(|s| s.leads).map(|s| s.term)
     }
@@ -74,16 +75,16 @@
     instance: InstanceId,
     peers: Peers,
     voter: Option<LocalVoter>,
-    /// Voters as last heard of. Never empty.
+    /// Last known voters. Never empty.
     voters: ArcSwap<Vec<InstanceId>>,
 }
 
-/// This instance among its peers.
+/// Endpoint of this instance for requests from and to its peers.
 #[derive(Clone)]
 pub(crate) struct Node(Arc<Inner>);
 
 impl Node {
-    /// `voter` is `None` on an instance without a voter.
+    /// Creates a node. `voter` is `None` on an instance without a voter.
     pub(crate) fn new(
         instance: InstanceId,
         peers: Peers,
@@ -98,13 +99,13 @@
         }))
     }
 
-    /// Voters as last heard of: this instance first if it is one, else in an
-    /// order that differs from instance to instance, so that load spreads.
+    /// Returns the last known voters: this instance first if it is one, otherwise in
+    /// an order that differs between instances, which distributes the load.
     pub(crate) fn voters(&self) -> Arc<Vec<InstanceId>> {
         self.0.voters.load_full()
     }
 
-    /// Learns the voters from a voter's answer.
+    /// Updates the voters from the reply of a voter.
     pub(crate) fn set_voters(&self, voters: &[u64]) {
         let mut voters: Vec<_> = voters.iter().copied().map(InstanceId).collect();
         order_voters(&mut voters, self.0.instance);
@@ -113,12 +114,12 @@
         }
     }
 
-    /// The voter, on an instance that has one.
+    /// Returns the voter, if this instance has one.
     pub(crate) fn local_voter(&self) -> Option<&LocalVoter> {
         self.0.voter.as_ref()
     }
 
-    /// Asks an instance, which may be this one.
+    /// Sends a request to an instance, which may be this one.
     pub(crate) async fn call(
         &self,
         to: InstanceId,
@@ -146,18 +147,16 @@
             return done(answer(Answer::Unavailable(true)));
         };
         match request.ask {
-            Some(Ask::Catalogue(request)) => {
-                send_catalogue(&local, request, move |a| done(answer(a)))
-            }
+            Some(Ask::Catalogue(ask)) => send_catalogue(&local, ask, move |a| done(answer(a))),
             Some(Ask::LimitShares(ask)) => grant_shares(&local, ask, move |a| done(answer(a))),
             Some(Ask::Propose(propose)) => commit(&local, propose, move |a| done(answer(a))),
             Some(Ask::ChangeVoter(change)) => {
                 change_voter(&local, change, move |a| done(answer(a)))
             }
             Some(Ask::GroupStatus(ask)) => done(answer(group_status(&local, ask.group))),
-            // Only controllers know it.
+            // Only controllers handle these.
             Some(Ask::Sync(_) | Ask::Heartbeats(_)) => done(answer(Answer::Unavailable(true))),
-            // Of a later release: no answer is the only honest one.
+            // A request of a later release: without a reply, the caller times out.
             None => {}
         }
     }
@@ -165,7 +164,7 @@
 
 fn send_catalogue(
     local: &LocalVoter,
-    request: CatalogueRequest,
+    ask: CatalogueRequest,
     done: impl FnOnce(Answer) + Send + 'static,
 ) {
     let reader = local.clone();
@@ -174,16 +173,16 @@
             return done(Answer::Unavailable(true));
         }
         let voters = reader.voters(CATALOGUE_GROUP);
-        let feed = reader.catalogue.feed(request.applied);
+        let feed = reader.catalogue.feed(ask.applied);
         done(Answer::Catalogue(CatalogueReply::new(feed, voters)));
     };
     local.read_batcher.confirm(Box::new(read));
 }
 
-/// Grants shares, if this instance leads in one and the same term before and
-/// after a quorum has confirmed the leader. Then it led at the confirmation,
-/// and whoever leads later starts its allocator later than this grant's
-/// question was sent. A former leader that doesn't know yet can't pass.
+/// Grants shares of the limits if this instance leads in the same term before and
+/// after a quorum confirms the leader. It then led at the confirmation, and any
+/// later leader starts its allocator after this grant was requested. A deposed
+/// leader that doesn't know its successor yet fails this check.
 fn grant_shares(
     local: &LocalVoter,
     ask: limit::ShareRequest,
@@ -207,7 +206,7 @@
     local.read_batcher.confirm(Box::new(read));
 }
 
-/// The state of a group, if this instance leads it.
+/// Returns the status of a group if this instance leads it.
 fn group_status(local: &LocalVoter, group: u32) -> Answer {
     let Some(status) = local.status(group) else {
         return Answer::Unavailable(true);
@@ -222,7 +221,7 @@
     })
 }
 
-/// Adds the store that an instance offers, or removes the one it has.
+/// Adds the store that an instance offers, or removes its current store.
 fn change_voter(local: &LocalVoter, ask: ChangeVoter, done: impl FnOnce(Answer) + Send + 'static) {
     let Some(status) = local.status(ask.group) else {
         return done(Answer::Unavailable(true));
@@ -259,8 +258,8 @@
         .change_member(ask.group, change, Box::new(changed));
 }
 
-/// Puts `own` first if it is among `voters`; else begins at a place that
-/// depends on it.
+/// Sorts `voters` and rotates them so that `own` is first if contained, and
+/// otherwise a voter that depends on `own`.
 pub(crate) fn order_voters(voters: &mut [InstanceId], own: InstanceId) {
     if voters.is_empty() {
         return;
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,8 +1,8 @@
-//! Messages and calls between instances.
+//! Connections, messages and calls between instances.
 //!
-//! Each instance opens at most one connection to each peer it talks to. A
-//! message to a peer that can't be reached is dropped and a call to it fails;
-//! the state machines above resend what they need.
+//! Each instance opens at most one connection to each peer. A message to an
+//! unreachable peer is dropped and a call to it fails; the state machines that
+//! use this module resend what they need.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex, RwLock};
@@ -21,53 +21,54 @@
 use crate::message::{Frame, Payload, Reply, Request};
 use crate::replica;
 
-/// Frames that may wait for one connection; more are dropped.
-const QUEUE: usize = 4096;
+/// Maximum number of frames that wait for one connection. Further ones are
+/// dropped.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// Longest time to open a connection.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause before the next try to open a connection.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the next attempt to open a connection.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Time after which a connection in use that brings nothing is given up, and
-/// the period at which the other side is asked for a sign of life.
+/// Timeout for receiving or sending a frame, after which a connection is closed.
 ///
-/// A connection can go silent for good without a reset, while new ones work:
-/// what is sent on it vanishes, and the peer seems dead. The other side echoes
-/// an empty frame, so silence beyond this time shows it. Twice a slow sync
-/// plus a round trip.
-const SILENCE: Duration = Duration::from_millis(1_200);
-const ECHO: Duration = Duration::from_millis(400);
+/// A connection can fail without a reset while new ones work: frames sent on it
+/// are lost and the peer seems dead. The peer echoes keepalives, so a longer
+/// silence means a failed connection. Twice a slow sync plus a round trip.
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// What an instance does with what its peers send.
+/// Interval between keepalives.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(400);
+
+/// Handler of messages and requests from peers.
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Takes a message of the replicated log. Never blocks.
+    /// Handles a message of the replicated log. Must not block.
     fn deliver(&self, message: replica::Message);
-    /// Takes a request. Never blocks; `reply` may be used from any thread.
+    /// Handles a request. Must not block; `reply` may be used from any thread.
     fn request(&self, request: Request, reply: ReplySink);
 }
 
-/// Where the answer to one request goes. Dropping it answers nothing, and the
-/// caller's time limit ends the call.
+/// Sender of the reply to one request. If it is dropped, the call ends with the
+/// caller's timeout.
 pub(crate) struct ReplySink {
     call: u64,
     out: mpsc::Sender<Frame>,
 }
 
 impl ReplySink {
-    /// Answers the request.
+    /// Sends the reply.
     pub(crate) fn send(self, reply: Reply) {
         let frame = Frame {
             call: self.call,
             payload: Some(Payload::Reply(reply)),
         };
-        // A full queue means a peer that doesn't read; its call times out.
+        // A full queue means that the peer doesn't read; its call times out.
         let _ = self.out.try_send(frame);
     }
 }
 
-/// A call that got no answer. The request may have been carried out.
+/// Error of a call without a reply. The request may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NoReply;
 
@@ -77,8 +78,8 @@
 }
 
 impl Outgoing {
-    /// A frame that asks for a sign of life.
-    fn echo() -> Self {
+    /// Creates a keepalive, which the peer echoes.
+    fn keepalive() -> Self {
         let payload = Some(Payload::Echo(true));
         Self {
             frame: Frame { call: 0, payload },
@@ -90,10 +91,11 @@
 struct Shared {
     key: FleetKey,
     runtime: Handle,
-    /// Port of peers whose number is their IPv4 address.
+    /// Port of peers whose instance number is their IPv4 address.
     port: Option<u16>,
     addresses: RwLock<HashMap<InstanceId, SocketAddr>>,
-    links: Mutex<HashMap<InstanceId, mpsc::Sender<Outgoing>>>,
+    /// Queue of each connection.
+    queues: Mutex<HashMap<InstanceId, mpsc::Sender<Outgoing>>>,
 }
 
 /// Connections to the other instances.
@@ -101,13 +103,13 @@
 pub(crate) struct Peers(Arc<Shared>);
 
 impl Peers {
-    /// No connection yet; they run on `runtime`.
+    /// Creates a pool without connections; they will run on `runtime`.
     pub(crate) fn new(key: FleetKey, runtime: Handle) -> Self {
         Self::build(key, runtime, None)
     }
 
-    /// As [`Peers::new`], where the number of each peer is its IPv4 address
-    /// and all listen on `port`.
+    /// Like [`Peers::new`], for peers whose instance number is their IPv4 address
+    /// and which all listen on `port`.
     pub(crate) fn on_port(key: FleetKey, runtime: Handle, port: u16) -> Self {
         Self::build(key, runtime, Some(port))
     }
@@ -118,31 +120,32 @@
             runtime,
             port,
             addresses: RwLock::default(),
-            links: Mutex::default(),
+            queues: Mutex::default(),
         }))
     }
 
-    /// Where the connections run.
+    /// Returns the runtime of the connections.
     pub(crate) fn runtime(&self) -> &Handle {
         &self.0.runtime
     }
 
-    /// Learns or corrects the address of a peer.
+    /// Sets the address of a peer.
     pub(crate) fn set_address(&self, peer: InstanceId, addr: SocketAddr) {
         let mut addresses = self.0.addresses.write().expect("no holder panics");
         addresses.insert(peer, addr);
     }
 
-    /// Sends a message of the replicated log, or drops it.
+    /// Sends a message of the replicated log, or drops it if the queue is full or
+    /// the peer is unreachable.
     pub(crate) fn send(&self, peer: InstanceId, message: replica::Message) {
         let frame = Frame {
             call: 0,
             payload: Some(Payload::Replica(message)),
         };
-        let _ = self.link(peer).try_send(Outgoing { frame, reply: None });
+        let _ = self.queue(peer).try_send(Outgoing { frame, reply: None });
     }
 
-    /// Asks a peer and waits for its answer for at most `limit`.
+    /// Sends a request to a peer and waits for the reply for at most `limit`.
     pub(crate) async fn call(
         &self,
         peer: InstanceId,
@@ -158,25 +161,25 @@
             frame,
             reply: Some(reply),
         };
-        self.link(peer).try_send(outgoing).map_err(|_| NoReply)?;
+        self.queue(peer).try_send(outgoing).map_err(|_| NoReply)?;
         match timeout(limit, answer).await {
             Ok(Ok(reply)) => Ok(reply),
             _ => Err(NoReply),
         }
     }
 
-    fn link(&self, peer: InstanceId) -> mpsc::Sender<Outgoing> {
-        let mut links = self.0.links.lock().expect("no holder panics");
-        let link = links.entry(peer).or_insert_with(|| {
-            let (sender, receiver) = mpsc::channel(QUEUE);
+    fn queue(&self, peer: InstanceId) -> mpsc::Sender<Outgoing> {
+        let mut queues = self.0.queues.lock().expect("no holder panics");
+        let queue = queues.entry(peer).or_insert_with(|| {
+            let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
             let peers = self.clone();
             self.0.runtime.spawn(peers.run(peer, receiver));
             sender
         });
-        link.clone()
+        queue.clone()
     }
 
-    /// Keeps the connection to one peer for as long as the instance lives.
+    /// Maintains the connection to one peer until the instance shuts down.
     async fn run(self, peer: InstanceId, mut queue: mpsc::Receiver<Outgoing>) {
         while let Some(first) = queue.recv().await {
             if let Some(stream) = self.connect(peer).await
@@ -184,10 +187,10 @@
             {
                 return;
             }
-            // What waited belongs to the failed connection. Kept, it would be
-            // a burst of stale messages once the peer is back.
+            // Queued frames belong to the failed connection. If retained, they would
+            // become a burst of stale messages once the peer is reachable again.
             while queue.try_recv().is_ok() {}
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -202,25 +205,30 @@
 
     async fn connect(&self, peer: InstanceId) -> Option<TcpStream> {
         let addr = self.address(peer)?;
-        timeout(CONNECT, TcpStream::connect(addr)).await.ok()?.ok()
+        timeout(CONNECT_TIMEOUT, TcpStream::connect(addr))
+            .await
+            .ok()?
+            .ok()
     }
 
-    /// Exchanges frames until the connection fails. True when this instance
-    /// is ending.
+    /// Exchanges frames until the connection fails. Returns true if this instance
+    /// is shutting down.
     async fn exchange(
         &self,
         stream: TcpStream,
         first: Outgoing,
         queue: &mut mpsc::Receiver<Outgoing>,
     ) -> bool {
-        let opened = timeout(CONNECT, frame::open(stream, &self.0.key)).await;
+        let opened = timeout(CONNECT_TIMEOUT, frame::connect(stream, &self.0.key)).await;
         let Ok(Ok((mut sender, mut receiver))) = opened else {
             return false;
         };
         let waiting: Arc<Mutex<HashMap<u64, oneshot::Sender<Reply>>>> = Arc::default();
         let replies = Arc::clone(&waiting);
         let mut reader = tokio::spawn(async move {
-            while let Ok(Ok(Some(frame))) = timeout(SILENCE, receiver.next::<Frame>()).await {
+            while let Ok(Ok(Some(frame))) =
+                timeout(KEEPALIVE_TIMEOUT, receiver.next::<Frame>()).await
+            {
                 let Some(Payload::Reply(reply)) = frame.payload else {
                     continue;
                 };
@@ -228,7 +236,7 @@
                     .lock()
                     .expect("no holder panics")
                     .remove(&frame.call);
-                // The caller may have given up; its answer is nobody else's.
+                // The caller may have timed out; the reply is then discarded.
                 if let Some(caller) = caller {
                     let _ = caller.send(reply);
                 }
@@ -236,15 +244,15 @@
         });
         let mut next = Some(first);
         let mut calls = 0;
-        let mut echo = tokio::time::interval(ECHO);
-        echo.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut keepalive = tokio::time::interval(KEEPALIVE_INTERVAL);
+        keepalive.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let mut outgoing = match next.take() {
                 Some(outgoing) => outgoing,
                 None => tokio::select! {
                     biased;
                     _ = &mut reader => return false,
-                    _ = echo.tick() => Outgoing::echo(),
+                    _ = keepalive.tick() => Outgoing::keepalive(),
                     outgoing = queue.recv() => match outgoing {
                         Some(outgoing) => outgoing,
                         None => return true,
@@ -258,8 +266,9 @@
                 waiting.retain(|_, caller| !caller.is_closed());
                 waiting.insert(calls, reply);
             }
-            // A silent peer's window fills up, and the write would wait for ever.
-            let sent = timeout(SILENCE, sender.send(&outgoing.frame)).await;
+            // The TCP window of an unresponsive peer fills up, and the write would block
+            // indefinitely.
+            let sent = timeout(KEEPALIVE_TIMEOUT, sender.send(&outgoing.frame)).await;
             if !matches!(sent, Ok(Ok(()))) {
                 reader.abort();
                 return false;
@@ -268,18 +277,18 @@
     }
 }
 
-/// Accepts connections from other instances until the runtime ends.
+/// Accepts connections from other instances until the runtime shuts down.
 pub(crate) async fn serve(listener: TcpListener, key: FleetKey, handler: Arc<dyn Handler>) {
     loop {
         let Ok((stream, addr)) = listener.accept().await else {
-            // Out of file descriptors: wait instead of spinning.
-            tokio::time::sleep(PAUSE).await;
+            // Out of file descriptors: wait instead of busy-looping.
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         };
         let key = key.clone();
         let handler = Arc::clone(&handler);
         tokio::spawn(async move {
-            if let Err(e) = answer(stream, &key, handler).await
+            if let Err(e) = handle_connection(stream, &key, handler).await
                 && !matches!(e, FrameError::Io { .. })
             {
                 tracing::warn!(event = event::PEER_REFUSED.id, %addr, "{e}");
@@ -288,13 +297,13 @@
     }
 }
 
-async fn answer(
+async fn handle_connection(
     stream: TcpStream,
     key: &FleetKey,
     handler: Arc<dyn Handler>,
 ) -> Result<(), FrameError> {
     let (mut sender, mut receiver) = frame::accept(stream, key).await?;
-    let (out, mut replies) = mpsc::channel::<Frame>(QUEUE);
+    let (out, mut replies) = mpsc::channel::<Frame>(QUEUE_CAPACITY);
     let writer = tokio::spawn(async move {
         while let Some(frame) = replies.recv().await {
             if sender.send(&frame).await.is_err() {
@@ -316,7 +325,7 @@
                 handler.request(request, ReplySink { call, out });
             }
             Some(Payload::Echo(_)) => {
-                // A full queue means replies are on their way, which do as well.
+                // A full queue means that replies are pending, which serve as keepalives too.
                 let _ = out.try_send(frame);
             }
             Some(Payload::Reply(_)) | None => {}
--- a/src/tests/peer.rs
+++ b/src/tests/peer.rs
@@ -20,10 +20,10 @@
 const PEER: InstanceId = InstanceId(7);
 const LIMIT: Duration = Duration::from_millis(300);
 
-/// Names another leader, whatever it is asked.
-struct Elsewhere;
+/// Handler that replies to every request with another leader.
+struct NotLeader;
 
-impl Handler for Elsewhere {
+impl Handler for NotLeader {
     fn deliver(&self, _: Message) {}
 
     fn request(&self, _: Request, reply: ReplySink) {
@@ -33,8 +33,8 @@
     }
 }
 
-/// Passes bytes on for connections from the `silent`th on; what comes on
-/// earlier ones vanishes, and they stay open.
+/// Forwards bytes on connections numbered `silent` and higher. Earlier connections
+/// stay open, but their bytes are discarded.
 async fn relay(listener: TcpListener, to: SocketAddr, silent: Arc<AtomicUsize>) {
     for number in 0.. {
         let (near, _) = listener.accept().await.unwrap();
@@ -58,14 +58,14 @@
     }
 }
 
-/// Connections to a peer through a relay, and the number of the first that
-/// isn't silent.
-async fn stage() -> (Peers, Arc<AtomicUsize>) {
+/// Returns connections to a peer through a relay, and the number of the first
+/// connection that isn't silent.
+async fn peers_through_relay() -> (Peers, Arc<AtomicUsize>) {
     let key = FleetKey::new(b"a fleet");
     let local = "127.0.0.1:0";
     let listener = TcpListener::bind(local).await.unwrap();
     let peer = listener.local_addr().unwrap();
-    tokio::spawn(peer::serve(listener, key.clone(), Arc::new(Elsewhere)));
+    tokio::spawn(peer::serve(listener, key.clone(), Arc::new(NotLeader)));
     let silent = Arc::new(AtomicUsize::new(0));
     let listener = TcpListener::bind(local).await.unwrap();
     let peers = Peers::new(key, Handle::current());
@@ -84,10 +84,10 @@
 
 #[tokio::test]
 async fn call_after_silence() {
-    // A connection between two instances goes silent without a reset, as when
-    // a middle box forgets it. New ones work, but nothing told that the old one
-    // was dead, and an entry instance asked the leader in vain for minutes.
-    let (peers, silent) = stage().await;
+    // A connection fails without a reset, for example because a middlebox dropped its
+    // state, while new connections work. Without detection, an entry instance sent
+    // requests to the leader on the dead connection for minutes.
+    let (peers, silent) = peers_through_relay().await;
     assert!(is_answered(&peers).await);
     silent.store(1, Ordering::SeqCst);
     assert!(!is_answered(&peers).await);
@@ -99,9 +99,8 @@
 
 #[tokio::test]
 async fn call_after_idle_silence() {
-    // The same while nothing is asked. The next question must find a new
-    // connection already.
-    let (peers, silent) = stage().await;
+    // The same without requests: the next one must already use a new connection.
+    let (peers, silent) = peers_through_relay().await;
     assert!(is_answered(&peers).await);
     silent.store(1, Ordering::SeqCst);
     sleep(Duration::from_secs(3)).await;
--- a/src/tests/registry.rs
+++ b/src/tests/registry.rs
@@ -15,7 +15,7 @@
 
 const BOOT: Incarnation = Incarnation(1);
 
-/// Instances that are alive, all in incarnation 1.
+/// Live instances, all in incarnation 1.
 struct Alive(&'static [u64]);
 
 impl InstanceLiveness for Alive {
@@ -66,8 +66,8 @@
     registry.snapshot(now).upstreams.len()
 }
 
-/// Each record of `from` is handed to `to`.
-fn hand_over(now: Time, from: &Registry, to: &mut Registry) {
+/// Merges each record of `from` into `to`.
+fn send_records(now: Time, from: &Registry, to: &mut Registry) {
     let keys: Vec<_> = from.hashes(now).map(|(key, _)| key).collect();
     for record in keys.iter().filter_map(|k| from.record(now, *k, true)) {
         to.receive(now, record, &mut Vec::new());
@@ -88,12 +88,12 @@
     assert_eq!(announce(&mut registry, seconds(2), &second), outcome);
 }
 
-/// A caller's request goes to an upstream that shuts down: it announced that
-/// it leaves, and a later announcement of a second thread still said `up`.
+/// Guards against requests to an upstream that shuts down. It announced `leaving`,
+/// and a later announcement from another of its threads still carried `up`.
 #[rstest]
 #[case(UpstreamState::Leaving)]
 #[case(UpstreamState::Gone)]
-fn announce_up_after(#[case] ended: UpstreamState) {
+fn announce_after_end(#[case] ended: UpstreamState) {
     let mut registry = registry(1);
     announce(&mut registry, seconds(1), &engine(1, 5, ended));
     let up = engine(1, 6, UpstreamState::Up);
@@ -105,20 +105,20 @@
 }
 
 #[test]
-fn announce_passed_on() {
-    let (mut voucher, mut other) = (registry(1), registry(2));
-    announce(&mut voucher, seconds(1), &engine(1, 1, UpstreamState::Up));
-    hand_over(seconds(1), &voucher, &mut other);
+fn announce_forwarded() {
+    let (mut registrar, mut other) = (registry(1), registry(2));
+    announce(&mut registrar, seconds(1), &engine(1, 1, UpstreamState::Up));
+    send_records(seconds(1), &registrar, &mut other);
     let mut out = Vec::new();
     let next = engine(1, 2, UpstreamState::Up);
     let outcome = other.announce(seconds(9), &next, &Alive(&[1, 2]), &mut out);
     assert_eq!(outcome, Ok(AnnounceOutcome::Accepted));
     let [RegistryEffect::ForwardRenewal(InstanceId(1), renewal)] = &out[..] else {
-        panic!("not passed on: {out:?}");
+        panic!("not forwarded: {out:?}");
     };
-    voucher.renew(seconds(9), renewal, &mut Vec::new());
-    voucher.tick(seconds(12), &Alive(&[1, 2]), &mut Vec::new());
-    assert_eq!(usable(&mut voucher, seconds(12)), 1);
+    registrar.renew(seconds(9), renewal, &mut Vec::new());
+    registrar.tick(seconds(12), &Alive(&[1, 2]), &mut Vec::new());
+    assert_eq!(usable(&mut registrar, seconds(12)), 1);
 }
 
 #[test]
@@ -134,55 +134,55 @@
 #[rstest]
 #[case::alive(&[1], 1)]
 #[case::dead(&[], 0)]
-fn tick_voucher(#[case] alive: &'static [u64], #[case] count: usize) {
-    let (mut voucher, mut other) = (registry(1), registry(2));
-    announce(&mut voucher, seconds(1), &engine(1, 1, UpstreamState::Up));
-    hand_over(seconds(1), &voucher, &mut other);
+fn tick_registrar(#[case] alive: &'static [u64], #[case] count: usize) {
+    let (mut registrar, mut other) = (registry(1), registry(2));
+    announce(&mut registrar, seconds(1), &engine(1, 1, UpstreamState::Up));
+    send_records(seconds(1), &registrar, &mut other);
     for second in 2..=12 {
         other.tick(seconds(second), &Alive(alive), &mut Vec::new());
     }
     assert_eq!(usable(&mut other, seconds(12)), count);
 }
 
-/// Requests keep going to an upstream whose machine is off, together with the
-/// instance that vouched for it. Two instances hand its record back and forth,
-/// each time as if it were fresh.
+/// Guards against requests to an upstream that failed together with its registrar.
+/// Two other instances relay its record to each other, each time as if it were
+/// recent.
 #[test]
-fn receive_in_circle() {
-    let (mut voucher, mut a, mut b) = (registry(1), registry(2), registry(3));
-    announce(&mut voucher, seconds(1), &engine(1, 1, UpstreamState::Up));
-    hand_over(seconds(1), &voucher, &mut a);
+fn receive_in_cycle() {
+    let (mut registrar, mut a, mut b) = (registry(1), registry(2), registry(3));
+    announce(&mut registrar, seconds(1), &engine(1, 1, UpstreamState::Up));
+    send_records(seconds(1), &registrar, &mut a);
     for second in 2..40 {
         let now = seconds(second);
         a.tick(now, &Alive(&[2, 3]), &mut Vec::new());
         b.tick(now, &Alive(&[2, 3]), &mut Vec::new());
-        hand_over(now, &a, &mut b);
-        hand_over(now, &b, &mut a);
-        let used = usable(&mut a, now) + usable(&mut b, now);
-        assert!(second < 12 || used == 0, "used after {second} s");
+        send_records(now, &a, &mut b);
+        send_records(now, &b, &mut a);
+        let count = usable(&mut a, now) + usable(&mut b, now);
+        assert!(second < 12 || count == 0, "usable after {second} s");
     }
 }
 
-/// An upstream is off, and its voucher hears of it from others only. They hold
-/// the record for fresh because the voucher is alive, which proves nothing.
+/// An upstream failed, and its registrar only receives its record from others. They
+/// consider it alive because the registrar is, which says nothing about the upstream.
 #[test]
 fn receive_own_record() {
-    let (mut voucher, mut other) = (registry(1), registry(2));
-    announce(&mut voucher, seconds(1), &engine(1, 1, UpstreamState::Up));
+    let (mut registrar, mut other) = (registry(1), registry(2));
+    announce(&mut registrar, seconds(1), &engine(1, 1, UpstreamState::Up));
     for second in 2..=12 {
         let now = seconds(second);
-        voucher.tick(now, &Alive(&[1, 2]), &mut Vec::new());
-        hand_over(now, &voucher, &mut other);
+        registrar.tick(now, &Alive(&[1, 2]), &mut Vec::new());
+        send_records(now, &registrar, &mut other);
         other.tick(now, &Alive(&[1, 2]), &mut Vec::new());
-        hand_over(now, &other, &mut voucher);
+        send_records(now, &other, &mut registrar);
     }
-    assert_eq!(usable(&mut voucher, seconds(12)), 0);
+    assert_eq!(usable(&mut registrar, seconds(12)), 0);
 }
 
-/// An old announcement waited for an hour in a connection. The upstream that
-/// sent it has been gone for almost as long.
+/// An announcement was delayed in a connection for an hour. The upstream that sent
+/// it has been gone for almost as long.
 #[test]
-fn announce_hour_late() {
+fn announce_delayed() {
     let mut registry = registry(1);
     announce(
         &mut registry,
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn tick_forgets() {
+fn tick_retention() {
     let mut registry = registry(1);
     announce(
         &mut registry,
@@ -270,14 +270,14 @@
     ];
     let record =
         (1..3_u64, 1..5_u64, state, 1..4_u64).prop_map(|(incarnation, sequence, state, id)| {
-            let mut voucher = registry(id);
+            let mut registrar = registry(id);
             announce(
-                &mut voucher,
+                &mut registrar,
                 seconds(1),
                 &engine(incarnation, sequence, state),
             );
-            let (key, _) = voucher.hashes(seconds(1)).next().unwrap();
-            voucher.record(seconds(1), key, true).unwrap()
+            let (key, _) = registrar.hashes(seconds(1)).next().unwrap();
+            registrar.record(seconds(1), key, true).unwrap()
         });
     prop::collection::vec(record, 1..8)
 }
@@ -290,8 +290,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Instances that get the same records in other orders would route to
-    /// different upstreams for good if arrival counted.
+    /// If the order of arrival mattered, instances that receive the same records
+    /// would permanently route to different upstreams.
     #[test]
     fn receive_any_order(records in records(), other in any::<prop::sample::Index>()) {
         let mut rotated = records.clone();
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn since_adds_up() {
+fn past_instant_age() {
     use crate::upstream::PastInstant;
     let since = PastInstant::aged(seconds(1), Duration::from_secs(5));
     assert_eq!(since.age(seconds(3)), Duration::from_secs(7));
