--- a/src/tests/registry.rs
+++ b/src/tests/registry.rs
@@ -88,8 +88,8 @@
     assert_eq!(announce(&mut registry, seconds(2), &second), outcome);
 }
 
-/// Guards against requests to an upstream that shuts down. It announced `leaving`,
-/// and a later announcement from another of its threads still carried `up`.
+/// Guards against requests to an upstream that shuts down. It announced `leaving`
+/// or `gone`, and a later announcement from another of its threads carried `up`.
 #[rstest]
 #[case(UpstreamState::Leaving)]
 #[case(UpstreamState::Gone)]
--- a/src/upstream/announcement.rs
+++ b/src/upstream/announcement.rs
@@ -97,7 +97,7 @@
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: String,
-    /// Pool whose credential it has.
+    /// Pool whose credential it holds.
     pub pool: String,
     /// Lifecycle state.
     pub state: UpstreamState,
--- a/src/upstream/dump.rs
+++ b/src/upstream/dump.rs
@@ -20,12 +20,12 @@
     pub state: UpstreamState,
     /// Whether the registrar received no announcement for the expiry time.
     pub silent: bool,
-    /// Whether this instance had no sign of life for the expiry time.
+    /// Whether this instance had no liveness signal for the expiry time.
     pub lapsed: bool,
     /// Instance responsible for the record.
     #[serde(rename = "voucher")]
     pub registrar: InstanceId,
-    /// Milliseconds since the last sign of life.
+    /// Milliseconds since the last liveness signal.
     pub age: u64,
     /// Last known load.
     pub load: Load,
--- a/src/upstream/entry.rs
+++ b/src/upstream/entry.rs
@@ -100,9 +100,9 @@
     pub(crate) metadata: Option<Arc<Metadata>>,
     /// Digest of the metadata that belongs to `version`.
     pub(crate) digest: u32,
-    /// Last sign of life, or the time at which the upstream became gone or silent.
+    /// Last liveness signal, or the time at which the upstream became gone or silent.
     pub(crate) since: PastInstant,
-    /// No sign of life for the expiry time. Only a newer one resets this.
+    /// No liveness signal for the expiry time. Only a newer one resets this.
     pub(crate) lapsed: bool,
     /// Highest sequence received, at least that of `version`.
     pub(crate) latest_sequence: u64,
--- a/src/upstream/registry.rs
+++ b/src/upstream/registry.rs
@@ -13,7 +13,7 @@
 mod announce;
 mod merge;
 
-/// Time without a sign of life after which an upstream is removed from the view.
+/// Time without a liveness signal after which an upstream is removed from the view.
 pub(crate) const EXPIRY: Duration = Duration::from_secs(10);
 
 /// Retention time of the version of a retired upstream.
--- a/src/upstream/registry/merge.rs
+++ b/src/upstream/registry/merge.rs
@@ -100,7 +100,7 @@
     }
 
     /// Merges a record with the known version, which may carry missing metadata
-    /// or a newer sign of life.
+    /// or a newer liveness signal.
     ///
     /// Another instance never renews a record of which this instance is the
     /// registrar: it considers the upstream alive only because this instance is.
--- a/src/upstream/wire.rs
+++ b/src/upstream/wire.rs
@@ -23,7 +23,7 @@
     pub(crate) registrar: u64,
     #[prost(uint64, tag = "6")]
     pub(crate) boot: u64,
-    /// Milliseconds since the last sign of life or the end of the upstream.
+    /// Milliseconds since the last liveness signal or the end of the upstream.
     #[prost(uint32, tag = "7")]
     pub(crate) age: u32,
     #[prost(fixed32, tag = "8")]
