--- a/src/configuration/table.rs
+++ b/src/configuration/table.rs
@@ -1,13 +1,13 @@
-//! A configuration made ready for look-ups.
+//! Lookup of routes, organisations and services in a configuration.
 
 use std::sync::Arc;
 
 use super::{Configuration, Organisation, Route, Service, Target};
 use crate::collections::HashMap;
 
-/// A checked configuration with its indexes.
+/// A valid configuration with its indexes.
 #[derive(Debug)]
-pub(crate) struct Table {
+pub(crate) struct RoutingTable {
     pub(crate) configuration: Configuration,
     /// Routes by host in lower case, longest prefix first.
     hosts: HashMap<String, Vec<usize>>,
@@ -16,18 +16,18 @@
     services: HashMap<String, usize>,
 }
 
-/// What a look-up by host and path found.
+/// Result of [`RoutingTable::find_route`].
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Found<'a> {
+pub(crate) struct RouteMatch<'a> {
     pub(crate) route: &'a Route,
-    /// Whom the key belongs to. `None` when there is no such key, or none is
-    /// needed.
+    /// Organisation that owns the key; `None` if the key is missing or unknown, or if the
+    /// configuration requires none.
     pub(crate) organisation: Option<&'a Organisation>,
-    /// Whether the request may pass without a key.
-    pub(crate) open: bool,
+    /// Whether the request needs no key.
+    pub(crate) public: bool,
 }
 
-impl Table {
+impl RoutingTable {
     pub(crate) fn new(configuration: Configuration) -> Arc<Self> {
         let mut hosts: HashMap<String, Vec<usize>> = HashMap::default();
         for (i, route) in configuration.routes.iter().enumerate() {
@@ -51,44 +51,49 @@
         })
     }
 
-    /// The route for a request, and whose it is.
-    pub(crate) fn find(&self, host: &str, path: &str, key: Option<&str>) -> Option<Found<'_>> {
+    /// Returns the route for a request, and the organisation that owns its key.
+    pub(crate) fn find_route(
+        &self,
+        host: &str,
+        path: &str,
+        key: Option<&str>,
+    ) -> Option<RouteMatch<'_>> {
         let host = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
         let routes = self.hosts.get(&host)?.iter();
         let mut routes = routes.map(|&i| &self.configuration.routes[i]);
         let route = routes.find(|r| path.starts_with(&r.prefix))?;
         let organisations = self.configuration.organisations.as_deref();
         let owner = key.and_then(|k| self.keys.get(k));
-        Some(Found {
+        Some(RouteMatch {
             route,
             organisation: owner.and_then(|&i| organisations.map(|o| &o[i])),
-            open: route.public || organisations.is_none(),
+            public: route.public || organisations.is_none(),
         })
     }
 
-    /// The service of this name.
+    /// Returns the service with this name.
     pub(crate) fn service(&self, name: &str) -> Option<&Service> {
-        let at = self.services.get(name)?;
-        Some(&self.configuration.services[*at])
+        let index = self.services.get(name)?;
+        Some(&self.configuration.services[*index])
     }
 }
 
 impl Route {
-    /// The target for a request; `draw` lies in [0, 1).
+    /// Selects a target by weight. `draw` is a random number in [0, 1).
     pub(crate) fn target(&self, draw: f64) -> &Target {
         let total: f64 = self.targets.iter().map(|t| t.weight).sum();
-        let mut left = draw * total;
-        let mut weighed = self.targets.iter().filter(|t| t.weight > 0.0);
-        let mut found = weighed
+        let mut remaining = draw * total;
+        let mut weighted = self.targets.iter().filter(|t| t.weight > 0.0);
+        let mut selected = weighted
             .next()
-            .expect("the weights sum up to more than zero");
-        for target in weighed {
-            if left < found.weight {
+            .expect("the sum of the weights is above zero");
+        for target in weighted {
+            if remaining < selected.weight {
                 break;
             }
-            left -= found.weight;
-            found = target;
+            remaining -= selected.weight;
+            selected = target;
         }
-        found
+        selected
     }
 }
--- a/src/message.rs
+++ b/src/message.rs
@@ -61,7 +61,7 @@
     GroupStatus(GroupStatusRequest),
     /// Fetch the state that an entry instance lacks.
     #[prost(message, tag = "6")]
-    Sync(crate::sync::Sync),
+    Sync(crate::sync::SyncRequest),
     /// Process heartbeats of upstreams.
     #[prost(message, tag = "7")]
     Heartbeats(crate::relay::Heartbeats),
@@ -180,10 +180,10 @@
     GroupStatus(GroupStatusReply),
     /// State that an entry instance lacks.
     #[prost(message, tag = "9")]
-    State(Box<crate::sync::State>),
+    Sync(Box<crate::sync::SyncReply>),
     /// Outcome of heartbeats.
     #[prost(message, tag = "10")]
-    Heartbeats(crate::relay::Taken),
+    Heartbeats(crate::relay::HeartbeatsReply),
 }
 
 /// Catalogue commands or a snapshot that a follower lacks.
--- a/src/node.rs
+++ b/src/node.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 use crate::allocate::LeaderAllocator;
-use crate::catalogue::Shared;
+use crate::catalogue::CatalogueHandle;
 use crate::clock::Clock;
 use crate::confirm::ReadBatcher;
 use crate::id::InstanceId;
@@ -39,7 +39,7 @@
     /// Replicas of this instance.
     pub(crate) voter: Voter,
     /// Catalogue as applied on this instance.
-    pub(crate) catalogue: Arc<Shared>,
+    pub(crate) catalogue: Arc<CatalogueHandle>,
     /// Confirms reads of the catalogue's group with a quorum.
     pub(crate) read_batcher: ReadBatcher,
     /// Allocator of the shares of the limits, used while this instance leads.
--- a/src/tests/decide/pace.rs
+++ b/src/tests/decide/pace.rs
@@ -1,7 +1,7 @@
 //! Tests of slow engines, from their reports to the choice of a path.
 
 use super::super::pool::{self, WORK};
-use super::super::{at, board};
+use super::super::{at, leader};
 use super::model;
 use crate::decide::load::Loads;
 use crate::decide::pace::{Rotation, significant_change};
@@ -9,11 +9,11 @@
 use crate::entry::pool::Pool;
 use crate::entry::view::{Services, Upstream};
 use crate::platform::engine::reported_pace;
-use crate::roster::{Announcement, Range, Roster};
+use crate::roster::{Announcement, LayerRange, Roster};
 use crate::sync::UpstreamRecord;
 
 /// Layers of each engine and of the model.
-const LAYERS: Range = Range { first: 0, end: 6 };
+const LAYERS: LayerRange = LayerRange { first: 0, end: 6 };
 
 fn engine(host: u8, kind: &str, pace: f64) -> Upstream {
     Upstream {
@@ -101,7 +101,7 @@
 fn announcement(born: u64, sequence: u64) -> Announcement {
     Announcement {
         born,
-        ..board::news(1, sequence, Some((0, 9)))
+        ..leader::announcement(1, sequence, Some((0, 9)))
     }
 }
 
@@ -110,15 +110,15 @@
 #[test]
 fn paced_until_new_start() {
     let mut roster = Roster::new(std::time::Duration::from_millis(1200));
-    roster.hear(at(0), announcement(1, 1));
-    assert!(roster.paced("i-1", 1, 4.5));
-    assert!(!roster.paced("i-1", 1, 4.6));
-    roster.hear(at(1200), announcement(1, 2));
+    roster.announce(at(0), announcement(1, 1));
+    assert!(roster.set_pace("i-1", 1, 4.5));
+    assert!(!roster.set_pace("i-1", 1, 4.6));
+    roster.announce(at(1200), announcement(1, 2));
     let record = UpstreamRecord::new(roster.get("i-1").unwrap(), None);
     assert!((Upstream::from(&record).pace - 4.5).abs() < 1e-6);
     // A delayed report doesn't apply to the next start.
-    roster.hear(at(2400), announcement(2, 1));
-    assert!(!roster.paced("i-1", 1, 9.0));
+    roster.announce(at(2400), announcement(2, 1));
+    assert!(!roster.set_pace("i-1", 1, 9.0));
     let record = UpstreamRecord::new(roster.get("i-1").unwrap(), None);
     assert!((Upstream::from(&record).pace - 1.0).abs() < 1e-6);
 }
--- a/src/tests/mod.rs
+++ b/src/tests/mod.rs
@@ -4,7 +4,6 @@
 
 mod answer;
 mod auth;
-mod board;
 mod budget;
 mod claim;
 mod cli;
@@ -19,7 +18,8 @@
 mod follow;
 mod generation;
 mod http;
-mod life;
+mod leader;
+mod lifecycle;
 mod limit;
 mod metric;
 mod peer;
