--- a/src/auth.rs
+++ b/src/auth.rs
@@ -1,27 +1,27 @@
-//! Authentication of messages between instances with the fleet's key.
+//! Authentication of messages between instances with the fleet key.
 
 use std::fmt;
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 
-/// Bytes of the tag that follows each frame and datagram.
+/// Length of the authentication tag that follows each frame and datagram, in bytes.
 pub(crate) const TAG_LEN: usize = 16;
 
-/// The secret that all instances of one fleet share.
+/// Key that all instances of a fleet share.
 ///
-/// Its `Debug` form never shows the secret, so it can stand in a dump or log.
+/// Its `Debug` output omits the secret, so it is safe in dumps and logs.
 #[derive(Clone)]
 pub struct FleetKey(Hmac<Sha256>);
 
 impl FleetKey {
-    /// Derives the key from the secret's bytes.
+    /// Derives the key from a secret of any length.
     #[must_use]
     pub fn new(secret: &[u8]) -> Self {
-        Self(Hmac::new_from_slice(secret).expect("HMAC takes a key of any length"))
+        Self(Hmac::new_from_slice(secret).expect("HMAC accepts a key of any length"))
     }
 
-    /// Tag that proves a holder of the key wrote `body`.
+    /// Computes the tag that authenticates `body`.
     #[must_use]
     pub fn tag(&self, body: &[u8]) -> [u8; TAG_LEN] {
         let full = self.0.clone().chain_update(body).finalize().into_bytes();
@@ -30,7 +30,7 @@
         tag
     }
 
-    /// `body` followed by its tag.
+    /// Returns `body` followed by its tag.
     #[must_use]
     pub fn seal(&self, body: &[u8]) -> Vec<u8> {
         let mut sealed = Vec::with_capacity(body.len() + TAG_LEN);
@@ -39,7 +39,7 @@
         sealed
     }
 
-    /// The body of a sealed message, or `None` when the tag doesn't match.
+    /// Verifies a sealed message and returns its body, or `None` if the tag doesn't match.
     #[must_use]
     pub fn open<'a>(&self, sealed: &'a [u8]) -> Option<&'a [u8]> {
         let (body, tag) = sealed.split_at_checked(sealed.len().checked_sub(TAG_LEN)?)?;
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,17 +1,17 @@
-//! Time as the state machines see it.
+//! Monotonic time of the state machines, and the wall clock.
 
 use std::ops::{Add, Sub};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// A point on one process's own monotonic clock, in microseconds. Points of
-/// two processes can't be compared; only durations cross the wire.
+/// Time on a process's own monotonic clock, in microseconds. Times of two processes can't be
+/// compared, so messages between processes carry only durations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// Time passed since `earlier`, or zero when `earlier` is later.
+    /// Duration since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -34,34 +34,34 @@
     }
 }
 
-/// A duration in whole microseconds.
+/// Converts a duration to whole microseconds.
 pub(crate) fn micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// A duration in whole milliseconds, as messages between processes carry it.
+/// Converts a duration to whole milliseconds, the unit in messages between processes.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The time of day in milliseconds since 1970; it may jump.
+/// Wall-clock time in milliseconds since 1970. May jump.
 pub(crate) fn wall_millis() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, millis)
 }
 
-/// Source of [`Time`]. Random runs put a simulated clock here.
+/// Source of [`Time`]. Randomised tests use a simulated clock.
 pub trait Clock: Send + Sync {
-    /// The current point in time.
+    /// Returns the current time.
     fn now(&self) -> Time;
 }
 
 /// The machine's clock.
 ///
-/// It reads `CLOCK_BOOTTIME`, which goes on while the machine is suspended. A
-/// lease measured on `CLOCK_MONOTONIC` would seem unexpired after a virtual
-/// machine was paused and resumed, and a superseded catalogue would be used.
+/// Reads `CLOCK_BOOTTIME`, which advances while the machine is suspended. A lease measured with
+/// `CLOCK_MONOTONIC` would seem unexpired after a virtual machine was paused and resumed, and a
+/// superseded catalogue would be used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
--- a/src/collections.rs
+++ b/src/collections.rs
@@ -1,11 +1,11 @@
 //! Hash collections with a fast hasher.
 //!
-//! Keys that a caller chooses are length-bounded before they get here, and the
-//! number of entries is bounded by the catalogue or by a limit, so the lack of
-//! a keyed hash costs at most a slow bucket.
+//! The hasher isn't keyed, so callers could choose colliding keys. The damage is limited to slow
+//! lookups: the length of such keys is bounded before they are inserted, and the number of
+//! entries is bounded by the catalogue or by a limit.
 
-/// A hash map with the crate's fast hasher.
+/// Hash map with a fast, unkeyed hasher.
 pub type HashMap<K, V> = rustc_hash::FxHashMap<K, V>;
 
-/// A hash set with the crate's fast hasher.
+/// Hash set with a fast, unkeyed hasher.
 pub type HashSet<T> = rustc_hash::FxHashSet<T>;
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,4 +1,4 @@
-//! Typed identifiers that cross module and process borders.
+//! Typed identifiers that are used across modules and processes.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,22 +12,22 @@
 #[serde(transparent)]
 pub struct InstanceId(pub u64);
 
-/// Counts the starts of one process. A higher incarnation supersedes a lower
-/// one of the same process, whatever order the messages arrive in.
+/// Number of a process's start. A higher incarnation supersedes a lower one of the same process,
+/// in whatever order their messages arrive.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// Position of a catalogue change in the replicated log. Only grows.
+/// Position of a catalogue change in the replicated log. Never decreases.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
-/// Name of an organisation as the catalogue writes it.
+/// Name of an organisation in the catalogue.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OrganisationId(pub Arc<str>);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
 //! laburnumquay: a router between callers and the model engines or plain
 //! services (upstreams) that answer them.
 //!
-//! State machines do no I/O: an event and a time go in, typed effects come
-//! out. Thin threads run them, so that a randomised run replays from its seed.
+//! State machines do no I/O: they take an event and a time and return typed
+//! effects, which thin driver threads carry out. A randomised test can thus be
+//! replayed from its seed.
 
 mod allocate;
 mod auth;
@@ -45,8 +46,8 @@
 mod openai;
 mod peer;
 mod periodic;
-// The platform's manner of speaking has a folder of its own at the root, apart
-// from the product's own interfaces.
+// The platform's formats are kept in a directory of their own at the root, apart from the
+// product's own interfaces.
 #[path = "../platform/mod.rs"]
 mod platform;
 mod poll;
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! Set-up of structured logs.
+//! Setup of structured logging.
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -8,28 +8,28 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{EnvFilter, Layer, fmt};
 
-use self::cap::Cap;
+use self::rate_limit::LineLimiter;
 use crate::event;
 
-pub(crate) mod cap;
+pub(crate) mod rate_limit;
 
-/// Lines that wait for a reader of standard output; more are dropped.
-const WAITING: usize = 4_096;
+/// Maximum number of lines buffered for standard output; more are dropped.
+const MAX_BUFFERED_LINES: usize = 4_096;
 
-/// Period of summing up the lines that were left out.
-const SUM: Duration = Duration::from_secs(1);
+/// Interval at which the numbers of suppressed lines are logged.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-static CAP: OnceLock<Cap> = OnceLock::new();
+static LIMITER: OnceLock<LineLimiter> = OnceLock::new();
 
-fn level() -> EnvFilter {
+fn level_filter() -> EnvFilter {
     EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"))
 }
 
-/// Starts logging to standard error, as text or as JSON lines. `RUST_LOG`
+/// Initialises logging to standard error, as text or as JSON lines. `RUST_LOG`
 /// sets the level; the default is `info`.
 pub(crate) fn init(json: bool) {
     let builder = fmt()
-        .with_env_filter(level())
+        .with_env_filter(level_filter())
         .with_writer(std::io::stderr)
         .with_target(false);
     let started = if json {
@@ -38,40 +38,48 @@
         builder.with_ansi(false).try_init()
     };
     if started.is_err() {
-        tracing::debug!("logging was started before");
+        tracing::debug!("logging is already initialised");
     }
 }
 
-/// Starts logging of a role: JSON lines on standard output, bounded by
-/// [`Cap`]. A thread writes them, so that a reader that stops reading delays no
-/// request; dropping the guard writes what waits.
+/// Initialises the logging of a role: JSON lines on standard output, with a rate
+/// limited by [`LineLimiter`]. A separate thread writes them, so that a reader
+/// that stops reading delays no request. Dropping the guard flushes the buffer.
 pub(crate) fn init_role() -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .finish(std::io::stdout());
     let lines = fmt::layer()
         .with_writer(writer)
         .with_target(false)
         .json()
         .flatten_event(true)
-        .with_filter(CAP.get_or_init(Cap::new));
+        .with_filter(LIMITER.get_or_init(LineLimiter::new));
     let started = tracing_subscriber::registry()
-        .with(level())
+        .with(level_filter())
         .with(lines)
         .try_init();
     if started.is_err() {
-        tracing::debug!("logging was started before");
+        tracing::debug!("logging is already initialised");
     }
     guard
 }
 
-/// Sums up once a second what was left out, for as long as the role runs.
-pub(crate) async fn report_dropped() {
+/// Logs the number of lines suppressed by the rate limit every second, while the role runs.
+pub(crate) async fn report_suppressed() {
     loop {
-        tokio::time::sleep(SUM).await;
-        let left = CAP.get().map(Cap::take_left).unwrap_or_default();
-        for (kind, count) in left {
-            tracing::warn!(event = event::LINES_LEFT.id, kind, count, "lines left out");
+        tokio::time::sleep(REPORT_INTERVAL).await;
+        let suppressed = LIMITER
+            .get()
+            .map(LineLimiter::take_suppressed)
+            .unwrap_or_default();
+        for (kind, count) in suppressed {
+            tracing::warn!(
+                event = event::LINES_LEFT.id,
+                kind,
+                count,
+                "log lines suppressed by the rate limit"
+            );
         }
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `laburnumquay` program: a thin shell over the library.
+//! The `laburnumquay` program: a thin wrapper around the library.
 
 use std::process::ExitCode;
 
--- a/src/periodic.rs
+++ b/src/periodic.rs
@@ -1,4 +1,4 @@
-//! What an instance does again and again for as long as it runs.
+//! Periodic tasks of an instance.
 
 use std::sync::Arc;
 use std::thread;
@@ -14,22 +14,22 @@
 use crate::serve::Serving;
 use crate::supervise::{RestartPolicy, Supervisor};
 
-/// Period of moving the claims' time on.
-const CLAIM_TICK: Duration = Duration::from_secs(1);
+/// Interval at which the time of the claim register is advanced.
+const CLAIM_TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for the allocator to answer.
-const SHARE_LIMIT: Duration = Duration::from_secs(1);
+/// Timeout of a request for limit shares.
+const SHARE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Period of passing deadlines and refilling rates.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval at which deadlines are checked and rate limits refilled while requests are queued.
+const BUSY_TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The same while nothing waits.
-const IDLE_TICK: Duration = Duration::from_millis(50);
+/// The same interval while no requests are queued.
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Least time between two views that the router gets.
-const VIEW: Duration = Duration::from_millis(100);
+/// Minimum interval between two updates of the router's view of the fleet.
+const VIEW_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Asks for shares of the limits whenever a question is due.
+/// Requests shares of the limits from the allocator whenever a request is due.
 pub(crate) async fn renew_limit_shares(node: Node, leader: Arc<Proposer>, serving: Arc<Serving>) {
     loop {
         serving.share_due().await;
@@ -38,7 +38,11 @@
             ask: Some(Ask::LimitShares(ask)),
         };
         let to = leader.target();
-        match node.call(to, request, SHARE_LIMIT).await.map(|r| r.answer) {
+        match node
+            .call(to, request, SHARE_TIMEOUT)
+            .await
+            .map(|r| r.answer)
+        {
             Ok(Some(Answer::Grant(grant))) => serving.grant(&grant),
             Ok(Some(Answer::NotLeader(hint))) => leader.set_leader_hint(to, hint),
             _ => leader.set_leader_hint(to, 0),
@@ -46,27 +50,29 @@
     }
 }
 
-/// Moves the claims' time on while this instance leads their group.
+/// Advances the time of a claim register while this instance leads its group.
 pub(crate) async fn run_claim_ticks(
     node: Node,
     group: u32,
     claims: Arc<Proposer>,
     clock: Arc<dyn Clock>,
 ) {
-    let mut ticker = Ticker::new(CLAIM_TICK);
+    let mut ticker = Ticker::new(CLAIM_TICK_INTERVAL);
     loop {
-        tokio::time::sleep(CLAIM_TICK).await;
+        tokio::time::sleep(CLAIM_TICK_INTERVAL).await;
         let leads = node.local_voter().and_then(|v| v.leads(group)).is_some();
         let action = ticker.poll(clock.now()).filter(|_| leads);
         let Some(action) = action else { continue };
-        let reply = claims.propose(action.into_bytes().into(), CLAIM_TICK).await;
+        let reply = claims
+            .propose(action.into_bytes().into(), CLAIM_TICK_INTERVAL)
+            .await;
         if let Some(Reply::Ticked(ticked)) = reply.ok().and_then(|r| Reply::from_bytes(&r)) {
             ticker.on_reply(clock.now(), ticked);
         }
     }
 }
 
-/// Hands what the fleet knows to routing and to the connections.
+/// Starts the thread that passes the state of the fleet to routing and the peer connections.
 pub(crate) fn start_view_refresh(
     supervisor: &Supervisor,
     serving: &Arc<Serving>,
@@ -77,16 +83,16 @@
     let fleet = fleet.clone();
     let peers = peers.clone();
     supervisor.start("views", RestartPolicy::Restart, move || {
-        let mut viewed = Instant::now();
+        let mut last_view = Instant::now();
         loop {
             thread::sleep(if serving.queued() > 0 {
-                TICK
+                BUSY_TICK_INTERVAL
             } else {
-                IDLE_TICK
+                IDLE_TICK_INTERVAL
             });
             serving.tick();
-            if viewed.elapsed() >= VIEW {
-                viewed = Instant::now();
+            if last_view.elapsed() >= VIEW_INTERVAL {
+                last_view = Instant::now();
                 serving.refresh();
                 for member in &fleet.members().members {
                     peers.set_address(member.id, member.peer);
--- a/src/program.rs
+++ b/src/program.rs
@@ -1,4 +1,4 @@
-//! Dispatch of the program's commands.
+//! Dispatch of the command line's subcommands.
 
 use std::ffi::OsString;
 use std::io::Write;
@@ -11,28 +11,28 @@
 use crate::{cli, client, controller, entry, explain, instance, log};
 
 /// Runs a role on the users' platform.
-fn role(matches: &ArgMatches, run: fn(&RoleSettings) -> Result<()>) -> Result<()> {
-    let _written = log::init_role();
+fn run_role(matches: &ArgMatches, run: fn(&RoleSettings) -> Result<()>) -> Result<()> {
+    let _log_guard = log::init_role();
     run(&RoleSettings::from_matches(matches)?)
 }
 
-/// Runs the command that the arguments name; output goes to `out`. Wrong
-/// arguments print a usage text and exit with code 2.
+/// Runs the subcommand in the arguments and writes its output to `out`. Invalid arguments print
+/// a usage text and exit the process with code 2.
 ///
 /// # Errors
 ///
-/// Whatever ended the command early; see [`crate::Error::exit_code`].
+/// If the subcommand fails; see [`crate::Error::exit_code`].
 ///
 /// # Panics
 ///
-/// When the command line defines a command that isn't carried out here.
+/// If the command line defines a subcommand that isn't handled here.
 pub fn run(args: impl IntoIterator<Item = OsString>, out: &mut dyn Write) -> Result<()> {
     let matches = cli::command().get_matches_from(args);
-    let (name, matches) = matches.subcommand().expect("the command line demands one");
+    let (name, matches) = matches.subcommand().expect("clap requires a subcommand");
     match name {
         "serve" => instance::run(Settings::from_matches(matches)?),
-        "entry" => role(matches, entry::run),
-        "controller" => role(matches, controller::run),
+        "entry" => run_role(matches, entry::run),
+        "controller" => run_role(matches, controller::run),
         "check" => Settings::from_matches(matches).map(|_| ()),
         "catalogue" => client::catalogue(matches, out),
         "voters" => client::voters(matches, out),
@@ -43,10 +43,10 @@
         "completions" => {
             let shell = matches
                 .get_one::<clap_complete::Shell>("shell")
-                .expect("the command line demands it");
+                .expect("clap requires it");
             clap_complete::generate(*shell, &mut cli::command(), "laburnumquay", out);
             Ok(())
         }
-        other => unreachable!("the command line has no command {other}"),
+        other => unreachable!("the command line has no subcommand {other}"),
     }
 }
--- a/src/role.rs
+++ b/src/role.rs
@@ -216,7 +216,7 @@
     measure: impl Fn() + Clone + Send + 'static,
 ) -> Result<()> {
     let handle = install_metrics()?;
-    runtime.spawn(log::report_dropped());
+    runtime.spawn(log::report_suppressed());
     let Some(port) = settings.metrics else {
         return Ok(());
     };
--- a/src/supervise.rs
+++ b/src/supervise.rs
@@ -1,8 +1,8 @@
-//! The supervisor tree: named parts on threads of their own.
+//! Supervisor: runs named components on threads of their own.
 //!
-//! A part that can start again from nothing is restarted after a panic. A part
-//! that owns durable state isn't: its memory may disagree with its files, so
-//! the whole instance ends and recovers from the files at its next start.
+//! A component without state is restarted after a panic. A component that owns durable state
+//! isn't: its memory may disagree with its files, so the whole instance exits and recovers from
+//! the files at its next start.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::thread;
@@ -12,51 +12,57 @@
 
 use crate::event;
 
-/// Pause before a restart, so that a part that always fails costs little.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a restart, so that a component that always fails uses little CPU time.
+const RESTART_DELAY: Duration = Duration::from_millis(200);
 
-/// Restarts of one part before the failure counts as lasting.
+/// Restarts of a component after which its next failure is permanent.
 const MAX_RESTARTS: u32 = 20;
 
-/// What to do when a part fails.
+/// What to do when a component fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RestartPolicy {
-    /// Start the part again.
+    /// Restart the component.
     Restart,
-    /// End the instance.
+    /// Stop the instance.
     Escalate,
 }
 
-/// Starts parts and hears of those that failed for good.
+/// Starts components and reports those that failed permanently.
 pub(crate) struct Supervisor {
     failures: Receiver<String>,
-    report: Sender<String>,
+    failure_sender: Sender<String>,
 }
 
 impl Supervisor {
     pub(crate) fn new() -> Self {
-        let (report, failures) = unbounded();
-        Self { failures, report }
+        let (failure_sender, failures) = unbounded();
+        Self {
+            failures,
+            failure_sender,
+        }
     }
 
-    /// Names of parts that failed for good.
+    /// Names of components that failed permanently.
     pub(crate) fn failures(&self) -> &Receiver<String> {
         &self.failures
     }
 
-    /// Runs `part` on a thread of its own. A part that returns has ended as
-    /// it should.
-    pub(crate) fn start<F>(&self, name: &'static str, policy: RestartPolicy, mut part: F)
+    /// Runs `component` on a thread of its own. A component that returns has finished normally.
+    pub(crate) fn start<F>(&self, name: &'static str, policy: RestartPolicy, mut component: F)
     where
         F: FnMut() + Send + 'static,
     {
-        let report = self.report.clone();
+        let failures = self.failure_sender.clone();
         let body = move || {
             let mut restarts = 0;
-            while catch_unwind(AssertUnwindSafe(&mut part)).is_err() {
+            while catch_unwind(AssertUnwindSafe(&mut component)).is_err() {
                 if policy == RestartPolicy::Escalate || restarts == MAX_RESTARTS {
-                    tracing::error!(event = event::PART_FAILED.id, part = name, "part failed");
-                    let _ = report.send(name.to_owned());
+                    tracing::error!(
+                        event = event::PART_FAILED.id,
+                        part = name,
+                        "component failed permanently; stopping the instance"
+                    );
+                    let _ = failures.send(name.to_owned());
                     return;
                 }
                 restarts += 1;
@@ -64,14 +70,14 @@
                     event = event::PART_RESTARTED.id,
                     part = name,
                     restarts,
-                    "part starts again"
+                    "component panicked; restarting it"
                 );
-                thread::sleep(PAUSE);
+                thread::sleep(RESTART_DELAY);
             }
         };
         thread::Builder::new()
             .name(name.to_owned())
             .spawn(body)
-            .expect("the system has threads left at start");
+            .expect("the system has threads left at startup");
     }
 }
--- a/src/tests/event.rs
+++ b/src/tests/event.rs
@@ -1,7 +1,7 @@
 //! Tests of [`crate::event`].
 
 use crate::event::ALL;
-use crate::log::cap::Cap;
+use crate::log::rate_limit::LineLimiter;
 
 const PAGE: &str = include_str!("../../docs/EVENTS.md");
 
@@ -23,20 +23,23 @@
 }
 
 #[test]
-fn passes_bounded() {
-    // Every request fails and logs several lines. The lines must stay bounded,
-    // those of failures go before those of successes, and none is lost without
-    // being counted.
-    let cap = Cap::new();
-    let pass = |kind: crate::event::Event, second| {
-        let lines = (0..2_000).filter(|_| cap.passes(kind.id.into(), second));
+fn allow_limited() {
+    // Every request fails and logs several lines. Their number must be bounded, failures must
+    // have the higher limit, and every suppressed line must be counted.
+    let limiter = LineLimiter::new();
+    let pass = |event: crate::event::Event, second| {
+        let lines = (0..2_000).filter(|_| limiter.allow(event.id.into(), second));
         lines.count() as u64
     };
     let failures = pass(crate::event::ATTEMPT_FAILED, 1);
     let successes = pass(crate::event::ATTEMPT_SENT, 1);
     assert!(0 < successes && successes < failures && failures < 2_000);
-    let left: u64 = cap.take_left().iter().map(|(_, count)| count).sum();
-    assert_eq!(left + failures + successes, 4_000);
-    assert!(cap.take_left().is_empty());
+    let suppressed: u64 = limiter
+        .take_suppressed()
+        .iter()
+        .map(|(_, count)| count)
+        .sum();
+    assert_eq!(suppressed + failures + successes, 4_000);
+    assert!(limiter.take_suppressed().is_empty());
     assert_eq!(pass(crate::event::ATTEMPT_SENT, 2), successes);
 }
