--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition of the command line.
 
 use std::path::PathBuf;
 
@@ -38,13 +38,13 @@
 fn serve() -> Command {
     Command::new("serve")
         .about("Run one instance until SIGTERM, then let running answers end")
-        .args(settings())
+        .args(serve_settings())
 }
 
 fn check() -> Command {
     Command::new("check")
         .about("Check the settings of `serve`, name every fault, and exit")
-        .args(settings())
+        .args(serve_settings())
 }
 
 fn role(name: &'static str, about: &'static str) -> Command {
@@ -83,7 +83,7 @@
     ]
 }
 
-/// A setting: a flag with its environment variable.
+/// Defines a flag that can also be set by an environment variable.
 fn setting(name: &'static str, env: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).env(env).help(help)
 }
@@ -107,7 +107,7 @@
     arg.value_name("PATH").value_parser(value_parser!(PathBuf))
 }
 
-fn settings() -> Vec<Arg> {
+fn serve_settings() -> Vec<Arg> {
     vec![
         setting(
             "instance-id",
@@ -255,8 +255,8 @@
     ]
 }
 
-/// Arguments of the commands that ask a running instance.
-fn client() -> Vec<Arg> {
+/// Arguments of the commands that query or change a running instance.
+fn client_args() -> Vec<Arg> {
     vec![
         setting("target", "LQ_TARGET", "Control address of an instance")
             .value_name("IP:PORT")
@@ -274,24 +274,24 @@
     ]
 }
 
-fn kind() -> Arg {
+fn kind_arg() -> Arg {
     Arg::new("kind")
         .required(true)
         .value_parser(PossibleValuesParser::new(["organisation", "pool", "route"]))
         .help("Kind of the entry")
 }
 
-fn name() -> Arg {
+fn name_arg() -> Arg {
     Arg::new("name").required(true).help("Name of the entry")
 }
 
-fn change_id() -> Arg {
+fn change_id_arg() -> Arg {
     Arg::new("change-id")
         .long("change-id")
         .help("Id of the change; resend with the same id when an answer was lost")
 }
 
-fn expect() -> Arg {
+fn expect_arg() -> Arg {
     Arg::new("expect")
         .long("expect")
         .value_name("REVISION")
@@ -307,19 +307,19 @@
         .subcommand(
             Command::new("list")
                 .about("List all entries")
-                .args(client()),
+                .args(client_args()),
         )
         .subcommand(
             Command::new("get")
                 .about("Print one entry with its revision")
-                .args(client())
-                .args([kind(), name()]),
+                .args(client_args())
+                .args([kind_arg(), name_arg()]),
         )
         .subcommand(
             Command::new("apply")
                 .about("Add or replace the entries of a TOML file, all or none")
-                .args(client())
-                .args([change_id(), expect()])
+                .args(client_args())
+                .args([change_id_arg(), expect_arg()])
                 .arg(
                     Arg::new("file")
                         .required(true)
@@ -330,13 +330,13 @@
         .subcommand(
             Command::new("retire")
                 .about("Remove one entry")
-                .args(client())
-                .args([change_id(), expect(), kind(), name()]),
+                .args(client_args())
+                .args([change_id_arg(), expect_arg(), kind_arg(), name_arg()]),
         )
         .subcommand(
             Command::new("history")
                 .about("List recent changes with their outcomes, newest last")
-                .args(client()),
+                .args(client_args()),
         )
 }
 
@@ -354,18 +354,18 @@
         .subcommand(
             Command::new("list")
                 .about("List the voters, and the instances that ask to become one")
-                .args(client()),
+                .args(client_args()),
         )
         .subcommand(
             Command::new("add")
                 .about("Add an instance that runs with a data folder, or its new folder")
-                .args(client())
+                .args(client_args())
                 .arg(instance()),
         )
         .subcommand(
             Command::new("remove")
                 .about("Remove a voter")
-                .args(client())
+                .args(client_args())
                 .arg(instance()),
         )
 }
@@ -373,7 +373,7 @@
 fn state() -> Command {
     Command::new("state")
         .about("Dump the state of a running instance; holds no key and no caller's text")
-        .args(client())
+        .args(client_args())
 }
 
 fn explain() -> Command {
--- a/src/dump.rs
+++ b/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state dump of one instance: no key and no caller's text is in it.
+//! State dump of an instance. Must contain no key and no text of a caller.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,7 +9,7 @@
 use crate::gossip::FleetDump;
 use crate::voter::GroupStatus;
 
-/// Spaces that one level is indented by.
+/// Indentation per level, in spaces.
 const INDENT: usize = 2;
 
 /// State of one instance.
@@ -20,20 +20,20 @@
     pub(crate) release: &'static str,
     pub(crate) catalogue: CatalogueDump,
     pub(crate) requests: RequestDump,
-    /// One element for each group of the replicated log; empty without a vote.
+    /// Groups of the replicated log; empty if the instance isn't a voter.
     pub(crate) groups: Vec<GroupStatus>,
-    /// Instances and upstreams as this instance knows them.
+    /// Instances and upstreams known to this instance.
     pub(crate) fleet: FleetDump,
-    /// Tokens a second that engines and links allow, by route.
+    /// Maximum throughput of engines and links in tokens per second, by route.
     pub(crate) bounds: BTreeMap<String, f64>,
 }
 
-/// The catalogue as this instance knows it.
+/// The catalogue on this instance.
 #[derive(Debug, Serialize)]
 pub(crate) struct CatalogueDump {
     pub(crate) revision: u64,
     pub(crate) entries: usize,
-    /// Milliseconds for which it may still be acted on.
+    /// Time left on the lease, in milliseconds.
     pub(crate) lease_left: u128,
 }
 
@@ -45,12 +45,12 @@
     pub(crate) draining: bool,
 }
 
-/// The dump as indented lines for people.
+/// Formats a dump as indented, human-readable lines.
 pub(crate) fn text(dump: &Dump) -> String {
     lines(&serde_json::to_value(dump).expect("a dump holds only strings and numbers"))
 }
 
-/// A JSON value as indented lines for people.
+/// Formats a JSON value as indented, human-readable lines.
 pub(crate) fn lines(value: &Value) -> String {
     let mut out = String::new();
     write_value(&mut out, value, 0);
@@ -65,8 +65,8 @@
             }
         }
         Value::Array(items) => {
-            for (at, item) in items.iter().enumerate() {
-                write_field(out, &format!("[{at}]"), item, depth);
+            for (index, item) in items.iter().enumerate() {
+                write_field(out, &format!("[{index}]"), item, depth);
             }
         }
         other => {
@@ -76,21 +76,21 @@
 }
 
 fn write_field(out: &mut String, name: &str, field: &Value, depth: usize) {
-    let pad = " ".repeat(depth * INDENT);
+    let indent = " ".repeat(depth * INDENT);
     match field {
         Value::Object(f) if !f.is_empty() => {
-            let _ = writeln!(out, "{pad}{name}:");
+            let _ = writeln!(out, "{indent}{name}:");
             write_value(out, field, depth + 1);
         }
         Value::Array(items) if !items.is_empty() => {
-            let _ = writeln!(out, "{pad}{name}:");
+            let _ = writeln!(out, "{indent}{name}:");
             write_value(out, field, depth + 1);
         }
         Value::Object(_) | Value::Array(_) => {
-            let _ = writeln!(out, "{pad}{name}: none");
+            let _ = writeln!(out, "{indent}{name}: none");
         }
         other => {
-            let _ = writeln!(out, "{pad}{name}: {}", scalar(other));
+            let _ = writeln!(out, "{indent}{name}: {}", scalar(other));
         }
     }
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,28 +1,28 @@
-//! The crate's error type and the exit codes that go with it.
+//! Error type of the crate, and the exit codes of the program.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// Anything that ends a command early. Each message names the remedy.
+/// Error that ends a command. Each message names the remedy.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// Settings are missing or contradict each other.
+    /// Settings are missing, invalid or contradictory.
     #[snafu(display("{} in the settings:\n{}", count(faults), faults.join("\n")))]
     Settings {
         /// Each fault with its remedy.
         faults: Vec<String>,
     },
-    /// An address can't be listened on.
+    /// An address can't be bound.
     #[snafu(display("can't listen on {addr} for {role} ({source}); free it or set another"))]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// What the address is for.
+        /// Who connects to the address.
         role: &'static str,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
     /// A file can't be read.
@@ -30,53 +30,53 @@
     ReadFile {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// A catalogue file doesn't parse.
+    /// A catalogue file can't be parsed.
     #[snafu(display("{} isn't a catalogue ({reason}); see docs/CONFIGURATION.md", path.display()))]
     CatalogueFile {
         /// The file.
         path: PathBuf,
-        /// Where and why.
+        /// Position and cause.
         reason: String,
     },
-    /// An instance didn't answer.
+    /// An instance sent no usable response.
     #[snafu(display("no answer from {target} ({reason}); is the instance running there?"))]
     Unreachable {
-        /// Address asked.
+        /// Address of the instance.
         target: String,
-        /// Why.
+        /// Cause.
         reason: String,
     },
-    /// An instance refused.
+    /// An instance refused the request.
     #[snafu(display("{target} answered {status}: {message}"))]
     Refused {
-        /// Address asked.
+        /// Address of the instance.
         target: String,
         /// HTTP status.
         status: u16,
-        /// The instance's own words.
+        /// Body of the response.
         message: String,
     },
-    /// A part of the instance couldn't start.
+    /// A component of the instance couldn't start.
     #[snafu(display("can't start the {part}: {reason}"))]
     Start {
-        /// Name of the part.
+        /// Name of the component.
         part: &'static str,
-        /// Why, with the remedy.
+        /// Cause and remedy.
         reason: String,
     },
-    /// A part that the instance can't do without has failed.
+    /// A component that the instance requires has failed.
     #[snafu(display("the {part} failed; read the log before it and start the instance again"))]
     Failed {
-        /// Name of the part.
+        /// Name of the component.
         part: String,
     },
     /// Output can't be written.
     #[snafu(display("can't write the output ({source}); is the reader gone?"))]
     Output {
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
 }
@@ -88,12 +88,12 @@
     }
 }
 
-/// Exit code of a command that did what it was asked.
+/// Exit code of a successful command.
 pub const EXIT_OK: u8 = 0;
 
 impl Error {
-    /// Exit code: 2 for settings, 3 for an instance that can't be reached,
-    /// 4 for a refusal, 1 for the rest.
+    /// Exit code: 2 for invalid settings or files, 3 for an instance that can't be reached, 4 for
+    /// a refusal, 1 for everything else.
     #[must_use]
     pub fn exit_code(&self) -> u8 {
         match self {
@@ -105,5 +105,5 @@
     }
 }
 
-/// A result with the crate's error.
+/// Result with the crate's error type.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,10 +1,9 @@
-//! Numbered log events. docs/EVENTS.md is their catalogue; a test keeps the
-//! two equal.
+//! Log events. A test checks that docs/EVENTS.md lists all of them.
 
-/// A kind of log line, under a number that never changes its meaning.
+/// A type of log line. The meaning of an id never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Event {
-    /// Number; the hundreds tell the part of the program.
+    /// Unique number; the hundreds stand for the part of the program.
     pub(crate) id: u16,
     /// Short name.
     pub(crate) name: &'static str,
@@ -16,109 +15,109 @@
 
 /// The instance listens on all of its addresses.
 pub(crate) const STARTED: Event = event(101, "started");
-/// The instance takes no new work and waits for running answers.
+/// The instance stopped taking new work and waits for running answers.
 pub(crate) const DRAINING: Event = event(102, "draining");
-/// The instance has ended.
+/// The instance has stopped.
 pub(crate) const STOPPED: Event = event(103, "stopped");
-/// The drain limit ran out with answers still running.
+/// The drain timeout expired with answers still running.
 pub(crate) const DRAIN_LIMIT: Event = event(104, "drain_limit");
-/// A supervised part ended and is started again.
+/// A supervised component panicked and is restarted.
 pub(crate) const PART_RESTARTED: Event = event(105, "part_restarted");
-/// A supervised part failed for good; the instance ends.
+/// A supervised component failed permanently; the instance stops.
 pub(crate) const PART_FAILED: Event = event(106, "part_failed");
 /// The platform's settings file was read again.
 pub(crate) const RELOADED: Event = event(107, "reloaded");
-/// Lines of a kind were left out, for their number.
+/// Lines of an event were suppressed by the rate limit.
 pub(crate) const LINES_LEFT: Event = event(108, "lines_left");
-/// The catalogue lease is held; new work is taken.
+/// The catalogue lease was acquired; new work is accepted.
 pub(crate) const LEASE_HELD: Event = event(201, "lease_held");
-/// The catalogue lease ran out; new work is refused.
+/// The catalogue lease expired; new work is refused.
 pub(crate) const LEASE_LOST: Event = event(202, "lease_lost");
 /// A newer catalogue revision is in force here.
 pub(crate) const CATALOGUE_APPLIED: Event = event(203, "catalogue_applied");
-/// An operator's change was decided.
+/// An operator's change of the catalogue was accepted or rejected.
 pub(crate) const CHANGE_DECIDED: Event = event(204, "change_decided");
 /// A voter was added or removed.
 pub(crate) const VOTER_CHANGED: Event = event(205, "voter_changed");
-/// An operator's whole configuration was decided.
+/// An operator's configuration was accepted or rejected.
 pub(crate) const CONFIGURATION_DECIDED: Event = event(206, "configuration_decided");
-/// An operator's whole configuration isn't valid.
+/// An operator's configuration isn't valid.
 pub(crate) const CONFIGURATION_REFUSED: Event = event(207, "configuration_refused");
-/// Another configuration is in force on an entry instance.
+/// An entry instance applied another configuration.
 pub(crate) const CONFIGURATION_APPLIED: Event = event(208, "configuration_applied");
-/// A connection from another instance was refused or broke its framing.
+/// A connection from another instance was refused or violated the framing.
 pub(crate) const PEER_REFUSED: Event = event(301, "peer_refused");
 /// An upstream's announcement was refused.
 pub(crate) const ANNOUNCE_REFUSED: Event = event(302, "announce_refused");
-/// A start of an upstream announced itself.
+/// An upstream announced itself for the first time since its start.
 pub(crate) const UPSTREAM_JOINED: Event = event(303, "upstream_joined");
 /// An upstream left and gets no more work.
 pub(crate) const UPSTREAM_LEFT: Event = event(304, "upstream_left");
-/// An upstream was dropped for its silence.
+/// An upstream was removed since its announcements stopped.
 pub(crate) const UPSTREAM_LOST: Event = event(305, "upstream_lost");
 /// An engine was ordered to hold other layers.
 pub(crate) const LAYERS_ORDERED: Event = event(306, "layers_ordered");
-/// Another set of layers is held by no engine of a domain.
+/// The layers that no engine of a failure domain holds have changed.
 pub(crate) const LAYERS_MISSING: Event = event(307, "layers_missing");
-/// An engine works faster or slower than instances were told.
+/// An engine's speed differs from the one that instances were told.
 pub(crate) const PACE_CHANGED: Event = event(308, "pace_changed");
 /// A request was quarantined, since it crashes engines.
 pub(crate) const REQUEST_QUARANTINED: Event = event(309, "request_quarantined");
 /// The quarantine of a request was lifted or expired.
 pub(crate) const QUARANTINE_LIFTED: Event = event(310, "quarantine_lifted");
-/// A request got a refusal.
+/// A request was refused.
 pub(crate) const REQUEST_REFUSED: Event = event(401, "request_refused");
-/// An attempt failed and the request goes on over another path.
+/// An attempt failed and the request continues on another path.
 pub(crate) const REQUEST_RESUMED: Event = event(402, "request_resumed");
-/// A request ended without a whole answer.
+/// A request ended without a complete answer.
 pub(crate) const REQUEST_FAILED: Event = event(403, "request_failed");
 /// A request was sent to an upstream.
 pub(crate) const ATTEMPT_SENT: Event = event(404, "attempt_sent");
-/// An attempt failed; the line tells what comes next.
+/// An attempt failed; the line names the next step.
 pub(crate) const ATTEMPT_FAILED: Event = event(405, "attempt_failed");
-/// An upstream's answer was handed on.
+/// An upstream's answer was forwarded.
 pub(crate) const REQUEST_ANSWERED: Event = event(406, "request_answered");
 /// A request ended without an upstream's answer.
 pub(crate) const REQUEST_ENDED: Event = event(407, "request_ended");
-/// An entry instance leaves an upstream out for a while.
+/// An entry instance excludes an upstream for a while.
 pub(crate) const UPSTREAM_SUSPECTED: Event = event(408, "upstream_suspected");
-/// A silent request was led around an engine.
+/// A stalled request was rerouted around an engine.
 pub(crate) const REQUEST_REROUTED: Event = event(409, "request_rerouted");
-/// A request waited for room on the engines.
+/// A request waited for capacity on the engines.
 pub(crate) const REQUEST_WAITED: Event = event(410, "request_waited");
-/// A request's caller left before its end.
+/// A request's caller disconnected before the end of the answer.
 pub(crate) const REQUEST_ABANDONED: Event = event(411, "request_abandoned");
-/// An engine crashed shortly after it began to run a request.
+/// An engine crashed shortly after it started to run a request.
 pub(crate) const RUN_CUT_EARLY: Event = event(412, "run_cut_early");
 /// An upstream changed or lifted its rate limit.
 pub(crate) const LIMIT_CHANGED: Event = event(413, "limit_changed");
-/// This voter leads a group of the replicated log.
+/// This voter became the leader of a group of the replicated log.
 pub(crate) const LEADS: Event = event(501, "leads");
-/// This voter leads a group no more.
+/// This voter is no longer the leader of a group.
 pub(crate) const LEADS_NO_MORE: Event = event(502, "leads_no_more");
-/// A store that is no member asks to become one.
+/// A store that isn't a member asks to become one.
 pub(crate) const STORE_UNKNOWN: Event = event(503, "store_unknown");
-/// A store lost entries that it had acknowledged, and votes no more.
+/// A store lost entries that it had acknowledged, and is barred from voting.
 pub(crate) const STORE_BARRED: Event = event(504, "store_barred");
-/// This voter's store failed; the voter has ended.
+/// This voter's store failed; the voter has stopped.
 pub(crate) const STORE_FAILED: Event = event(505, "store_failed");
-/// A controller opens its failed store again.
+/// A controller reopens its store after a failure.
 pub(crate) const STORE_REOPENED: Event = event(506, "store_reopened");
-/// Other voters told a restarted store what it may have forgotten.
+/// Other voters confirmed the state of a store that was restarted.
 pub(crate) const STORE_CONFIRMED: Event = event(507, "store_confirmed");
-/// Too few voters answered a restarted store; it trusts its folder.
+/// Too few voters answered a restarted store; it continues with its local state.
 pub(crate) const STORE_UNCONFIRMED: Event = event(508, "store_unconfirmed");
-/// Another instance is held for something else than before.
+/// The state of another instance changed, as seen by this instance.
 pub(crate) const MEMBER_CHANGED: Event = event(601, "member_changed");
-/// The process was suspended; views of before are dropped.
+/// The process was suspended; its view of the fleet is discarded.
 pub(crate) const SUSPENDED: Event = event(602, "suspended");
-/// The socket for datagrams can't be read.
+/// The UDP socket can't be read.
 pub(crate) const DATAGRAMS_LOST: Event = event(603, "datagrams_lost");
-/// Another process uses this instance's number, or this one's incarnation is
-/// below that of an earlier start.
+/// Another process uses this instance's id, or this process's incarnation is lower than that of an
+/// earlier start.
 pub(crate) const ID_CONFLICT: Event = event(604, "id_conflict");
 
-/// Every event that the program logs.
+/// All events.
 #[cfg(test)]
 pub(crate) const ALL: &[Event] = &[
     STARTED,
--- a/src/metric.rs
+++ b/src/metric.rs
@@ -1,14 +1,14 @@
-//! Names of the metrics of the entry and controller roles. docs/METRICS.md is
-//! their catalogue; a test keeps the two equal.
+//! Metrics of the entry and controller roles. A test checks that docs/METRICS.md lists all of
+//! them.
 
 use crate::configuration::RetryPolicy;
 
-/// One metric, under a name that never changes its meaning. The end of the name
-/// tells the unit; a counter ends in `_total`.
+/// A metric. The meaning of a name never changes. Its suffix is the unit, or `_total` for a
+/// counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Metric {
     pub(crate) name: &'static str,
-    /// Labels, in order.
+    /// Names of the labels, in order.
     pub(crate) labels: &'static [&'static str],
 }
 
@@ -16,7 +16,7 @@
     Metric { name, labels }
 }
 
-/// Requests that ended.
+/// Requests that have ended.
 pub(crate) const REQUESTS: Metric = metric("entry_requests_total", &["kind", "outcome"]);
 /// Time from a request's arrival to its end.
 pub(crate) const REQUEST_DURATION: Metric = metric("entry_request_seconds", &["kind", "outcome"]);
@@ -24,52 +24,52 @@
 pub(crate) const FIRST_EVENT_DELAY: Metric = metric("entry_first_event_seconds", &[]);
 /// Longest pause between two events of a stream.
 pub(crate) const STREAM_PAUSE: Metric = metric("entry_pause_seconds", &[]);
-/// Requests that were refused as not run.
+/// Requests that were refused without being run.
 pub(crate) const REFUSALS: Metric = metric("entry_refusals_total", &["reason"]);
 /// Attempts that failed.
 pub(crate) const FAILED_ATTEMPTS: Metric =
     metric("entry_failed_attempts_total", &["cause", "next"]);
-/// Streams that were led around engines.
+/// Streams that were rerouted around engines.
 pub(crate) const REROUTES: Metric = metric("entry_reroutes_total", &["cause", "taken"]);
-/// Runs that an engine crash cut off shortly after they began.
+/// Runs that were cut off by an engine crash shortly after they started.
 pub(crate) const RUNS_CUT_EARLY: Metric = metric("entry_runs_cut_early_total", &[]);
-/// Requests under way.
+/// Requests that are running.
 pub(crate) const RUNNING_REQUESTS: Metric = metric("entry_running", &[]);
-/// Requests that wait in line for room on the engines.
+/// Requests that are queued for capacity on the engines.
 pub(crate) const WAITING_REQUESTS: Metric = metric("entry_waiting", &[]);
-/// Instances or requests among which the room on the engines is divided.
+/// Number of shares into which the capacity of the engines is divided.
 pub(crate) const CAPACITY_SHARERS: Metric = metric("entry_room_sharers", &[]);
-/// Upstreams as this instance uses them.
+/// Upstreams, by whether this instance uses them.
 pub(crate) const UPSTREAMS: Metric = metric("entry_upstreams", &["service", "state"]);
 /// Upstreams with a rate limit in force.
 pub(crate) const LIMITED_UPSTREAMS: Metric = metric("entry_limited_upstreams", &[]);
-/// Memory for requests that is booked on the engines, of all instances.
+/// Memory reserved on the engines for the requests of all instances.
 pub(crate) const BOOKED_MEMORY: Metric = metric("entry_booked_megabytes", &["service"]);
 /// Version of the configuration in force; 0 before the first.
 pub(crate) const CONFIGURATION_VERSION: Metric = metric("entry_configuration_version", &[]);
-/// Time for which keys may still be used without another confirmation.
+/// Time for which keys may be used without another confirmation.
 pub(crate) const LEASE_REMAINING: Metric = metric("entry_lease_seconds", &[]);
-/// Whether the roster holds every upstream that lives.
+/// Whether the roster contains every live upstream.
 pub(crate) const ROSTER_COMPLETE: Metric = metric("entry_roster_complete", &[]);
-/// Retries that are left in the present window.
+/// Retries left in the current window.
 pub(crate) const RETRIES_LEFT: Metric = metric("entry_retries_left", &["service"]);
 
-/// Whether this controller leads.
+/// Whether this controller is the leader.
 pub(crate) const IS_LEADER: Metric = metric("controller_leads", &[]);
-/// Age of the latest confirmation by a quorum; only the leader has one.
+/// Time since the last confirmation by a quorum; 0 on controllers that don't lead.
 pub(crate) const QUORUM_AGE: Metric = metric("controller_quorum_age_seconds", &[]);
 /// Voters of the replicated log.
 pub(crate) const VOTERS: Metric = metric("controller_voters", &[]);
-/// Version of the configuration that is committed here.
+/// Version of the configuration committed on this controller.
 pub(crate) const COMMITTED_VERSION: Metric = metric("controller_configuration_version", &[]);
-/// Upstreams that the leader knows.
+/// Upstreams known to the leader.
 pub(crate) const KNOWN_UPSTREAMS: Metric = metric("controller_upstreams", &["service", "state"]);
 /// Layers that no engine of a failure domain holds.
 pub(crate) const MISSING_LAYERS: Metric =
     metric("controller_missing_layers", &["service", "domain"]);
-/// Orders for layers that are under way.
+/// Layer placement orders in progress.
 pub(crate) const PENDING_ORDERS: Metric = metric("controller_pending_orders", &[]);
-/// Orders for layers that were given.
+/// Layer placement orders that were sent.
 pub(crate) const ORDERS: Metric = metric("controller_orders_total", &["status"]);
 /// Entry instances that report to the leader.
 pub(crate) const ENTRY_INSTANCES: Metric = metric("controller_entries", &[]);
@@ -78,10 +78,10 @@
 /// Requests suspected of crashing engines and not quarantined.
 pub(crate) const SUSPECT_REQUESTS: Metric = metric("controller_suspect_requests", &[]);
 
-/// Heartbeats of upstreams that this controller took.
+/// Heartbeats of upstreams that this controller received.
 pub(crate) const HEARTBEATS: Metric = metric("controller_heartbeats_total", &["way"]);
 
-/// All of them, in the order of the catalogue.
+/// All metrics, in the order of docs/METRICS.md.
 #[cfg(test)]
 pub(crate) const ALL: &[Metric] = &[
     REQUESTS,
@@ -116,7 +116,7 @@
     HEARTBEATS,
 ];
 
-/// The kind of a request as the label `kind` names it.
+/// Returns the value of the label `kind` for a retry policy.
 pub(crate) fn kind(policy: RetryPolicy) -> &'static str {
     match policy {
         RetryPolicy::Never => "once",
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one instance, built in one place and handed down read-only.
+//! Settings of an instance, validated at startup and immutable afterwards.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -13,74 +13,73 @@
 use crate::error::{Error, Result};
 use crate::id::InstanceId;
 
-/// Shortest secret, in bytes.
+/// Minimum length of a secret, in bytes.
 const MIN_SECRET: usize = 16;
 
-/// Least value of `head`, in bytes; the HTTP library takes no smaller one.
+/// Minimum of `max_head`, in bytes; the HTTP library accepts no smaller value.
 const MIN_HEAD: usize = 8192;
 
-/// Polls that fit in one lease, so that a single lost answer costs nothing.
+/// Minimum number of polls per lease, so that the lease survives a lost answer.
 const MIN_POLLS: u32 = 3;
 
-/// All settings of `laburnumquay serve`.
+/// Settings of `laburnumquay serve`.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This instance.
+    /// Id of this instance.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of this instance.
     pub domain: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub caller_addr: SocketAddr,
-    /// Where operators and upstreams connect.
+    /// Address for operators and upstreams.
     pub control_addr: SocketAddr,
-    /// Where other instances connect (TCP) and gossip (UDP).
+    /// Address for other instances: connections (TCP) and gossip (UDP).
     pub peer_addr: SocketAddr,
-    /// Where other instances are told to find `peer`; the same unless a relay
-    /// stands before it.
+    /// Address under which other instances reach `peer_addr`. The same unless a relay is in
+    /// front of it.
     pub advertised_addr: SocketAddr,
     /// Peer addresses of the initial voters. Never empty.
     pub voters: BTreeMap<InstanceId, SocketAddr>,
-    /// Where a voter keeps its state; `None` on an instance that has no vote
-    /// and can't be given one.
+    /// Directory of a voter's state; `None` on an instance that can't be a voter.
     pub data_dir: Option<PathBuf>,
-    /// Key that all instances share.
+    /// Key shared by all instances.
     pub fleet_key: FleetKey,
     /// SHA-256 digest of the operators' key.
     pub operator_digest: String,
-    /// How long the catalogue may be acted on after its last confirmation.
+    /// Time for which the catalogue may be used after its last confirmation.
     pub lease: Duration,
-    /// Period of confirming the catalogue; a fraction of `lease`.
+    /// Interval at which the catalogue is confirmed; a fraction of `lease`.
     pub poll_interval: Duration,
-    /// Election timeout of the voters, least value.
+    /// Minimum election timeout of the voters.
     pub election_timeout: Duration,
-    /// Longest wait for running answers after SIGTERM.
+    /// Maximum time to wait for running answers after SIGTERM.
     pub drain_timeout: Duration,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body: usize,
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub max_head: usize,
-    /// Longest time for a caller to send its request.
+    /// Maximum time for a caller to send its request.
     pub receive_timeout: Duration,
-    /// Longest deadline of a request; also the deadline of one that names none.
+    /// Maximum deadline of a request, and the deadline of one that names none.
     pub max_deadline: Duration,
-    /// Longest wait for the first token of an attempt.
+    /// Maximum time to wait for the first token of an attempt.
     pub first_timeout: Duration,
-    /// Longest wait for the answer of a plain service.
+    /// Maximum time to wait for the answer of a plain service.
     pub call_timeout: Duration,
-    /// Longest silence of an engine between two tokens.
+    /// Maximum time between two tokens of an engine.
     pub idle_timeout: Duration,
-    /// Worker threads for callers' connections.
+    /// Number of worker threads for callers' connections.
     pub workers: usize,
     /// Whether logs are JSON lines.
     pub json_logs: bool,
 }
 
 impl Settings {
-    /// Reads and checks the arguments of `serve` and `check`.
+    /// Reads and validates the arguments of `serve` and `check`.
     ///
     /// # Errors
     ///
-    /// [`Error::Settings`] with every fault found, not only the first.
+    /// [`Error::Settings`] with all faults, not only the first.
     pub fn from_matches(matches: &ArgMatches) -> Result<Self> {
         let mut faults = Vec::new();
         let peer_addr = value(matches, "peer-addr");
@@ -110,20 +109,20 @@
             workers: value(matches, "workers"),
             json_logs: matches.get_flag("json-logs"),
         };
-        settings.check(&mut faults);
+        settings.validate(&mut faults);
         if faults.is_empty() {
             return Ok(settings);
         }
         Err(Error::Settings { faults })
     }
 
-    /// Whether this instance votes on the catalogue from the start.
+    /// Whether this instance is one of the initial voters.
     #[must_use]
-    pub fn votes(&self) -> bool {
+    pub fn is_initial_voter(&self) -> bool {
         self.voters.contains_key(&self.instance)
     }
 
-    fn check(&self, faults: &mut Vec<String>) {
+    fn validate(&self, faults: &mut Vec<String>) {
         let mut expect = |ok: bool, fault: &str| {
             if !ok {
                 faults.push(fault.to_owned());
@@ -138,7 +137,7 @@
             "--domain is empty: name the failure domain",
         );
         expect(
-            !self.votes() || self.data_dir.is_some(),
+            !self.is_initial_voter() || self.data_dir.is_some(),
             "--data-dir is missing: this instance is named in --voters and needs a disk",
         );
         expect(
@@ -176,12 +175,12 @@
     }
 }
 
-/// A value that the command line always has, by default or by demand.
+/// Returns the value of an argument that is required or has a default.
 fn value<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> T {
     matches
         .get_one::<T>(name)
         .cloned()
-        .unwrap_or_else(|| panic!("the command line defines {name} with a value"))
+        .unwrap_or_else(|| panic!("argument {name} is required or has a default"))
 }
 
 fn millis(matches: &ArgMatches, name: &str) -> Duration {
@@ -196,8 +195,8 @@
             let id = id.parse().ok().filter(|id| *id > 0)?;
             Some((InstanceId(id), addr.parse().ok()?))
         });
-        let fresh = parsed.is_some_and(|(id, addr)| voters.insert(id, addr).is_none());
-        if !fresh {
+        let added = parsed.is_some_and(|(id, addr)| voters.insert(id, addr).is_none());
+        if !added {
             faults.push(format!(
                 "--voters has '{part}': write ID=IP:PORT, each id once"
             ));
