--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! The commands that ask a running instance.
+//! Commands that query or change a running instance.
 
 use std::fs;
 use std::io::Write;
@@ -21,19 +21,19 @@
 };
 use crate::platform::call;
 
-/// Longest wait for an answer.
-const LIMIT: Duration = Duration::from_secs(15);
+/// Timeout of a request.
+const TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Maximum number of controllers asked; each may redirect to the leader that it knows.
-const MOST_REDIRECTS: usize = 4;
+/// Maximum number of controllers tried; each may redirect to the leader that it knows.
+const MAX_REDIRECTS: usize = 4;
 
-/// Largest answer, in bytes.
-const MAX_ANSWER: u64 = 256 << 20;
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE: u64 = 256 << 20;
 
-/// A TOML file of catalogue entries.
+/// TOML file of catalogue entries.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct CatalogueFile {
     #[serde(default)]
     organisation: Vec<Organisation>,
     #[serde(default)]
@@ -42,17 +42,17 @@
     route: Vec<Route>,
 }
 
-/// Connection to the control address of one instance.
+/// HTTP client for the control address of an instance.
 struct Client {
     target: String,
     key: String,
     agent: ureq::Agent,
 }
 
-/// An answer of an instance.
+/// Response of an instance.
 struct Answer {
     status: u16,
-    /// `Location` header: where another instance answers the same call.
+    /// `Location` header: URL at which another instance answers the same call.
     location: Option<String>,
     body: String,
 }
@@ -61,18 +61,18 @@
     fn new(matches: &ArgMatches) -> Result<Self> {
         let path = matches
             .get_one::<PathBuf>("operator-key-file")
-            .expect("the command line demands it");
+            .expect("clap requires it");
         let key = fs::read_to_string(path).context(ReadFileSnafu { path })?;
         Ok(Self {
             key: key.trim().to_owned(),
-            ..Self::without_key(text(matches, "target").to_owned())
+            ..Self::without_key(text_arg(matches, "target").to_owned())
         })
     }
 
-    /// A client for calls to a controller, which require no key.
+    /// Creates a client for calls to a controller, which require no key.
     fn without_key(target: String) -> Self {
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(LIMIT))
+            .timeout_global(Some(TIMEOUT))
             .http_status_as_error(false)
             .max_redirects(0)
             .build();
@@ -89,7 +89,7 @@
             .get(format!("http://{}{path}", self.target))
             .header("Authorization", format!("Bearer {}", self.key))
             .call();
-        self.answer(call)
+        self.read_answer(call)
     }
 
     fn post(&self, path: &str, body: &impl serde::Serialize) -> Result<Answer> {
@@ -98,29 +98,32 @@
             .post(format!("http://{}{path}", self.target))
             .header("Authorization", format!("Bearer {}", self.key))
             .send_json(body);
-        self.answer(call)
+        self.read_answer(call)
     }
 
-    /// Sends a request without a body.
+    /// Sends a DELETE or PUT request without a body. Returns the body of the response.
     fn send(&self, path: &str, remove: bool) -> Result<String> {
         let uri = format!("http://{}{path}", self.target);
-        let key = format!("Bearer {}", self.key);
+        let bearer = format!("Bearer {}", self.key);
         let call = if remove {
-            self.agent.delete(uri).header("Authorization", key).call()
+            self.agent
+                .delete(uri)
+                .header("Authorization", bearer)
+                .call()
         } else {
             self.agent
                 .put(uri)
-                .header("Authorization", key)
+                .header("Authorization", bearer)
                 .send_empty()
         };
-        let answer = self.answer(call)?;
+        let answer = self.read_answer(call)?;
         if answer.status == 200 {
             return Ok(answer.body);
         }
         self.refused(&answer)
     }
 
-    fn answer(
+    fn read_answer(
         &self,
         call: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
     ) -> Result<Answer> {
@@ -135,7 +138,7 @@
         let body = response
             .body_mut()
             .with_config()
-            .limit(MAX_ANSWER)
+            .limit(MAX_RESPONSE)
             .read_to_string()
             .map_err(unreachable)?;
         Ok(Answer {
@@ -145,6 +148,7 @@
         })
     }
 
+    /// Sends a GET request. Returns the body of a successful response.
     fn fetch(&self, path: &str) -> Result<String> {
         let answer = self.get(path)?;
         if answer.status == 200 {
@@ -153,6 +157,7 @@
         self.refused(&answer)
     }
 
+    /// Returns the error for an unsuccessful response.
     fn refused<T>(&self, answer: &Answer) -> Result<T> {
         RefusedSnafu {
             target: &self.target,
@@ -173,16 +178,14 @@
     }
 }
 
-fn text<'a>(matches: &'a ArgMatches, name: &str) -> &'a str {
-    matches
-        .get_one::<String>(name)
-        .expect("the command line demands it")
+fn text_arg<'a>(matches: &'a ArgMatches, name: &str) -> &'a str {
+    matches.get_one::<String>(name).expect("clap requires it")
 }
 
-fn key(matches: &ArgMatches) -> EntryKey {
+fn entry_key(matches: &ArgMatches) -> EntryKey {
     EntryKey {
-        kind: Kind::parse(text(matches, "kind")).expect("the command line checks it"),
-        name: text(matches, "name").to_owned(),
+        kind: Kind::parse(text_arg(matches, "kind")).expect("clap validates it"),
+        name: text_arg(matches, "name").to_owned(),
     }
 }
 
@@ -190,33 +193,33 @@
 ///
 /// # Errors
 ///
-/// When the instance can't be reached or refuses, or the file is wrong.
+/// If the instance can't be reached or refuses the request, or the file is invalid.
 pub(crate) fn catalogue(matches: &ArgMatches, out: &mut dyn Write) -> Result<()> {
-    let (name, matches) = matches.subcommand().expect("the command line demands one");
+    let (name, matches) = matches.subcommand().expect("clap requires a subcommand");
     let client = Client::new(matches)?;
     let json = matches.get_flag("json");
     match name {
         "list" => list(&client, json, out),
-        "get" => get(&client, &key(matches), json, out),
+        "get" => get(&client, &entry_key(matches), json, out),
         "history" => history(&client, json, out),
         "apply" => {
             let path = matches
                 .get_one::<PathBuf>("file")
-                .expect("the command line demands it");
-            let expect = expect(matches, Expect::Catalogue);
-            submit(&client, matches, read(path)?, expect, out)
+                .expect("clap requires it");
+            let expect = expectation(matches, Expect::Catalogue);
+            submit(&client, matches, read_entries(path)?, expect, out)
         }
         "retire" => {
-            let operations = vec![Operation::Retire(key(matches))];
+            let operations = vec![Operation::Retire(entry_key(matches))];
             submit(
                 &client,
                 matches,
                 operations,
-                expect(matches, Expect::Entry),
+                expectation(matches, Expect::Entry),
                 out,
             )
         }
-        other => unreachable!("the command line has no catalogue command {other}"),
+        other => unreachable!("the command line has no catalogue subcommand {other}"),
     }
 }
 
@@ -224,30 +227,30 @@
 ///
 /// # Errors
 ///
-/// When the instance can't be reached or refuses.
+/// If the instance can't be reached or refuses the request.
 pub(crate) fn voters(matches: &ArgMatches, out: &mut dyn Write) -> Result<()> {
-    let (name, matches) = matches.subcommand().expect("the command line demands one");
+    let (name, matches) = matches.subcommand().expect("clap requires a subcommand");
     let client = Client::new(matches)?;
     if name == "list" {
         let body = client.fetch("/v1/voters")?;
         if matches.get_flag("json") {
-            return print(out, &body);
+            return print_line(out, &body);
         }
         let groups: serde_json::Value = client.parse(&body)?;
-        return print(out, dump::lines(&groups).trim_end());
+        return print_line(out, dump::lines(&groups).trim_end());
     }
     let instance = matches
         .get_one::<u64>("instance")
-        .expect("the command line demands it");
+        .expect("clap requires it");
     let path = format!("/v1/voters/{instance}");
-    print(out, &client.send(&path, name == "remove")?)
+    print_line(out, &client.send(&path, name == "remove")?)
 }
 
 /// Runs `laburnumquay state`.
 ///
 /// # Errors
 ///
-/// When the instance can't be reached or refuses.
+/// If the instance can't be reached or refuses the request.
 pub(crate) fn state(matches: &ArgMatches, out: &mut dyn Write) -> Result<()> {
     let client = Client::new(matches)?;
     let path = if matches.get_flag("json") {
@@ -255,27 +258,27 @@
     } else {
         "/v1/state?form=text"
     };
-    print(out, client.fetch(path)?.trim_end())
+    print_line(out, client.fetch(path)?.trim_end())
 }
 
 /// Runs `laburnumquay quarantine ...`.
 ///
 /// # Errors
 ///
-/// When the controller can't be reached or refuses.
+/// If the controller can't be reached or refuses the request.
 pub(crate) fn quarantine(matches: &ArgMatches, out: &mut dyn Write) -> Result<()> {
-    let (name, matches) = matches.subcommand().expect("the command line demands one");
+    let (name, matches) = matches.subcommand().expect("clap requires a subcommand");
     let controller = matches
         .get_one::<SocketAddr>("controller")
-        .expect("the command line demands it");
+        .expect("clap requires it");
     let client = Client::without_key(controller.to_string());
     if name == "list" {
-        return print(out, &client.fetch(call::QUARANTINE_LIST)?);
+        return print_line(out, &client.fetch(call::QUARANTINE_LIST)?);
     }
-    let path = call::lift_path(text(matches, "fingerprint"));
+    let path = call::lift_path(text_arg(matches, "fingerprint"));
     let mut target = format!("http://{controller}{path}");
-    for _ in 0..MOST_REDIRECTS {
-        let answer = client.answer(client.agent.post(&target).send_empty())?;
+    for _ in 0..MAX_REDIRECTS {
+        let answer = client.read_answer(client.agent.post(&target).send_empty())?;
         match answer.location {
             Some(location) => target = location,
             None if answer.status == 200 => return Ok(()),
@@ -293,39 +296,42 @@
 ///
 /// # Errors
 ///
-/// When the file can't be read.
+/// If the file can't be read.
 pub(crate) fn secret_digest(matches: &ArgMatches, out: &mut dyn Write) -> Result<()> {
     let path = matches
         .get_one::<PathBuf>("file")
-        .expect("the command line demands it");
+        .expect("clap requires it");
     let secret = fs::read_to_string(path).context(ReadFileSnafu { path })?;
-    print(out, &digest(secret.trim()))
+    print_line(out, &digest(secret.trim()))
 }
 
-fn print(out: &mut dyn Write, line: &str) -> Result<()> {
+fn print_line(out: &mut dyn Write, line: &str) -> Result<()> {
     writeln!(out, "{line}").context(OutputSnafu)
 }
 
 fn list(client: &Client, json: bool, out: &mut dyn Write) -> Result<()> {
     let body = client.fetch("/v1/catalogue")?;
     if json {
-        return print(out, &body);
+        return print_line(out, &body);
     }
-    let listed: Listing = client.parse(&body)?;
-    print(out, &format!("revision {}", listed.revision))?;
-    listed.records.iter().try_for_each(|r| print(out, &line(r)))
+    let listing: Listing = client.parse(&body)?;
+    print_line(out, &format!("revision {}", listing.revision))?;
+    listing
+        .records
+        .iter()
+        .try_for_each(|r| print_line(out, &format_record(r)))
 }
 
 fn get(client: &Client, key: &EntryKey, json: bool, out: &mut dyn Write) -> Result<()> {
     let body = client.fetch(&format!("/v1/catalogue/{}/{}", key.kind, key.name))?;
     if json {
-        return print(out, &body);
+        return print_line(out, &body);
     }
     let record: Record = client.parse(&body)?;
-    print(out, &line(&record))
+    print_line(out, &format_record(&record))
 }
 
-fn line(record: &Record) -> String {
+fn format_record(record: &Record) -> String {
     let detail = match record.entry.as_ref() {
         Entry::Organisation(o) => format!("{} keys", o.keys.len()),
         Entry::Pool(_) => "one credential".to_owned(),
@@ -345,22 +351,25 @@
 fn history(client: &Client, json: bool, out: &mut dyn Write) -> Result<()> {
     let body = client.fetch("/v1/catalogue/history")?;
     if json {
-        return print(out, &body);
+        return print_line(out, &body);
     }
-    let past: Vec<PastChange> = client.parse(&body)?;
-    past.iter()
-        .try_for_each(|p| print(out, &format!("{} {:?}", p.id, p.outcome)))
+    let changes: Vec<PastChange> = client.parse(&body)?;
+    changes
+        .iter()
+        .try_for_each(|c| print_line(out, &format!("{} {:?}", c.id, c.outcome)))
 }
 
-fn expect(matches: &ArgMatches, form: fn(u64) -> Expect) -> Expect {
+/// Returns the precondition in the arguments: the revision given by `--expect`, if any.
+fn expectation(matches: &ArgMatches, precondition: fn(u64) -> Expect) -> Expect {
     matches
         .get_one::<u64>("expect")
-        .map_or(Expect::Any, |revision| form(*revision))
+        .map_or(Expect::Any, |revision| precondition(*revision))
 }
 
-fn read(path: &Path) -> Result<Vec<Operation>> {
+/// Reads a catalogue file as operations that put its entries.
+fn read_entries(path: &Path) -> Result<Vec<Operation>> {
     let text = fs::read_to_string(path).context(ReadFileSnafu { path })?;
-    let file: File = toml::from_str(&text).map_err(|e| {
+    let file: CatalogueFile = toml::from_str(&text).map_err(|e| {
         CatalogueFileSnafu {
             path,
             reason: e.to_string(),
@@ -394,7 +403,7 @@
         operations,
     };
     let answer = client.post("/v1/catalogue/changes", &change);
-    // Without the id a resend would count as another change.
+    // A resend without the id would be another change.
     if answer.as_ref().map_or(true, |a| a.status >= 500) {
         eprintln!("change id {}: resend with --change-id", change.id);
     }
@@ -403,13 +412,13 @@
         return client.refused(&answer);
     }
     if matches.get_flag("json") {
-        return print(out, &answer.body);
+        return print_line(out, &answer.body);
     }
     match client.parse(&answer.body)? {
-        Outcome::Accepted { revision } => print(
+        Outcome::Accepted { revision } => print_line(
             out,
             &format!("accepted at revision {revision} (change {})", change.id),
         ),
-        other => print(out, &format!("{other:?}")),
+        other => print_line(out, &format!("{other:?}")),
     }
 }
