--- a/src/control.rs
+++ b/src/control.rs
@@ -1,5 +1,5 @@
-//! The control address: operators, upstreams, the platform's probes, the
-//! state dump and the metrics. All answers are whole.
+//! HTTP interface of the control address: operators, announcements of upstreams, health probes,
+//! the state dump and metrics. No response is streamed.
 
 mod voters;
 
@@ -27,40 +27,41 @@
 use crate::settings::Settings;
 use crate::upstream::{AnnounceOutcome, Announcement};
 
-/// Longest body, in bytes: a change of a whole catalogue.
+/// Maximum size of a body, in bytes. Fits a change of a whole catalogue.
 const MAX_BODY: usize = 32 << 20;
 
-/// Longest body of an announcement, in bytes.
+/// Maximum size of an announcement, in bytes.
 const MAX_ANNOUNCEMENT: usize = 16 << 10;
 
-/// Time for a change to be committed.
-const COMMIT: Duration = Duration::from_secs(8);
+/// Timeout for a change to be committed.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time for a read to be confirmed by a quorum.
-const CONFIRM: Duration = Duration::from_secs(3);
+/// Timeout for a read to be confirmed by a quorum.
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Period of an upstream's announcements.
-const RENEW: Duration = Duration::from_secs(1);
+/// Interval of an upstream's announcements.
+const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Pasts that one listing of the history holds at most.
+/// Maximum number of changes in a listing of the history.
 const MAX_HISTORY: usize = 1000;
 
-/// What the control address needs of the instance.
+/// Components of the instance that the control interface uses.
 pub(crate) struct Control {
     pub(crate) settings: Arc<Settings>,
     pub(crate) clock: Arc<dyn Clock>,
-    pub(crate) force: Arc<LeasedCatalogue>,
+    pub(crate) catalogue: Arc<LeasedCatalogue>,
     pub(crate) poller: Poller,
+    /// Proposer of the catalogue group.
     pub(crate) proposer: Arc<Proposer>,
-    /// Registers of claims; their groups have the same voters.
-    pub(crate) registers: Vec<Arc<Proposer>>,
+    /// Proposers of the claim groups, which have the same voters as the catalogue group.
+    pub(crate) claim_proposers: Vec<Arc<Proposer>>,
     pub(crate) fleet: Fleet,
     pub(crate) gate: Arc<Gate>,
     pub(crate) metrics: PrometheusHandle,
     pub(crate) dump: Arc<dyn Fn() -> Dump + Send + Sync>,
 }
 
-/// A failure with its HTTP status; the body names the remedy.
+/// Error response. The message names the remedy.
 struct Problem {
     status: StatusCode,
     code: &'static str,
@@ -77,7 +78,7 @@
     }
 }
 
-/// Accepts operators, upstreams and probes until the runtime ends.
+/// Serves operators, upstreams and probes until the runtime shuts down.
 pub(crate) async fn serve(control: Arc<Control>, listener: TcpListener) {
     let bounds = Bounds {
         head: control.settings.max_head,
@@ -91,7 +92,7 @@
 
 impl Control {
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
-        self.dispatch(request).await.unwrap_or_else(|problem| {
+        self.route(request).await.unwrap_or_else(|problem| {
             let body = serde_json::json!({
                 "error": {"code": problem.code, "message": problem.message}
             });
@@ -99,7 +100,7 @@
         })
     }
 
-    async fn dispatch(&self, request: Request<Incoming>) -> Answer {
+    async fn route(&self, request: Request<Incoming>) -> Answer {
         let (head, body) = request.into_parts();
         let path = head.uri.path().trim_matches('/');
         let parts: Vec<&str> = path.split('/').collect();
@@ -110,13 +111,13 @@
             (&Method::POST, ["v1", "upstreams"]) => self.announce(&head, body).await,
             (_, ["v1", rest @ ..]) => {
                 self.authorise(&head)?;
-                self.operate(&head, rest, body).await
+                self.route_operator(&head, rest, body).await
             }
             _ => Err(not_found()),
         }
     }
 
-    async fn operate(&self, head: &Parts, path: &[&str], body: Incoming) -> Answer {
+    async fn route_operator(&self, head: &Parts, path: &[&str], body: Incoming) -> Answer {
         match (&head.method, path) {
             (&Method::GET, ["state"]) => Ok(self.state(head)),
             (&Method::GET, ["catalogue"]) => self.list().await,
@@ -131,14 +132,14 @@
     }
 
     fn authorise(&self, head: &Parts) -> Result<(), Problem> {
-        let known = bearer(head).is_some_and(|key| {
+        let authorised = bearer(head).is_some_and(|key| {
             let given = digest(key);
             bool::from(subtle::ConstantTimeEq::ct_eq(
                 given.as_bytes(),
                 self.settings.operator_digest.as_bytes(),
             ))
         });
-        if known {
+        if authorised {
             return Ok(());
         }
         Err(problem(
@@ -148,13 +149,13 @@
         ))
     }
 
-    async fn read(&self, body: Incoming, most: usize) -> Result<Bytes, Problem> {
-        let read = http::receive(body, most, self.settings.receive_timeout).await;
-        read.map_err(|e| match e {
+    async fn read_body(&self, body: Incoming, max: usize) -> Result<Bytes, Problem> {
+        let body = http::receive(body, max, self.settings.receive_timeout).await;
+        body.map_err(|e| match e {
             Unreceived::TooLarge => problem(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "too_large",
-                format!("the body is longer than {most} bytes; split it"),
+                format!("the body is longer than {max} bytes; split it"),
             ),
             Unreceived::Cut => problem(
                 StatusCode::BAD_REQUEST,
@@ -170,7 +171,7 @@
     }
 
     fn ready(&self) -> Response<Reply> {
-        let reason = self.gate.unready_reason(&self.force, self.clock.now());
+        let reason = self.gate.unready_reason(&self.catalogue, self.clock.now());
         match reason {
             None => text(StatusCode::OK, "ready\n"),
             Some(reason) => text(StatusCode::SERVICE_UNAVAILABLE, reason),
@@ -185,10 +186,10 @@
         json(StatusCode::OK, &dump)
     }
 
-    /// Waits until the catalogue here holds all that was accepted before the
-    /// call, so that an operator's reads are linearizable.
-    async fn confirmed(&self) -> Result<(), Problem> {
-        if self.poller.refresh(CONFIRM).await {
+    /// Waits until the local catalogue contains all changes accepted before the call, so that an
+    /// operator's reads are linearizable.
+    async fn confirm_catalogue(&self) -> Result<(), Problem> {
+        if self.poller.refresh(CONFIRM_TIMEOUT).await {
             return Ok(());
         }
         Err(problem(
@@ -199,34 +200,34 @@
     }
 
     async fn list(&self) -> Answer {
-        self.confirmed().await?;
-        let listed = self.force.latest().list();
-        let mut response = json(StatusCode::OK, &listed);
-        tag(&mut response, listed.revision);
+        self.confirm_catalogue().await?;
+        let listing = self.catalogue.latest().list();
+        let mut response = json(StatusCode::OK, &listing);
+        set_etag(&mut response, listing.revision);
         Ok(response)
     }
 
     async fn get(&self, kind: &str, name: &str) -> Answer {
         let kind = Kind::parse(kind).ok_or_else(not_found)?;
-        self.confirmed().await?;
+        self.confirm_catalogue().await?;
         let key = EntryKey {
             kind,
             name: name.to_owned(),
         };
-        let catalogue = self.force.latest();
+        let catalogue = self.catalogue.latest();
         let record = catalogue.records.get(&key).ok_or_else(not_found)?;
         let mut response = json(StatusCode::OK, record);
-        tag(&mut response, record.revision);
+        set_etag(&mut response, record.revision);
         Ok(response)
     }
 
     async fn history(&self) -> Answer {
-        self.confirmed().await?;
+        self.confirm_catalogue().await?;
         Ok(json(StatusCode::OK, &self.poller.history(MAX_HISTORY)))
     }
 
     async fn change(&self, head: &Parts, body: Incoming) -> Answer {
-        let body = self.read(body, MAX_BODY).await?;
+        let body = self.read_body(body, MAX_BODY).await?;
         let mut change: Change = serde_json::from_slice(&body).map_err(|e| {
             problem(
                 StatusCode::BAD_REQUEST,
@@ -237,11 +238,11 @@
         if let Some(revision) = if_match(head)? {
             change.expect = Expect::Catalogue(revision);
         }
-        // Written anew, a resend has the same bytes whatever its white space.
-        let command = serde_json::to_vec(&change).expect("a change always serialises");
-        let committed = self.proposer.propose(command.into(), COMMIT).await;
+        // Reserialised, a resend has the same bytes regardless of its white space.
+        let command = serde_json::to_vec(&change).expect("a change is serialisable");
+        let committed = self.proposer.propose(command.into(), COMMIT_TIMEOUT).await;
         let outcome: Outcome = match committed {
-            Ok(reply) => serde_json::from_slice(&reply).expect("the machine wrote it"),
+            Ok(reply) => serde_json::from_slice(&reply).expect("the state machine wrote it"),
             Err(NotCommitted::Refused) => return Err(no_leader()),
             Err(NotCommitted::Unknown) => {
                 return Err(problem(
@@ -251,12 +252,12 @@
                 ));
             }
         };
-        tracing::info!(event = event::CHANGE_DECIDED.id, id = %change.id, ?outcome, "change decided");
-        Ok(json(status(&outcome), &outcome))
+        tracing::info!(event = event::CHANGE_DECIDED.id, id = %change.id, ?outcome, "catalogue change decided");
+        Ok(json(outcome_status(&outcome), &outcome))
     }
 
     async fn announce(&self, head: &Parts, body: Incoming) -> Answer {
-        let Ok(catalogue) = self.force.get(self.clock.now()) else {
+        let Ok(catalogue) = self.catalogue.get(self.clock.now()) else {
             return Err(problem(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "catalogue_lease",
@@ -266,7 +267,7 @@
         let pool = bearer(head)
             .and_then(|key| catalogue.pool(key))
             .map(str::to_owned);
-        let body = self.read(body, MAX_ANNOUNCEMENT).await?;
+        let body = self.read_body(body, MAX_ANNOUNCEMENT).await?;
         let parsed: Result<Announcement, _> = serde_json::from_slice(&body);
         let announcement = parsed.map_err(|e| {
             problem(
@@ -279,7 +280,7 @@
             tracing::warn!(
                 event = event::ANNOUNCE_REFUSED.id,
                 upstream = %announcement.id,
-                "announcement refused: its credential isn't the pool's"
+                "announcement refused: its credential isn't that of its pool"
             );
             return Err(problem(
                 StatusCode::UNAUTHORIZED,
@@ -290,7 +291,7 @@
         match self.fleet.announce(announcement) {
             Ok(AnnounceOutcome::Accepted | AnnounceOutcome::Duplicate) => Ok(json(
                 StatusCode::OK,
-                &serde_json::json!({"renew": RENEW.as_millis()}),
+                &serde_json::json!({"renew": RENEW_INTERVAL.as_millis()}),
             )),
             Ok(AnnounceOutcome::Superseded) => Err(problem(
                 StatusCode::CONFLICT,
@@ -302,7 +303,7 @@
     }
 }
 
-fn status(outcome: &Outcome) -> StatusCode {
+fn outcome_status(outcome: &Outcome) -> StatusCode {
     match outcome {
         Outcome::Accepted { .. } => StatusCode::OK,
         Outcome::Conflict { .. } => StatusCode::PRECONDITION_FAILED,
@@ -327,7 +328,7 @@
     )
 }
 
-/// The revision of the catalogue that the operator expects, if given.
+/// Parses the catalogue revision that the operator expects, if given.
 fn if_match(head: &Parts) -> Result<Option<u64>, Problem> {
     let Some(value) = head.headers.get(header::IF_MATCH) else {
         return Ok(None);
@@ -351,14 +352,14 @@
     value.to_str().ok()?.strip_prefix("Bearer ")
 }
 
-fn tag(response: &mut Response<Reply>, revision: u64) {
+fn set_etag(response: &mut Response<Reply>, revision: u64) {
     let value = format!("\"{revision}\"");
     let value = value.parse().expect("digits and quotes are a valid header");
     response.headers_mut().insert(header::ETAG, value);
 }
 
 fn json(status: StatusCode, body: &impl Serialize) -> Response<Reply> {
-    let body = serde_json::to_string(body).expect("answers hold only strings and numbers");
+    let body = serde_json::to_string(body).expect("responses are serialisable");
     respond(status, "application/json", body)
 }
 
@@ -366,10 +367,10 @@
     respond(status, "text/plain; charset=utf-8", body.to_owned())
 }
 
-fn respond(status: StatusCode, kind: &'static str, body: String) -> Response<Reply> {
+fn respond(status: StatusCode, content_type: &'static str, body: String) -> Response<Reply> {
     Response::builder()
         .status(status)
-        .header(header::CONTENT_TYPE, kind)
+        .header(header::CONTENT_TYPE, content_type)
         .body(Reply::from(body))
-        .expect("the parts of the head are valid")
+        .expect("status and header are valid")
 }
--- a/src/control/voters.rs
+++ b/src/control/voters.rs
@@ -1,4 +1,4 @@
-//! Operators' orders about who votes.
+//! Operators' requests to list and change the voters.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,20 +6,20 @@
 use hyper::StatusCode;
 use tokio::time::{Instant, sleep};
 
-use super::{Answer, COMMIT, Control, Problem, json, no_leader, not_found, problem};
+use super::{Answer, COMMIT_TIMEOUT, Control, Problem, json, no_leader, not_found, problem};
 use crate::event;
 use crate::message::{self, Ask, ChangeVoter, GroupStatusReply, GroupStatusRequest, VoterChanged};
 use crate::propose::Proposer;
 
-/// Pause before a leader is asked again for a newcomer it hasn't heard of.
-const GREETING: Duration = Duration::from_millis(200);
+/// Delay before a leader is asked again to add a voter that it hasn't heard of yet.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 impl Control {
-    /// Members of each group, and the stores that ask to become members.
+    /// Lists the members of each group, and the stores that ask to become members.
     pub(super) async fn voters(&self) -> Answer {
         let mut groups = Vec::new();
-        for proposer in self.groups() {
-            let reply = self.group_state(proposer).await?;
+        for proposer in self.proposers() {
+            let reply = self.group_status(proposer).await?;
             groups.push(serde_json::json!({
                 "group": proposer.group(),
                 "leader": reply.leader,
@@ -30,33 +30,33 @@
         Ok(json(StatusCode::OK, &groups))
     }
 
-    /// Adds or removes a voter in every group, one after the other. Repeated
-    /// after a failure it goes on where it stopped.
+    /// Adds or removes a voter in every group, one group after the other. If repeated after a
+    /// failure, it continues where it stopped.
     pub(super) async fn change_voter(&self, id: &str, remove: bool) -> Answer {
         let instance: u64 = id.parse().map_err(|_| not_found())?;
         let store = if remove {
             0
         } else {
-            self.offered(instance).await?
+            self.joining_store(instance).await?
         };
         let mut missing = 0;
-        for proposer in self.groups() {
+        for proposer in self.proposers() {
             let changed = self.change_group(proposer, instance, store, remove).await?;
             match changed {
                 VoterChanged::Done => {}
-                // Removed from this group by an earlier try.
+                // An earlier attempt removed it from this group.
                 VoterChanged::NotFound if remove => missing += 1,
                 other => return Err(voter_problem(other)),
             }
         }
-        if missing == self.groups().count() {
+        if missing == self.proposers().count() {
             return Err(voter_problem(VoterChanged::NotFound));
         }
         tracing::info!(
             event = event::VOTER_CHANGED.id,
             instance,
             remove,
-            "voters changed"
+            "changed the voters"
         );
         Ok(json(
             StatusCode::OK,
@@ -64,32 +64,34 @@
         ))
     }
 
-    /// The store that an instance offers, by what any group has heard. Each
-    /// group is then asked for just this one: a group whose leader hasn't
-    /// heard of it yet looks, by the instance's number alone, like one in
-    /// which the change is made already, and the repair would stay half done.
-    async fn offered(&self, instance: u64) -> Result<u64, Problem> {
-        for proposer in self.groups() {
-            let state = self.group_state(proposer).await?;
-            let stranger = state.strangers.iter().find(|p| p.id == instance);
-            if let Some(peer) = stranger {
+    /// Returns the id of the store with which an instance asks to join, as known to any group.
+    ///
+    /// Each group is then asked to add exactly this store. Judged by the instance id alone, a
+    /// group whose leader hasn't heard of the store yet would seem to have made the change
+    /// already, and a replaced store would be added to some groups only.
+    async fn joining_store(&self, instance: u64) -> Result<u64, Problem> {
+        for proposer in self.proposers() {
+            let status = self.group_status(proposer).await?;
+            let joining = status.strangers.iter().find(|p| p.id == instance);
+            if let Some(peer) = joining {
                 return Ok(peer.store);
             }
         }
         Err(voter_problem(VoterChanged::NotFound))
     }
 
-    async fn group_state(&self, proposer: &Proposer) -> Result<GroupStatusReply, Problem> {
+    async fn group_status(&self, proposer: &Proposer) -> Result<GroupStatusReply, Problem> {
         let ask = Ask::GroupStatus(GroupStatusRequest {
             group: proposer.group(),
         });
-        match proposer.ask_leader(ask, COMMIT).await {
+        match proposer.ask_leader(ask, COMMIT_TIMEOUT).await {
             Some(message::Answer::GroupStatus(reply)) => Ok(reply),
             _ => Err(no_leader()),
         }
     }
 
-    /// Changes one group; waits a while for its leader to hear of a newcomer.
+    /// Changes one group. A leader that hasn't heard of a new voter yet is asked again until the
+    /// timeout.
     async fn change_group(
         &self,
         proposer: &Proposer,
@@ -103,9 +105,9 @@
             remove,
             store,
         });
-        let end = Instant::now() + COMMIT;
+        let end = Instant::now() + COMMIT_TIMEOUT;
         loop {
-            let answer = proposer.ask_leader(ask.clone(), COMMIT).await;
+            let answer = proposer.ask_leader(ask.clone(), COMMIT_TIMEOUT).await;
             let Some(message::Answer::VoterChanged(changed)) = answer else {
                 return Err(no_leader());
             };
@@ -113,12 +115,13 @@
             if remove || changed != VoterChanged::NotFound || Instant::now() >= end {
                 return Ok(changed);
             }
-            sleep(GREETING).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    fn groups(&self) -> impl Iterator<Item = &Arc<Proposer>> {
-        std::iter::once(&self.proposer).chain(&self.registers)
+    /// The proposers of all groups.
+    fn proposers(&self) -> impl Iterator<Item = &Arc<Proposer>> {
+        std::iter::once(&self.proposer).chain(&self.claim_proposers)
     }
 }
 
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: builds its parts, runs them, drains and ends.
+//! Startup, operation and graceful shutdown of an instance.
 
 use std::net::TcpListener as StdListener;
 use std::sync::Arc;
@@ -36,41 +36,41 @@
 use crate::supervise::{RestartPolicy, Supervisor};
 use crate::voter::{StateMachine, Voter, VoterSettings};
 
-/// Period of looking whether the last request has ended while draining.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a draining instance checks whether all requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time for which a draining instance still answers new requests with a
-/// refusal: the platform's balancer takes a probe or two to notice.
+/// Minimum time for which a draining instance still answers new requests with a refusal: the
+/// platform's load balancer takes a probe or two to notice.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// Heartbeats in one election timeout.
-const HEARTBEATS: u32 = 4;
+/// Heartbeats per election timeout.
+const HEARTBEATS_PER_ELECTION: u32 = 4;
 
 /// Applied commands between two snapshots of a group.
-const COMPACT: u64 = 1000;
+const SNAPSHOT_INTERVAL: u64 = 1000;
 
-/// Entries kept behind a snapshot for voters that lag a little.
-const KEEP: u64 = 256;
+/// Entries kept before a snapshot for voters that lag a little.
+const RETAINED_ENTRIES: u64 = 256;
 
-/// Time between two probes of the failure detector.
-const GOSSIP: Duration = Duration::from_secs(1);
+/// Interval between two probes of the failure detector.
+const PROBE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Runs one instance until a signal, and lets running answers end.
+/// Runs an instance until it receives a signal, then drains it.
 ///
 /// # Errors
 ///
-/// When a part can't start, or one failed that the instance can't do without.
+/// If a component can't be started, or one that the instance requires has failed.
 pub(crate) fn run(settings: Settings) -> Result<()> {
     log::init(settings.json_logs);
-    let parts = Parts::start(Arc::new(settings))?;
-    let result = parts.wait();
-    parts.stop();
+    let instance = Instance::start(Arc::new(settings))?;
+    let result = instance.wait();
+    instance.stop();
     tracing::info!(event = event::STOPPED.id, "stopped");
     result
 }
 
-/// The running parts.
-struct Parts {
+/// Components of a running instance.
+struct Instance {
     settings: Arc<Settings>,
     supervisor: Supervisor,
     signals: Receiver<()>,
@@ -82,17 +82,17 @@
     control_runtime: Runtime,
 }
 
-impl Parts {
+impl Instance {
     fn start(settings: Arc<Settings>) -> Result<Self> {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock);
         let incarnation = incarnation();
         let metrics = install_metrics()?;
         let supervisor = Supervisor::new();
-        // Callers have a runtime of their own: however many there are, the
-        // heartbeats and leases of the control path find a free thread.
-        let peer_runtime = runtime("peers", 1)?;
-        let caller_runtime = runtime("callers", settings.workers)?;
-        let control_runtime = runtime("control", 1)?;
+        // Callers have a runtime of their own, so that their number can't delay the heartbeats
+        // and leases of the control path.
+        let peer_runtime = build_runtime("peers", 1)?;
+        let caller_runtime = build_runtime("callers", settings.workers)?;
+        let control_runtime = build_runtime("control", 1)?;
         let control_listener = listen(settings.control_addr, "operators and upstreams")?;
         let peer_listener = listen(settings.peer_addr, "instances")?;
         let caller_listener = listen(settings.caller_addr, "callers")?;
@@ -107,8 +107,8 @@
         let node = Node::new(settings.instance, peers.clone(), local, voters.clone());
         let fleet = start_fleet(&settings, &clock, incarnation, &supervisor)?;
 
-        let force = Arc::new(LeasedCatalogue::new());
-        let follower = CatalogueFollower::new(voters, settings.lease, Arc::clone(&force));
+        let catalogue = Arc::new(LeasedCatalogue::new());
+        let follower = CatalogueFollower::new(voters, settings.lease, Arc::clone(&catalogue));
         let poller = Poller::new(
             follower,
             node.clone(),
@@ -116,8 +116,8 @@
             settings.lease / 4,
         );
         let proposer = |group| Arc::new(Proposer::new(node.clone(), group));
-        let catalogue = proposer(CATALOGUE_GROUP);
-        let claims: Vec<_> = (CLAIM_GROUP..CLAIM_GROUP + CLAIM_SHARDS)
+        let catalogue_proposer = proposer(CATALOGUE_GROUP);
+        let claim_proposers: Vec<_> = (CLAIM_GROUP..CLAIM_GROUP + CLAIM_SHARDS)
             .map(proposer)
             .collect();
         let gate = Arc::new(Gate::default());
@@ -125,13 +125,13 @@
             settings: Arc::clone(&settings),
             clock: Arc::clone(&clock),
             incarnation,
-            force: Arc::clone(&force),
+            force: Arc::clone(&catalogue),
             gate: Arc::clone(&gate),
             fleet: fleet.clone(),
-            claims: claims.clone(),
+            claims: claim_proposers.clone(),
         });
 
-        peer_runtime.spawn(run_peers(
+        peer_runtime.spawn(serve_peers(
             peer_listener,
             settings.fleet_key.clone(),
             Arc::new(node.clone()),
@@ -139,29 +139,34 @@
         peer_runtime.spawn(poller.clone().run(settings.poll_interval));
         peer_runtime.spawn(renew_limit_shares(
             node.clone(),
-            Arc::clone(&catalogue),
+            Arc::clone(&catalogue_proposer),
             Arc::clone(&serving),
         ));
-        for (group, register) in (CLAIM_GROUP..).zip(claims.clone()) {
+        for (group, proposer) in (CLAIM_GROUP..).zip(claim_proposers.clone()) {
             let clock = Arc::clone(&clock);
-            peer_runtime.spawn(run_claim_ticks(node.clone(), group, register, clock));
+            peer_runtime.spawn(run_claim_ticks(node.clone(), group, proposer, clock));
         }
         caller_runtime.spawn(Arc::clone(&serving).accept(caller_listener));
         start_view_refresh(&supervisor, &serving, &fleet, &peers);
         let control = Arc::new(Control {
             settings: Arc::clone(&settings),
             clock: Arc::clone(&clock),
-            force: Arc::clone(&force),
+            catalogue: Arc::clone(&catalogue),
             poller,
-            proposer: catalogue,
-            registers: claims.clone(),
+            proposer: catalogue_proposer,
+            claim_proposers: claim_proposers.clone(),
             fleet: fleet.clone(),
             gate: Arc::clone(&gate),
             metrics,
-            dump: dumper(&settings, &node, (&serving, &force, &gate, &fleet), &clock),
+            dump: dump_fn(
+                &settings,
+                &node,
+                (&serving, &catalogue, &gate, &fleet),
+                &clock,
+            ),
         });
         control_runtime.spawn(control::serve(control, control_listener));
-        let signals = signals(&peer_runtime)?;
+        let signals = receive_signals(&peer_runtime)?;
         tracing::info!(
             event = event::STARTED.id,
             instance = settings.instance.0,
@@ -181,7 +186,7 @@
         })
     }
 
-    /// Waits for a signal and drains, or for a failure.
+    /// Waits for a signal and drains the instance, or returns the failure of a component.
     fn wait(&self) -> Result<()> {
         select! {
             recv(self.signals) -> _ => self.drain(),
@@ -193,28 +198,32 @@
         Ok(())
     }
 
-    /// Takes no new work and waits until the last answer is whole, the drain
-    /// limit has run out, or a second signal comes.
+    /// Stops taking new work and waits until all answers are complete, the drain timeout expires
+    /// or a second signal arrives.
     fn drain(&self) {
         self.gate.close();
         self.fleet.drain();
         let running = self.gate.running();
         tracing::info!(event = event::DRAINING.id, running, "draining");
-        let limit = crossbeam::channel::after(self.settings.drain_timeout);
-        let look = tick(DRAIN_LOOK);
+        let timeout = crossbeam::channel::after(self.settings.drain_timeout);
+        let poll = tick(DRAIN_POLL_INTERVAL);
         let linger = crossbeam::channel::after(LINGER);
         let mut lingered = false;
         while !lingered || self.gate.running() > 0 {
             select! {
-                recv(look) -> _ => {}
+                recv(poll) -> _ => {}
                 recv(linger) -> _ => lingered = true,
                 recv(self.signals) -> _ => break,
-                recv(limit) -> _ => break,
+                recv(timeout) -> _ => break,
             }
         }
         let running = self.gate.running();
         if running > 0 {
-            tracing::warn!(event = event::DRAIN_LIMIT.id, running, "answers cut off");
+            tracing::warn!(
+                event = event::DRAIN_LIMIT.id,
+                running,
+                "drain timeout expired; cutting off running answers"
+            );
         }
     }
 
@@ -229,13 +238,12 @@
     }
 }
 
-/// Start of this process on the wall clock, in milliseconds: it grows with
-/// each start and needs no disk.
+/// Wall-clock time of this start in milliseconds. Increases with each start, and needs no disk.
 fn incarnation() -> Incarnation {
     Incarnation(wall_millis())
 }
 
-fn runtime(name: &'static str, workers: usize) -> Result<Runtime> {
+fn build_runtime(name: &'static str, workers: usize) -> Result<Runtime> {
     let built = Builder::new_multi_thread()
         .worker_threads(workers)
         .thread_name(name)
@@ -250,22 +258,22 @@
     peers: &Peers,
     supervisor: &Supervisor,
 ) -> Result<Option<LocalVoter>> {
-    let Some(data) = settings.data_dir.clone() else {
+    let Some(data_dir) = settings.data_dir.clone() else {
         return Ok(None);
     };
     let (machine, catalogue) = CatalogueMachine::new();
     let voter_settings = VoterSettings {
         instance: settings.instance,
-        data_dir: data,
+        data_dir,
         initial_voters: settings.voters.keys().copied().collect(),
         election_timeout: settings.election_timeout,
-        heartbeat_interval: settings.election_timeout / HEARTBEATS,
+        heartbeat_interval: settings.election_timeout / HEARTBEATS_PER_ELECTION,
         contacts: Vec::new(),
-        snapshot_interval: COMPACT,
-        retained_entries: KEEP,
+        snapshot_interval: SNAPSHOT_INTERVAL,
+        retained_entries: RETAINED_ENTRIES,
         seed: rand::random(),
     };
-    let links = peers.clone();
+    let sender = peers.clone();
     let mut machines: Vec<Box<dyn StateMachine>> = vec![Box::new(machine)];
     machines.extend(
         (0..CLAIM_SHARDS)
@@ -274,12 +282,12 @@
     let spawned = Voter::spawn(
         voter_settings,
         machines,
-        Box::new(move |to, message| links.send(to, message)),
+        Box::new(move |to, message| sender.send(to, message)),
         Arc::clone(clock),
     );
     let (voter, thread) = spawned.map_err(|e| start_error("voter", &e))?;
-    watch(supervisor, "voter", thread, |ended| {
-        if let Err(e) = ended {
+    supervise_thread(supervisor, "voter", thread, |result| {
+        if let Err(e) = result {
             panic!("the voter's store failed: {e}");
         }
     });
@@ -308,19 +316,19 @@
         peer: settings.advertised_addr,
         control: settings.control_addr,
         voter: settings.data_dir.is_some(),
-        probe_period: GOSSIP,
+        probe_period: PROBE_PERIOD,
         seeds: seeds.filter(|s| *s != settings.advertised_addr).collect(),
         key: settings.fleet_key.clone(),
         rng_seed: rand::random(),
     };
     let (fleet, thread) =
         Fleet::spawn(fleet_settings, Arc::clone(clock)).map_err(|e| start_error("fleet", &e))?;
-    watch(supervisor, "fleet", thread, drop);
+    supervise_thread(supervisor, "fleet", thread, drop);
     Ok(fleet)
 }
 
-/// Hears of the panic of a thread that runs its own loop.
-fn watch<T: Send + 'static>(
+/// Reports the panic of a running thread to the supervisor, and passes its result to `check`.
+fn supervise_thread<T: Send + 'static>(
     supervisor: &Supervisor,
     name: &'static str,
     thread: thread::JoinHandle<T>,
@@ -329,20 +337,20 @@
     let mut thread = Some(thread);
     supervisor.start(name, RestartPolicy::Escalate, move || {
         match thread.take().map(thread::JoinHandle::join) {
-            Some(Ok(ended)) => check(ended),
+            Some(Ok(result)) => check(result),
             Some(Err(panic)) => std::panic::resume_unwind(panic),
             None => {}
         }
     });
 }
 
-async fn run_peers(listener: StdListener, key: FleetKey, node: Arc<Node>) {
-    let listener = TcpListener::from_std(listener).expect("the listener doesn't block");
+async fn serve_peers(listener: StdListener, key: FleetKey, node: Arc<Node>) {
+    let listener = TcpListener::from_std(listener).expect("the listener is non-blocking");
     peer::serve(listener, key, node).await;
 }
 
-/// Makes the state dump on request.
-fn dumper(
+/// Returns a function that dumps the state of the instance.
+fn dump_fn(
     settings: &Arc<Settings>,
     node: &Node,
     parts: (&Arc<Serving>, &Arc<LeasedCatalogue>, &Arc<Gate>, &Fleet),
@@ -350,12 +358,12 @@
 ) -> Arc<dyn Fn() -> Dump + Send + Sync> {
     let settings = Arc::clone(settings);
     let node = node.clone();
-    let (serving, force, gate, fleet) = parts;
-    let (serving, force) = (Arc::clone(serving), Arc::clone(force));
+    let (serving, leased, gate, fleet) = parts;
+    let (serving, leased) = (Arc::clone(serving), Arc::clone(leased));
     let (gate, fleet) = (Arc::clone(gate), fleet.clone());
     let clock = Arc::clone(clock);
     Arc::new(move || {
-        let catalogue = force.latest();
+        let catalogue = leased.latest();
         Dump {
             instance: settings.instance.0,
             domain: settings.domain.clone(),
@@ -363,7 +371,7 @@
             catalogue: CatalogueDump {
                 revision: catalogue.revision,
                 entries: catalogue.records.len(),
-                lease_left: force.remaining(clock.now()).as_millis(),
+                lease_left: leased.remaining(clock.now()).as_millis(),
             },
             requests: RequestDump {
                 running: gate.running(),
@@ -380,17 +388,18 @@
     })
 }
 
-fn signals(runtime: &Runtime) -> Result<Receiver<()>> {
+/// Returns a channel that receives a message for each SIGTERM or SIGINT.
+fn receive_signals(runtime: &Runtime) -> Result<Receiver<()>> {
     let (sender, receiver) = bounded(2);
     let _guard = runtime.enter();
     for kind in [SignalKind::terminate(), SignalKind::interrupt()] {
         let stream = signal(kind).map_err(|e| start_error("signal handler", &e))?;
-        runtime.spawn(forward(stream, sender.clone()));
+        runtime.spawn(forward_signals(stream, sender.clone()));
     }
     Ok(receiver)
 }
 
-async fn forward(mut stream: tokio::signal::unix::Signal, sender: Sender<()>) {
+async fn forward_signals(mut stream: tokio::signal::unix::Signal, sender: Sender<()>) {
     while stream.recv().await.is_some() {
         let _ = sender.try_send(());
     }
