--- a/src/tests/cli.rs
+++ b/src/tests/cli.rs
@@ -1,14 +1,14 @@
-//! Tests of [`crate::cli`]: the command line and its page agree.
+//! Tests of [`crate::cli`]: the documentation lists each setting of the command line.
 
 use rstest::rstest;
 
 use crate::cli::command;
 
-const PAGE: &str = include_str!("../../docs/CONFIGURATION.md");
+const CONFIGURATION_PAGE: &str = include_str!("../../docs/CONFIGURATION.md");
 
-const PLATFORM: &str = include_str!("../../docs/PLATFORM.md");
+const PLATFORM_PAGE: &str = include_str!("../../docs/PLATFORM.md");
 
-/// A row of the page for each setting of a subcommand.
+/// Returns the expected table row of each setting of a subcommand.
 fn rows(subcommand: &str) -> Vec<String> {
     let command = command();
     let subcommand = command.find_subcommand(subcommand).unwrap();
@@ -35,14 +35,14 @@
 }
 
 #[rstest]
-#[case::serve(PAGE, "serve")]
-#[case::entry(PLATFORM, "entry")]
-#[case::controller(PLATFORM, "controller")]
+#[case::serve(CONFIGURATION_PAGE, "serve")]
+#[case::entry(PLATFORM_PAGE, "entry")]
+#[case::controller(PLATFORM_PAGE, "controller")]
 fn page_lists_settings(#[case] page: &str, #[case] subcommand: &str) {
     let rows = rows(subcommand);
     for row in &rows {
         assert!(page.contains(row), "the page lacks\n{row}");
     }
     let listed = page.lines().filter(|l| l.starts_with("| `--")).count();
-    assert_eq!(listed, rows.len(), "the page lists others too");
+    assert_eq!(listed, rows.len(), "the page lists other settings too");
 }
--- a/src/tests/event.rs
+++ b/src/tests/event.rs
@@ -6,7 +6,7 @@
 const PAGE: &str = include_str!("../../docs/EVENTS.md");
 
 #[test]
-fn page_lists_each() {
+fn page_lists_events() {
     for event in ALL {
         let row = format!("| {} | {} |", event.id, event.name);
         assert!(PAGE.contains(&row), "docs/EVENTS.md lacks {row}");
--- a/src/tests/metric.rs
+++ b/src/tests/metric.rs
@@ -5,7 +5,7 @@
 const PAGE: &str = include_str!("../../docs/METRICS.md");
 
 #[test]
-fn page_lists_each() {
+fn page_lists_metrics() {
     for metric in ALL {
         let labels = metric.labels.iter().map(|l| format!("`{l}`"));
         let labels: Vec<String> = labels.collect();
--- a/src/tests/mod.rs
+++ b/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of crate-private parts, one file a module.
+//! Unit tests of the crate's modules, one file per module.
 
 use crate::clock::Time;
 
@@ -37,7 +37,7 @@
 mod view;
 mod voter;
 
-/// A time in milliseconds.
+/// Returns the time `millis` milliseconds after zero.
 fn at(millis: u64) -> Time {
     Time(millis * 1000)
 }
--- a/src/tests/platform.rs
+++ b/src/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Tests of [`crate::platform`]: what the wire holds becomes our own types.
+//! Tests of [`crate::platform`]: decoding of the platform's messages into the crate's types.
 
 use std::time::Duration;
 
@@ -98,7 +98,7 @@
     assert!(configuration::decode(text.as_bytes()).is_err());
 }
 
-/// Each sort of configuration that can be read and must not be in force.
+/// Configurations that can be decoded but must not be accepted.
 #[rstest]
 #[case::unknown_service(r#""service":"desk","attempts""#, r#""service":"none","attempts""#)]
 #[case::same_place(r#""/l/deep/""#, r#""/l/""#)]
@@ -127,19 +127,22 @@
 
 #[test]
 fn decode_heartbeat() {
-    let news = heartbeat::decode("i-1", HEARTBEAT.as_bytes()).unwrap();
-    assert_eq!(news.layers, Some(LayerRange::new(20, 31)));
-    assert_eq!((news.sequence, news.born, news.leaving), (3, 0, false));
+    let decoded = heartbeat::decode("i-1", HEARTBEAT.as_bytes()).unwrap();
+    assert_eq!(decoded.layers, Some(LayerRange::new(20, 31)));
+    assert_eq!(
+        (decoded.sequence, decoded.born, decoded.leaving),
+        (3, 0, false)
+    );
 }
 
-/// Another writer's entry must name no upstream to use.
+/// A heartbeat that deviates from the platform's format must not be used.
 #[rstest]
 #[case::state("\"ready\"", "\"resting\"")]
 #[case::address("10.3.64.37:8666", "nowhere")]
 #[case::type_of_slots("192", "\"192\"")]
 #[case::sequence("\"seq\":3,", "")]
 #[case::layers("{\"from\":20,\"to\":31,\"version\":1}", "[20,31]")]
-fn decode_heartbeat_foreign(#[case] from: &str, #[case] to: &str) {
+fn decode_heartbeat_malformed(#[case] from: &str, #[case] to: &str) {
     let text = HEARTBEAT.replace(from, to);
     assert_ne!(text, HEARTBEAT);
     assert!(heartbeat::decode("i-1", text.as_bytes()).is_none());
@@ -150,8 +153,8 @@
 #[case::empty_range("\"to\":31", "\"to\":20")]
 fn decode_heartbeat_empty(#[case] from: &str, #[case] to: &str) {
     let text = HEARTBEAT.replace(from, to);
-    let news = heartbeat::decode("i-1", text.as_bytes()).unwrap();
-    assert_eq!(news.layers, None);
+    let decoded = heartbeat::decode("i-1", text.as_bytes()).unwrap();
+    assert_eq!(decoded.layers, None);
 }
 
 #[rstest]
--- a/tests/e2e/catalogue.rs
+++ b/tests/e2e/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue under failure: real voters that are killed, frozen, wiped.
+//! Changes and use of the catalogue while voters are killed, frozen, cut off or lose their disk.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use crate::common::fleet::{Fleet, KEY, POOL};
 use crate::common::until;
 
-/// Longer than a catalogue lease at its default.
+/// Longer than the default catalogue lease.
 const PAST_LEASE: Duration = Duration::from_millis(4500);
 
-/// Sends a change to one instance; the outcome, or none without an answer.
-fn change(fleet: &Fleet, at: usize, body: &Value) -> Option<Value> {
+/// Sends a change to an instance. Returns its outcome, or `None` if the change wasn't decided.
+fn send_change(fleet: &Fleet, at: usize, body: &Value) -> Option<Value> {
     let uri = format!("http://{}/v1/catalogue/changes", fleet.control(at));
     let mut reply = agent()
         .post(uri)
@@ -29,7 +29,7 @@
     decided.then(|| reply.body_mut().read_json().ok())?
 }
 
-fn pool(name: &str) -> Value {
+fn pool_operation(name: &str) -> Value {
     let digest = format!(
         "{:0>64}",
         name.bytes().map(|b| format!("{b:02x}")).collect::<String>()
@@ -37,24 +37,24 @@
     json!({"put": {"kind": "pool", "name": name, "credential": digest}})
 }
 
-fn put(id: &str, name: &str) -> Value {
-    json!({"id": id, "expect": "any", "operations": [pool(name)]})
+fn put_pool(id: &str, name: &str) -> Value {
+    json!({"id": id, "expect": "any", "operations": [pool_operation(name)]})
 }
 
-/// Sends a change, to one instance after the other, until it is decided.
+/// Sends a change to one instance after the other until it is decided. Returns the outcome.
 fn decide(fleet: &Fleet, alive: &[usize], body: &Value) -> Value {
     until("a decision", || {
-        alive.iter().find_map(|at| change(fleet, *at, body))
+        alive.iter().find_map(|at| send_change(fleet, *at, body))
     })
 }
 
-/// Pools of the catalogue, read from one instance.
+/// Returns the names of the pools in the catalogue, read from one instance.
 fn pools(fleet: &Fleet, at: usize) -> Vec<String> {
     until("a confirmed catalogue", || {
         let target = fleet.control(at).to_string();
         let text = fleet.command(&["catalogue", "list", "--json", "--target", &target])?;
-        let listed: Value = serde_json::from_str(&text).ok()?;
-        let records = listed["records"].as_array()?;
+        let listing: Value = serde_json::from_str(&text).ok()?;
+        let records = listing["records"].as_array()?;
         let entries = records.iter().map(|r| &r["entry"]);
         let pools = entries.filter(|e| e["kind"] == "pool");
         Some(
@@ -65,22 +65,22 @@
     })
 }
 
-/// Place among the instances of the leader of the catalogue's group.
-fn leader(fleet: &Fleet, asked: usize) -> usize {
+/// Returns the index of the leader of the catalogue group, according to instance `at`.
+fn leader(fleet: &Fleet, at: usize) -> usize {
     until("a leader", || {
-        let state: Value = serde_json::from_str(&fleet.state(asked)).ok()?;
+        let state: Value = serde_json::from_str(&fleet.state(at)).ok()?;
         let id = state["groups"][0]["leader"].as_u64()?;
         Some(usize::try_from(id).ok()? - 1)
     })
 }
 
-/// Operators make changes while the leader is killed again and again and comes
-/// back. Answers are lost, and changes are sent again with their ids. Whatever
-/// was accepted stands everywhere in the end, once, at the revision first told.
+/// The leader is killed and restarted repeatedly while an operator makes changes. Responses are
+/// lost, and changes are resent with their ids. Each accepted change must end up on all
+/// instances, applied once, at the revision reported first.
 #[test]
 fn change_leader_killed_in_mid_change() {
     let mut fleet = Fleet::of(3);
-    let mut told = Vec::new();
+    let mut accepted = Vec::new();
     for round in 0..3 {
         let victim = leader(&fleet, (round + 1) % 3);
         let ended = AtomicBool::new(false);
@@ -90,7 +90,7 @@
                 let mut done = Vec::new();
                 while !ended.load(Ordering::SeqCst) || done.len() < 5 {
                     let id = format!("change-{round}-{}", done.len());
-                    let body = put(&id, &format!("pool-{round}-{}", done.len()));
+                    let body = put_pool(&id, &format!("pool-{round}-{}", done.len()));
                     let outcome = decide(fleet, &[0, 1, 2], &body);
                     assert_eq!(outcome["outcome"], "accepted", "{outcome}");
                     done.push((body, outcome["revision"].as_u64().unwrap()));
@@ -101,30 +101,34 @@
             fleet.kill_now(victim);
             thread::sleep(Duration::from_millis(500));
             ended.store(true, Ordering::SeqCst);
-            told.extend(operator.join().expect("an operator"));
+            accepted.extend(operator.join().expect("an operator"));
         });
         fleet.restart(victim);
         fleet.ready(victim);
     }
-    let mut revisions: Vec<u64> = told.iter().map(|(_, revision)| *revision).collect();
-    for (body, revision) in &told {
-        let again = decide(&fleet, &[0, 1, 2], body);
-        assert_eq!(again["revision"].as_u64(), Some(*revision), "{body}");
+    let mut revisions: Vec<u64> = accepted.iter().map(|(_, revision)| *revision).collect();
+    for (body, revision) in &accepted {
+        let resent = decide(&fleet, &[0, 1, 2], body);
+        assert_eq!(resent["revision"].as_u64(), Some(*revision), "{body}");
     }
     revisions.dedup();
-    assert_eq!(revisions.len(), told.len(), "two changes at one revision");
+    assert_eq!(
+        revisions.len(),
+        accepted.len(),
+        "two changes at one revision"
+    );
     for at in 0..3 {
         let pools = pools(&fleet, at);
-        for (body, _) in &told {
+        for (body, _) in &accepted {
             let name = body["operations"][0]["put"]["name"].as_str().unwrap();
             assert!(pools.iter().any(|p| p == name), "{name} is lost on {at}");
         }
     }
 }
 
-/// An instance is frozen while an operator retires a route, and wakes after
-/// its lease. It must never serve the retired route again, not even in the
-/// moment of its waking.
+/// An instance is frozen while an operator retires a route, and thawed after its lease has
+/// expired. It must not serve the retired route again, not even a request that arrived while it
+/// was frozen.
 #[test]
 fn serve_instance_frozen_past_its_lease() {
     let mut fleet = Fleet::of(4);
@@ -142,10 +146,10 @@
     assert_eq!(outcome["outcome"], "accepted", "{outcome}");
     thread::sleep(PAST_LEASE);
     let address = fleet.caller(3);
-    let asked = thread::spawn(move || ask.send(address).map(|r| (r.status, r.code().to_owned())));
+    let caller = thread::spawn(move || ask.send(address).map(|r| (r.status, r.code().to_owned())));
     thread::sleep(Duration::from_millis(200));
     fleet.instance(3).process.thaw();
-    let (status, code) = asked.join().expect("a caller").expect("an answer");
+    let (status, code) = caller.join().expect("a caller").expect("an answer");
     assert!(
         matches!(code.as_str(), "catalogue_lease" | "unknown_route"),
         "{status} {code}"
@@ -160,9 +164,9 @@
     });
 }
 
-/// Two of three voters freeze: a silent loss of the quorum. No instance can
-/// know of a change accepted elsewhere, so after a lease each refuses new work,
-/// says that it didn't run it, and isn't ready. With the quorum back all goes on.
+/// Two of three voters are frozen, so the quorum is lost without an error. No instance can know
+/// whether a change was accepted elsewhere: after its lease, each must refuse new work as not
+/// run and be unready. With the quorum restored, all must serve again.
 #[test]
 fn serve_quorum_frozen_and_back() {
     let mut fleet = Fleet::of(4);
@@ -196,12 +200,12 @@
     }
 }
 
-/// A voter loses its disk and is replaced; right after the repair another one
-/// is lost for good. Nothing accepted is lost, and changes go on.
+/// A voter loses its disk and is added again with an empty one. Right after that, another voter
+/// is lost permanently. No accepted change may be lost, and changes must still be possible.
 #[test]
 fn change_disk_replaced_then_second_loss() {
     let mut fleet = Fleet::of(3);
-    let accepted = decide(&fleet, &[0, 1, 2], &put("early", "early"));
+    let accepted = decide(&fleet, &[0, 1, 2], &put_pool("early", "early"));
     assert_eq!(accepted["outcome"], "accepted");
     fleet.instance(2).process.kill();
     fs::remove_dir_all(fleet.data(2)).expect("wipe the disk");
@@ -210,27 +214,27 @@
     until("the new store in every group", || {
         fleet.command(&["voters", "add", "--target", &target, "3"])
     });
-    let voting = || {
+    let all_vote = || {
         let text = fleet.command(&["voters", "list", "--json", "--target", &target])?;
         let groups: Value = serde_json::from_str(&text).ok()?;
-        let all = |g: &Value| {
+        let complete = |g: &Value| {
             let members = g["members"].as_array().map_or(0, Vec::len);
             let votes = g["members"]
                 .as_array()
                 .is_some_and(|m| m.iter().all(|m| m["role"] == 0));
-            let stranger = g["strangers"].as_array().is_some_and(|s| !s.is_empty());
-            members == 3 && votes && !stranger
+            let joining = g["strangers"].as_array().is_some_and(|s| !s.is_empty());
+            members == 3 && votes && !joining
         };
-        groups.as_array()?.iter().all(all).then_some(())
+        groups.as_array()?.iter().all(complete).then_some(())
     };
-    until("three voters", voting);
-    let middle = decide(&fleet, &[0, 1, 2], &put("middle", "middle"));
+    until("three voters", all_vote);
+    let middle = decide(&fleet, &[0, 1, 2], &put_pool("middle", "middle"));
     assert_eq!(middle["outcome"], "accepted");
     fleet.instance(0).process.kill();
-    let late = decide(&fleet, &[1, 2], &put("late", "late"));
+    let late = decide(&fleet, &[1, 2], &put_pool("late", "late"));
     assert_eq!(late["outcome"], "accepted", "{late}");
-    let again = decide(&fleet, &[2], &put("early", "early"));
-    assert_eq!(again["revision"], accepted["revision"]);
+    let resent = decide(&fleet, &[2], &put_pool("early", "early"));
+    assert_eq!(resent["revision"], accepted["revision"]);
     for at in [1, 2] {
         let pools = pools(&fleet, at);
         for name in ["early", "middle", "late", POOL] {
@@ -239,44 +243,44 @@
     }
 }
 
-/// Whatever is sent to the leader is cut in silence, for longer than a lease,
-/// while its own messages still pass: heartbeats go out, no answer comes in. It
-/// must step down, another voter must lead, and changes be accepted; and what
-/// the former leader had accepted stands when the cut heals.
+/// All messages to the leader are dropped without an error for longer than a lease, while its
+/// own messages still get through: heartbeats go out, but no replies come in. It must step down,
+/// another voter must become leader and accept changes, and what the former leader had accepted
+/// must still be in force when the connection is restored.
 #[test]
-fn change_leader_cut_in_silence() {
+fn change_leader_inbound_dropped() {
     let fleet = Fleet::relayed(3);
-    let before = decide(&fleet, &[0, 1, 2], &put("before", "before"));
+    let before = decide(&fleet, &[0, 1, 2], &put_pool("before", "before"));
     assert_eq!(before["outcome"], "accepted");
-    let cut = leader(&fleet, 0);
-    let others: Vec<usize> = (0..3).filter(|at| *at != cut).collect();
-    fleet.shim(cut).silence();
+    let former = leader(&fleet, 0);
+    let others: Vec<usize> = (0..3).filter(|at| *at != former).collect();
+    fleet.shim(former).silence();
     until("another leader", || {
-        let led = leader(&fleet, others[0]);
-        (led != cut).then_some(())
+        let current = leader(&fleet, others[0]);
+        (current != former).then_some(())
     });
-    let during = decide(&fleet, &others, &put("during", "during"));
+    let during = decide(&fleet, &others, &put_pool("during", "during"));
     assert_eq!(during["outcome"], "accepted", "{during}");
     thread::sleep(PAST_LEASE);
-    fleet.shim(cut).heal();
+    fleet.shim(former).heal();
     until("the change in force on the former leader", || {
-        pools(&fleet, cut)
+        pools(&fleet, former)
             .iter()
             .any(|p| p == "during")
             .then_some(())
     });
     for (body, first) in [
-        (put("before", "before"), before),
-        (put("during", "during"), during),
+        (put_pool("before", "before"), before),
+        (put_pool("during", "during"), during),
     ] {
-        let again = decide(&fleet, &[cut], &body);
-        assert_eq!(again["revision"], first["revision"]);
+        let resent = decide(&fleet, &[former], &body);
+        assert_eq!(resent["revision"], first["revision"]);
     }
 }
 
-/// A request waits for a place at a busy engine. Meanwhile its organisation
-/// loses the route. It must be refused as not run, and not be sent on by what
-/// the catalogue said when it came.
+/// A request is queued for a slot of a busy engine while its route is retired. It must be
+/// refused as not run; being sent to the engine would mean that the catalogue was only checked
+/// when the request arrived.
 #[test]
 fn completions_route_retired_while_waiting() {
     let fleet = Fleet::with(1, &["--first-ms=60000"]);
@@ -316,6 +320,6 @@
         .iter()
         .filter(|r| r.code() == "unknown_route")
         .collect();
-    assert!(!refused.is_empty(), "all were sent on");
+    assert!(!refused.is_empty(), "all were sent to the engine");
     assert!(refused.iter().all(|r| r.ran() == "no"));
 }
--- a/tests/e2e/control.rs
+++ b/tests/e2e/control.rs
@@ -1,14 +1,13 @@
-//! The control address: operators, upstreams, probes.
+//! Tests of the control address.
 
 use std::thread;
 
 use crate::common::caller::raw;
 use crate::common::fleet::Fleet;
 
-/// An operator's change hangs until the command gives up, now and then, on a
-/// busy machine: the server took the connection and never read from it, because
-/// the event that announced the bytes was lost. Most calls work, so only many
-/// of them at a time show it.
+/// On a busy machine, an operator's change sometimes hung until the command timed out: the
+/// server had accepted the connection but never read from it, because the readiness event for
+/// the bytes was lost. Most calls worked, so it takes many concurrent ones to show the fault.
 #[test]
 fn control_many_connections_all_answered() {
     let fleet = Fleet::single();
