--- a/src/catalogue.rs
+++ b/src/catalogue.rs
@@ -1,4 +1,5 @@
-//! The catalogue: what operators write and every instance acts on.
+//! The catalogue of organisations, pools and routes. Operators change it, and
+//! every instance follows it.
 
 mod change;
 mod entry;
--- a/src/catalogue/change.rs
+++ b/src/catalogue/change.rs
@@ -1,29 +1,30 @@
-//! A change of the catalogue and what became of it.
+//! Changes to the catalogue and their outcomes.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Entry, EntryKey};
 
-/// Longest change id, in bytes.
+/// Longest id of a change, in bytes.
 pub(crate) const MAX_ID: usize = 128;
 
-/// Most operations in one change.
+/// Largest number of operations in one change.
 pub(crate) const MAX_OPERATIONS: usize = 10_000;
 
-/// What the operator believes to be in force.
+/// The revision that a change is based on, for optimistic concurrency control.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Expect {
-    /// Nothing: the last writer wins.
+    /// No check: the last writer wins.
     #[default]
     Any,
     /// The whole catalogue is at this revision.
     Catalogue(u64),
-    /// Each entry named is at this revision; 0 says that it doesn't exist.
+    /// Every entry in the change is at this revision; 0 means that it doesn't
+    /// exist.
     Entry(u64),
 }
 
-/// One step of a change.
+/// One operation of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Operation {
@@ -34,7 +35,7 @@
 }
 
 impl Operation {
-    /// The entry that the operation is about.
+    /// Key of the entry that the operation changes.
     #[must_use]
     pub fn key(&self) -> EntryKey {
         match self {
@@ -44,41 +45,42 @@
     }
 }
 
-/// A change: all of its operations take effect, or none.
+/// An atomic change: all of its operations take effect, or none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
     /// Chosen by the operator. A resend with the same id and content gets the
-    /// first outcome; the same id with other content is refused.
+    /// first outcome; the same id with other content is rejected.
     pub id: String,
-    /// Guard against racing operators.
+    /// Detects concurrent changes by other operators.
     #[serde(default)]
     pub expect: Expect,
     /// Never empty.
     pub operations: Vec<Operation>,
 }
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", tag = "outcome")]
 pub enum Outcome {
-    /// Accepted; in force everywhere within the catalogue lease.
+    /// Accepted. Every instance applies it within the catalogue lease.
     Accepted {
-        /// Revision of the catalogue that holds the change.
+        /// Revision of the catalogue that first contains the change.
         revision: u64,
     },
-    /// Another change came first. Nothing was changed.
+    /// The expected revision has been superseded. Nothing was changed.
     Conflict {
-        /// Revision now in force of what was expected.
+        /// Current revision of the entry or of the catalogue.
         revision: u64,
         /// The entry that differs, or `None` for the whole catalogue.
         entry: Option<EntryKey>,
     },
-    /// The change contradicts the catalogue. Nothing was changed.
+    /// The change is malformed or would make the catalogue inconsistent. Nothing
+    /// was changed.
     Invalid {
-        /// What to mend.
+        /// What the operator should correct.
         reason: String,
     },
-    /// The id was used for another change. Nothing was changed.
+    /// The id belongs to a different change. Nothing was changed.
     Reused,
 }
--- a/src/catalogue/entry.rs
+++ b/src/catalogue/entry.rs
@@ -6,18 +6,18 @@
 
 use crate::id::OrganisationId;
 
-/// Class of work. The order of the variants is the order of priority.
+/// Priority class. Variants are ordered from the highest priority to the lowest.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// A person waits for the answer.
+    /// Requests whose user waits for the answer.
     Interactive,
-    /// Ordinary work.
+    /// Ordinary requests.
     #[default]
     Standard,
-    /// Work that may wait behind all other work, yet is never starved.
+    /// Requests that may wait behind all others, but are never starved.
     Bulk,
 }
 
@@ -25,21 +25,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: u32,
-    /// Tokens a second, prompt and answer together.
+    /// Tokens per second, of prompt and answer together.
     pub tokens: u32,
-    /// Requests that run at the same time.
+    /// Requests that run concurrently.
     pub concurrent: u32,
-    /// Requests that wait for a place.
+    /// Requests that wait in the queue.
     pub queued: u32,
 }
 
-/// What a route leads to.
+/// Destination of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Target {
-    /// A model, held by engines in layer ranges.
+    /// A model, whose layers are distributed over engines.
     Model(String),
     /// A plain service.
     Service(String),
@@ -65,23 +65,23 @@
     pub credential: String,
 }
 
-/// The right of one organisation to send work to a model or service.
+/// Access of one organisation to a model or service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     /// Unique name.
     pub name: String,
-    /// The owner. No other organisation uses this route.
+    /// The only organisation that may use the route.
     pub organisation: OrganisationId,
-    /// What the route leads to.
+    /// Destination of the requests.
     pub target: Target,
-    /// Class of work.
+    /// Priority class of the requests.
     #[serde(default)]
     pub class: Class,
     /// Pools whose upstreams may serve the route. Never empty.
     pub pools: Vec<String>,
-    /// Whether a request may run more than once. A caller can mark a single
-    /// request as non-idempotent on an idempotent route, never the reverse.
+    /// Whether a request may run more than once. On an idempotent route, a caller
+    /// can mark a request as non-idempotent; the reverse isn't possible.
     #[serde(default)]
     pub idempotent: bool,
     /// Fleet-wide limits.
@@ -135,7 +135,7 @@
     }
 }
 
-/// Identifies an entry: names are unique within a kind.
+/// Identifies an entry. Names are unique within a kind.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EntryKey {
     /// Kind of the entry.
--- a/src/catalogue/machine.rs
+++ b/src/catalogue/machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine behind the catalogue.
+//! The replicated state machine of the catalogue.
 //!
 //! Every replica applies the same commands in the same order, so nothing here
 //! may depend on a clock, a random number or the order of a hash map.
@@ -14,83 +14,86 @@
 use super::{Catalogue, Change, Entry, EntryKey, Expect, Kind, Operation, Outcome, Record};
 use crate::voter::StateMachine;
 
-/// Outcomes kept for resent changes: a week at 1,300 changes a day.
-const KEPT_OUTCOMES: usize = 10_000;
+/// Outcomes kept to answer resent changes: a week's worth at 1,300 changes a day.
+const MAX_OUTCOMES: usize = 10_000;
 
-/// Commands kept for instances that follow; older ones get a snapshot.
-const KEPT_COMMANDS: usize = 256;
+/// Recent commands kept for followers. A follower that is further behind gets a
+/// snapshot.
+const MAX_RECENT_COMMANDS: usize = 256;
 
 /// Longest name of an entry, in bytes.
-const MAX_NAME: usize = 128;
+const MAX_NAME_LEN: usize = 128;
 
-/// Hexadecimal digits of a SHA-256 digest.
-const DIGEST_DIGITS: usize = 64;
+/// Hexadecimal digits in a SHA-256 digest.
+const DIGEST_HEX_LEN: usize = 64;
 
-/// A change id with the first outcome it got.
+/// The first outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Settled {
+struct DecidedChange {
     id: String,
-    /// SHA-256 of the command; tells a resend from a reuse of the id.
+    /// SHA-256 of the command; distinguishes a resend from a reuse of the id.
     digest: [u8; 32],
     outcome: Outcome,
 }
 
-/// A change of the past.
+/// A decided change, as listed in the history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastChange {
     /// The operator's id for the change.
     pub id: String,
-    /// What became of it.
+    /// Outcome of the change.
     pub outcome: Outcome,
 }
 
-/// The whole replicated state, in the form that a snapshot has.
+/// Snapshot format of the replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct SavedState {
-    /// Log index of the last command applied. Never falls.
+    /// Log index of the last applied command. Never decreases.
     index: u64,
-    /// Log index of the last accepted change. Never falls.
+    /// Log index of the last accepted change. Never decreases.
     revision: u64,
     records: Vec<Record>,
-    /// Oldest first; at most [`KEPT_OUTCOMES`].
-    settled: VecDeque<Settled>,
+    /// Oldest first; at most [`MAX_OUTCOMES`].
+    settled: VecDeque<DecidedChange>,
 }
 
-/// The catalogue's state machine without its publication.
+/// Replicated state of the catalogue.
 #[derive(Debug, Default)]
 pub(crate) struct CatalogueState {
     index: u64,
     revision: u64,
     records: BTreeMap<EntryKey, Record>,
-    settled: VecDeque<Settled>,
-    /// Position of each id in `settled`, counted from the first ever settled.
+    decided: VecDeque<DecidedChange>,
+    /// Position in `decided` by change id, counted from the first change ever
+    /// decided.
     positions: BTreeMap<String, u64>,
-    /// How many were dropped from the front of `settled`.
+    /// Number of changes dropped from the front of `decided`.
     dropped: u64,
 }
 
 impl CatalogueState {
-    /// Log index of the last command applied.
+    /// Log index of the last applied command.
     pub(crate) fn index(&self) -> u64 {
         self.index
     }
 
-    /// Revision of the catalogue as it stands.
+    /// Current revision of the catalogue.
     pub(crate) fn catalogue_revision(&self) -> u64 {
         self.revision
     }
 
-    /// The catalogue as it stands.
+    /// The current catalogue.
     pub(crate) fn catalogue(&self) -> Catalogue {
         Catalogue::new(self.revision, self.records.clone())
     }
 
-    /// Applies the command at `index` and tells what became of it.
+    /// Applies the command at `index` and returns its outcome.
     ///
     /// # Panics
     ///
-    /// When `index` doesn't grow: the log would have been replayed onto a
-    /// state that already holds it, and a change would count twice.
+    /// If `index` isn't higher than that of the last command: the log is being
+    /// replayed onto a state that already contains it, and a change would be
+    /// applied twice.
     pub(crate) fn apply(&mut self, index: u64, command: &[u8]) -> Outcome {
         assert!(index > self.index, "log index {index} after {}", self.index);
         self.index = index;
@@ -103,32 +106,32 @@
         }
         let outcome = self.decide(&change);
         if let Outcome::Accepted { .. } = outcome {
-            self.commit(index, &change);
+            self.update_records(index, &change);
         }
-        self.settle(change.id, digest, outcome.clone());
+        self.record_outcome(change.id, digest, outcome.clone());
         outcome
     }
 
     fn first_outcome(&self, id: &str, digest: &[u8; 32]) -> Option<Outcome> {
         let position = self.positions.get(id)?;
         let offset = usize::try_from(position - self.dropped).ok()?;
-        let settled = self.settled.get(offset)?;
-        if settled.digest != *digest {
+        let first = self.decided.get(offset)?;
+        if first.digest != *digest {
             return Some(Outcome::Reused);
         }
-        Some(settled.outcome.clone())
+        Some(first.outcome.clone())
     }
 
-    fn settle(&mut self, id: String, digest: [u8; 32], outcome: Outcome) {
-        let position = self.dropped + self.settled.len() as u64;
+    fn record_outcome(&mut self, id: String, digest: [u8; 32], outcome: Outcome) {
+        let position = self.dropped + self.decided.len() as u64;
         self.positions.insert(id.clone(), position);
-        self.settled.push_back(Settled {
+        self.decided.push_back(DecidedChange {
             id,
             digest,
             outcome,
         });
-        while self.settled.len() > KEPT_OUTCOMES {
-            if let Some(oldest) = self.settled.pop_front() {
+        while self.decided.len() > MAX_OUTCOMES {
+            if let Some(oldest) = self.decided.pop_front() {
                 self.positions.remove(&oldest.id);
                 self.dropped += 1;
             }
@@ -139,7 +142,7 @@
         if let Some(conflict) = self.conflict(change) {
             return conflict;
         }
-        match self.check(change) {
+        match self.validate(change) {
             Ok(()) => Outcome::Accepted {
                 revision: self.index,
             },
@@ -167,8 +170,8 @@
         }
     }
 
-    /// Whether the catalogue stays consistent with the change in force.
-    fn check(&self, change: &Change) -> Result<(), String> {
+    /// Checks that the catalogue stays consistent when the change is applied.
+    fn validate(&self, change: &Change) -> Result<(), String> {
         check_shape(change)?;
         let mut after: BTreeMap<EntryKey, &Entry> = self
             .records
@@ -191,7 +194,7 @@
         check_secrets(&after)
     }
 
-    fn commit(&mut self, index: u64, change: &Change) {
+    fn update_records(&mut self, index: u64, change: &Change) {
         self.revision = index;
         for op in &change.operations {
             match op {
@@ -209,10 +212,10 @@
         }
     }
 
-    /// Ids and outcomes of the last `most` changes, newest last.
-    pub(crate) fn history(&self, most: usize) -> Vec<PastChange> {
-        let skip = self.settled.len().saturating_sub(most);
-        self.settled
+    /// The last `limit` decided changes, oldest first.
+    pub(crate) fn history(&self, limit: usize) -> Vec<PastChange> {
+        let skip = self.decided.len().saturating_sub(limit);
+        self.decided
             .iter()
             .skip(skip)
             .map(|s| PastChange {
@@ -222,18 +225,18 @@
             .collect()
     }
 
-    /// The state as bytes.
+    /// Serializes the state.
     pub(crate) fn snapshot(&self) -> Vec<u8> {
         let state = SavedState {
             index: self.index,
             revision: self.revision,
             records: self.records.values().cloned().collect(),
-            settled: self.settled.clone(),
+            settled: self.decided.clone(),
         };
         serde_json::to_vec(&state).expect("the state holds only strings and numbers")
     }
 
-    /// The book that `snapshot` describes, or `None` when it can't be read.
+    /// Restores the state from `snapshot`, or returns `None` if it can't be read.
     pub(crate) fn from_snapshot(snapshot: &[u8]) -> Option<Self> {
         let state: SavedState = serde_json::from_slice(snapshot).ok()?;
         let positions = (0..).zip(&state.settled);
@@ -246,7 +249,7 @@
                 .into_iter()
                 .map(|r| (r.entry.key(), r))
                 .collect(),
-            settled: state.settled,
+            decided: state.settled,
             dropped: 0,
         })
     }
@@ -275,9 +278,9 @@
 fn check_operation(op: &Operation) -> Result<(), String> {
     let key = op.key();
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if key.name.is_empty() || key.name.len() > MAX_NAME || !key.name.chars().all(plain) {
+    if key.name.is_empty() || key.name.len() > MAX_NAME_LEN || !key.name.chars().all(plain) {
         return Err(format!(
-            "name {key} with 1 to {MAX_NAME} letters, digits, '-', '_' or '.'"
+            "name {key} with 1 to {MAX_NAME_LEN} letters, digits, '-', '_' or '.'"
         ));
     }
     let Operation::Put(entry) = op else {
@@ -291,29 +294,29 @@
         }
         Entry::Route(_) => &[],
     };
-    let hex = |d: &String| d.len() == DIGEST_DIGITS && d.bytes().all(|b| b.is_ascii_hexdigit());
+    let hex = |d: &String| d.len() == DIGEST_HEX_LEN && d.bytes().all(|b| b.is_ascii_hexdigit());
     if digests.iter().all(hex) {
         return Ok(());
     }
     Err(format!(
-        "{key} holds a secret that isn't a SHA-256 digest of {DIGEST_DIGITS} hexadecimal digits"
+        "{key} holds a secret that isn't a SHA-256 digest of {DIGEST_HEX_LEN} hexadecimal digits"
     ))
 }
 
 fn check_references(after: &BTreeMap<EntryKey, &Entry>) -> Result<(), String> {
-    let named = |kind, name: &str| {
+    let exists = |kind, name: &str| {
         let name = name.to_owned();
         after.contains_key(&EntryKey { kind, name })
     };
     for (key, entry) in after {
         let Entry::Route(route) = entry else { continue };
-        if !named(Kind::Organisation, &route.organisation.0) {
+        if !exists(Kind::Organisation, &route.organisation.0) {
             return Err(format!(
                 "{key} needs organisation {}; add it, or retire the route first",
                 route.organisation
             ));
         }
-        if let Some(pool) = route.pools.iter().find(|p| !named(Kind::Pool, p)) {
+        if let Some(pool) = route.pools.iter().find(|p| !exists(Kind::Pool, p)) {
             return Err(format!(
                 "{key} needs pool {pool}; add it, or retire the route first"
             ));
@@ -322,9 +325,11 @@
     Ok(())
 }
 
-/// Two organisations with one key, or two pools with one credential, would
-/// make it a matter of chance whose request it is: an organisation would
-/// reach another's capacity.
+/// Checks that no secret is shared.
+///
+/// With a key shared by two organisations, or a credential by two pools, the
+/// owner of a request would be ambiguous, and an organisation could use another's
+/// capacity.
 fn check_secrets(after: &BTreeMap<EntryKey, &Entry>) -> Result<(), String> {
     let mut seen = BTreeSet::new();
     for (key, entry) in after {
@@ -342,21 +347,21 @@
     Ok(())
 }
 
-/// What an instance that follows the catalogue gets from a voter.
+/// Updates that a voter sends to a follower of the catalogue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Feed {
-    /// All commands behind the index it has, oldest first.
+    /// All commands after the index that the follower has applied, oldest first.
     Commands(Vec<(u64, Vec<u8>)>),
-    /// The whole state.
+    /// A snapshot of the whole state.
     Snapshot(Vec<u8>),
 }
 
-/// The catalogue's state machine as a voter runs it.
+/// The state machine that a voter runs. Publishes each new catalogue.
 pub(crate) struct CatalogueMachine {
     shared: Arc<CatalogueHandle>,
 }
 
-/// The part of the machine that other threads read.
+/// Read access to the state machine for other threads.
 pub(crate) struct CatalogueHandle {
     /// The catalogue as applied on this voter.
     catalogue: ArcSwap<Catalogue>,
@@ -366,14 +371,14 @@
 #[derive(Default)]
 struct Inner {
     state: CatalogueState,
-    /// Recent commands, oldest first, without a gap.
+    /// Recent commands, oldest first and without gaps.
     recent: VecDeque<(u64, Vec<u8>)>,
-    /// Index behind which `recent` is complete.
-    since: u64,
+    /// `recent` contains every command after this index.
+    complete_after: u64,
 }
 
 impl CatalogueMachine {
-    /// An empty machine and the handle to read it by.
+    /// Creates an empty state machine and its handle.
     pub(crate) fn new() -> (Self, Arc<CatalogueHandle>) {
         let shared = Arc::new(CatalogueHandle {
             catalogue: ArcSwap::from_pointee(Catalogue::default()),
@@ -389,16 +394,16 @@
 }
 
 impl StateMachine for CatalogueMachine {
-    /// The reply is an [`Outcome`] in JSON.
+    /// Replies with an [`Outcome`] in JSON.
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8> {
         let mut inner = self.shared.lock();
         let before = inner.state.revision;
         let outcome = inner.state.apply(index, command);
         inner.recent.push_back((index, command.to_vec()));
-        if inner.recent.len() > KEPT_COMMANDS
+        if inner.recent.len() > MAX_RECENT_COMMANDS
             && let Some((oldest, _)) = inner.recent.pop_front()
         {
-            inner.since = oldest;
+            inner.complete_after = oldest;
         }
         if inner.state.revision != before {
             let catalogue = inner.state.catalogue();
@@ -412,11 +417,11 @@
     }
 
     fn restore(&mut self, snapshot: &[u8]) {
-        let state =
-            CatalogueState::from_snapshot(snapshot).expect("the store checked the snapshot's sum");
+        let state = CatalogueState::from_snapshot(snapshot)
+            .expect("the store verified the snapshot's checksum");
         let mut inner = self.shared.lock();
         inner.recent.clear();
-        inner.since = state.index();
+        inner.complete_after = state.index();
         self.shared.catalogue.store(Arc::new(state.catalogue()));
         inner.state = state;
     }
@@ -424,19 +429,21 @@
 
 impl CatalogueHandle {
     fn lock(&self) -> std::sync::MutexGuard<'_, Inner> {
-        self.inner.lock().expect("no thread panics with the book")
+        self.inner
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 
-    /// The catalogue as applied on this voter. It is in force only under a
+    /// The catalogue as applied on this voter. It may be used only under a
     /// lease; see [`crate::follow`].
     pub(crate) fn catalogue(&self) -> Arc<Catalogue> {
         self.catalogue.load_full()
     }
 
-    /// What an instance that has applied everything up to `have` misses.
+    /// Updates for a follower that has applied everything up to index `have`.
     pub(crate) fn feed(&self, have: u64) -> Feed {
         let inner = self.lock();
-        if have < inner.since {
+        if have < inner.complete_after {
             return Feed::Snapshot(inner.state.snapshot());
         }
         let missing = inner.recent.iter().filter(|(index, _)| *index > have);
--- a/src/catalogue/view.rs
+++ b/src/catalogue/view.rs
@@ -1,4 +1,4 @@
-//! The catalogue in force, indexed for look-ups on the request path.
+//! An immutable catalogue, indexed for look-ups on the request path.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,21 +10,21 @@
 use crate::collections::HashMap;
 use crate::id::OrganisationId;
 
-/// An entry and the revision that wrote it.
+/// An entry and the revision that last wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Revision of the change that put the entry.
+    /// Revision of the change that added or replaced the entry.
     pub revision: u64,
     /// The entry.
     pub entry: Arc<Entry>,
 }
 
-/// A listing of the catalogue.
+/// A listing of the whole catalogue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Revision of the whole catalogue.
+    /// Revision of the catalogue.
     pub revision: u64,
-    /// All entries, by kind and name.
+    /// All entries, sorted by kind and name.
     pub records: Vec<Record>,
 }
 
@@ -66,13 +66,13 @@
         }
     }
 
-    /// The organisation that holds the API key.
+    /// Looks up the organisation that owns the API key.
     #[must_use]
     pub fn organisation(&self, key: &str) -> Option<&OrganisationId> {
         self.keys.get(&digest(key))
     }
 
-    /// The pool that the credential belongs to.
+    /// Looks up the pool that the credential belongs to.
     #[must_use]
     pub fn pool(&self, credential: &str) -> Option<&str> {
         self.credentials
@@ -80,10 +80,10 @@
             .map(String::as_str)
     }
 
-    /// The route of that name, if `organisation` owns it.
+    /// Looks up a route of `organisation` by name.
     ///
-    /// A route of another organisation is reported like one that doesn't
-    /// exist, so that names can't be probed.
+    /// A route of another organisation is treated as missing, so that a caller
+    /// can't find out which names exist.
     #[must_use]
     pub fn route(&self, organisation: &OrganisationId, name: &str) -> Option<&Route> {
         let key = EntryKey {
@@ -106,7 +106,7 @@
             })
     }
 
-    /// The listing that operators see.
+    /// Lists all entries.
     #[must_use]
     pub fn list(&self) -> Listing {
         Listing {
@@ -116,7 +116,7 @@
     }
 }
 
-/// SHA-256 of a secret in lower-case hexadecimal digits, as entries hold it.
+/// SHA-256 of a secret in lower-case hexadecimal digits, as entries store it.
 pub(crate) fn digest(secret: &str) -> String {
     Sha256::digest(secret.as_bytes())
         .iter()
