--- a/src/claim.rs
+++ b/src/claim.rs
@@ -1,14 +1,14 @@
-//! Fleet-wide claims on non-idempotent requests: at most one run each.
+//! Fleet-wide claims that let a non-idempotent request run at most once.
 //!
-//! An instance claims a request's key in the replicated register ([`Claims`])
-//! before the first byte goes to an upstream, and settles the claim when the
-//! outcome is known. A claim that was granted is never granted again until its
-//! holder releases it, knowing that no byte left, or until its retention ends.
+//! An instance claims a request's idempotency key in the replicated register
+//! ([`Claims`]) before it sends the first byte to an upstream, and settles the
+//! claim when the outcome is known. A granted claim isn't granted again until its
+//! holder releases it, knowing that no byte was sent, or until its retention ends.
 //!
-//! Three moments bound a claim, all counted from when the holder first sent it:
-//! until `start` the holder may dispatch (its [`ClaimLease`] ends a little
-//! earlier on its own clock), until `ttl` its answer is awaited, and until the
-//! retention ends the claim is remembered.
+//! A claim has three deadlines, counted from when the holder first sent it: until
+//! `dispatch_ms` the holder may dispatch (its [`ClaimLease`] ends slightly earlier
+//! on its own clock), until `ttl_ms` the outcome is awaited, and until the end of
+//! the retention the register keeps the claim.
 
 mod lease;
 mod machine;
--- a/src/claim/machine.rs
+++ b/src/claim/machine.rs
@@ -8,99 +8,97 @@
     Release, Reply, Settle, StoredAnswer, Ticked,
 };
 use crate::claim::record::{
-    DIGEST_LEN, FRESH, Id, LONGEST_STEP, Pending, RECORD_LEN, Record, State, head, id,
+    ClaimId, DIGEST_LEN, MAX_STEP_MS, Pending, RECORD_LEN, Record, State, UNAGED, claim_id,
+    digest_prefix,
 };
-use crate::claim::usage::{Place, Usage};
+use crate::claim::usage::{AgeEntry, Usage};
 use crate::clock::millis;
 use crate::collections::HashMap;
 use crate::id::OrganisationId;
 
-/// Pause for an organisation that has no claim of its own to wait for, in
-/// milliseconds.
-const FULL_PAUSE: u64 = 60_000;
+/// Pause before a retry of an organisation that has no claim whose expiry could
+/// make space for it.
+const FULL_RETRY_AFTER_MS: u64 = 60_000;
 
 /// Bounds of a register. The same on every replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Bounds {
-    /// Time for which a claim is remembered in any case.
+    /// Time for which a claim is always retained.
     pub(crate) retention: Duration,
-    /// Time for which it is remembered while its organisation has room.
-    pub(crate) longest: Duration,
-    /// Bytes of all claims beyond each organisation's floor.
+    /// Time for which a claim is retained while its organisation has space.
+    pub(crate) max_retention: Duration,
+    /// Bytes that all organisations together may use beyond their reserved bytes.
     pub(crate) shared: u64,
-    /// Bytes that every organisation may use, whatever the others use.
-    pub(crate) floor: u64,
-    /// Bytes that one organisation may use.
-    pub(crate) share: u64,
+    /// Bytes reserved for each organisation, whatever the others use.
+    pub(crate) reserved: u64,
+    /// Bytes that a single organisation may use.
+    pub(crate) quota: u64,
 }
 
 impl Default for Bounds {
-    /// Room for 100,000 claims of one organisation and 200,000 in all, so for
-    /// 330 claims a second over ten minutes, or for 2 a second over a day.
+    /// Space for 100,000 claims of one organisation and 200,000 in total. The total
+    /// covers 330 claims per second over ten minutes, or 2 per second over a day.
     fn default() -> Self {
         Self {
             retention: Duration::from_secs(600),
-            longest: Duration::from_secs(24 * 3600),
+            max_retention: Duration::from_secs(24 * 3600),
             shared: 48 << 20,
-            floor: 16 << 10,
-            share: 24 << 20,
+            reserved: 16 << 10,
+            quota: 24 << 20,
         }
     }
 }
 
 /// The register of claims.
 ///
-/// It has no clock: its time is the sum of what [`Expire`] commands report.
+/// It has no clock: its time is the sum of the durations in [`Expire`] commands.
 /// A claim's age counts from the first `Expire` after the claim, since every
-/// later one measures a time that began after the claim was applied.
+/// later one measures a duration that began after the claim was applied.
 ///
-/// A claim younger than the retention is never forgotten, as a letter could go
-/// out twice: if there is no room, new claims are refused. An older one makes
-/// room for a new one of the same organisation, never of another.
+/// A claim younger than the retention is never discarded, as its request could
+/// run a second time; if there is no space, new claims are refused. An older one
+/// is discarded to make space for a new claim of the same organisation, never of
+/// another.
 ///
-/// # Where claims live
+/// # Sharding
 ///
-/// Three places were weighed, with 7,900 requests a second ahead:
+/// Claims are kept out of the catalogue's log, where they would share its syncs
+/// and its leader with changes that must take effect within seconds, and where
+/// each catalogue snapshot would contain every claim. In a replication group of
+/// its own, a stalled or full register doesn't affect the catalogue.
 ///
-/// * The catalogue's log: nothing to add, but a claim then shares its syncs and
-///   its leader with changes that must be in force within seconds, and a
-///   catalogue snapshot carries every claim.
-/// * A group of its own: same code, own leader and log; a stalled or full
-///   register doesn't touch the catalogue. One log carries what one disk syncs;
-///   claims in one batch share a sync.
-/// * Several such groups, by [`shard`](crate::claim::shard): throughput and
-///   memory grow with the groups. A claim needs only its own group, since no
-///   command touches two keys.
-///
-/// So it is a machine of its own that knows nothing of shards, and the number
-/// of groups is the caller's.
+/// One group is limited by the syncs of one disk, although claims in one batch
+/// share a sync. Throughput and memory grow with the number of groups, as no
+/// command touches two keys and [`shard`](crate::claim::shard) assigns each key to
+/// one group; this allows for an expected 7,900 requests per second. The state
+/// machine knows nothing of shards; the caller chooses the number of groups.
 #[derive(Debug)]
 pub(crate) struct Claims {
     pub(super) bounds: Bounds,
-    /// Milliseconds. Only grows.
+    /// The register's time in milliseconds. Never decreases.
     pub(super) time: u64,
-    /// Log index of the last `Expire` applied.
+    /// Log index of the last applied `Expire`.
     pub(super) tick: u64,
-    pub(super) records: HashMap<Id, Record>,
-    /// Claims since the last `Expire`, in order of their index.
-    fresh: Vec<Place>,
+    pub(super) records: HashMap<ClaimId, Record>,
+    /// Claims made or renewed since the last `Expire`, by log index.
+    unaged: Vec<AgeEntry>,
     pub(super) usage: Usage,
 }
 
 impl Claims {
-    /// An empty register.
+    /// Creates an empty register.
     pub(crate) fn new(bounds: Bounds) -> Self {
         Self {
             bounds,
             time: 0,
             tick: 0,
             records: HashMap::default(),
-            fresh: Vec::new(),
+            unaged: Vec::new(),
             usage: Usage::default(),
         }
     }
 
-    /// Claims that are remembered.
+    /// Number of retained claims.
     #[cfg(test)]
     pub(crate) fn len(&self) -> usize {
         self.records.len()
@@ -112,10 +110,10 @@
         self.usage.bytes()
     }
 
-    /// Places in the orders of age.
+    /// Number of age entries, including stale ones.
     #[cfg(test)]
-    pub(crate) fn places(&self) -> usize {
-        self.usage.places()
+    pub(crate) fn age_entries(&self) -> usize {
+        self.usage.age_entries()
     }
 
     /// Applies one command.
@@ -135,45 +133,45 @@
         if claim.key.len() > MAX_KEY || claim.digest.len() < DIGEST_LEN {
             return Reply::Malformed(());
         }
-        let id = id(&claim.organisation, &claim.key);
+        let id = claim_id(&claim.organisation, &claim.key);
         let (time, retention) = (self.time, self.retention());
         match self.records.get_mut(&id) {
             _ if claim.purpose() == Purpose::Renew => self.renew(index, id, claim),
-            Some(record) => record.found(claim, token, time, retention),
+            Some(record) => record.reply_to(claim, token, time, retention),
             None => self.grant(index, id, claim, token),
         }
     }
 
-    fn grant(&mut self, index: u64, id: Id, claim: &Claim, token: ClaimToken) -> Reply {
+    fn grant(&mut self, index: u64, id: ClaimId, claim: &Claim, token: ClaimToken) -> Reply {
         let organisation = OrganisationId::from(claim.organisation.as_str());
-        if !self.make_room(&organisation) {
+        if !self.make_space(&organisation) {
             let retry_after_ms = self.retry_after_ms(&organisation);
             return Reply::Full(Full { retry_after_ms });
         }
         let pending = Pending {
             token,
             dispatch_ms: claim.dispatch_ms,
-            ttl_ms: claim.ttl_ms.min(self.longest_wait()),
+            ttl_ms: claim.ttl_ms.min(self.max_ttl_ms()),
             reported_unknown: false,
         };
         let record = Record {
-            organisation: self.usage.name(organisation),
-            digest: head(&claim.digest),
+            organisation: self.usage.intern(organisation),
+            digest: digest_prefix(&claim.digest),
             index,
-            since: FRESH,
+            since: UNAGED,
             state: State::Pending(Box::new(pending)),
         };
         self.insert(id, record);
         Reply::Granted(Granted { token: Some(token) })
     }
 
-    /// Lets a claim begin anew: a request may wait for a path for longer than
-    /// its claim lets it dispatch. A proposal that arrives twice gives the holder
-    /// more time than it takes.
-    fn renew(&mut self, index: u64, id: Id, claim: &Claim) -> Reply {
-        let ttl_ms = claim.ttl_ms.min(self.longest_wait());
+    /// Restarts the dispatch window of a claim, as a request may wait for a path
+    /// for longer than the window. A proposal that is applied twice only extends
+    /// the window beyond the holder's lease.
+    fn renew(&mut self, index: u64, id: ClaimId, claim: &Claim) -> Reply {
+        let ttl_ms = claim.ttl_ms.min(self.max_ttl_ms());
         let record = self.records.get_mut(&id);
-        let Some(record) = record.filter(|record| record.held(claim.token)) else {
+        let Some(record) = record.filter(|record| record.held_by(claim.token)) else {
             return Reply::Stale(());
         };
         let token = claim.token;
@@ -182,29 +180,29 @@
             _ => return Reply::Stale(()),
         }
         record.index = index;
-        record.since = FRESH;
-        self.fresh.push((index, id));
+        record.since = UNAGED;
+        self.unaged.push((index, id));
         let organisation = record.organisation.clone();
-        self.trim(&organisation);
+        self.compact(&organisation);
         Reply::Granted(Granted { token })
     }
 
-    pub(super) fn insert(&mut self, id: Id, record: Record) {
-        let place = (record.index, id);
+    pub(super) fn insert(&mut self, id: ClaimId, record: Record) {
+        let entry = (record.index, id);
         let organisation = &record.organisation;
-        self.usage.add(&self.bounds, organisation, record.cost());
-        if record.since == FRESH {
-            self.fresh.push(place);
+        self.usage.add(&self.bounds, organisation, record.size());
+        if record.since == UNAGED {
+            self.unaged.push(entry);
         } else if let Some(tenant) = self.usage.tenant(organisation) {
-            tenant.order.push_back(place);
+            tenant.by_age.push_back(entry);
         }
         self.records.insert(id, record);
     }
 
-    /// Forgets old claims of `organisation` until it has room for a new one.
-    fn make_room(&mut self, organisation: &OrganisationId) -> bool {
+    /// Discards old claims of `organisation` until there is space for a new one.
+    fn make_space(&mut self, organisation: &OrganisationId) -> bool {
         while !self.usage.fits(&self.bounds, organisation, RECORD_LEN) {
-            if !self.forget_oldest(organisation, self.retention()) {
+            if !self.discard_oldest(organisation, self.retention()) {
                 return false;
             }
         }
@@ -212,8 +210,8 @@
     }
 
     fn settle(&mut self, settle: Settle) -> Reply {
-        let id = id(&settle.organisation, &settle.key);
-        let Some(record) = self.records.get(&id).filter(|r| r.held(settle.token)) else {
+        let id = claim_id(&settle.organisation, &settle.key);
+        let Some(record) = self.records.get(&id).filter(|r| r.held_by(settle.token)) else {
             return Reply::Stale(());
         };
         let state = match settle.outcome {
@@ -226,7 +224,7 @@
         Reply::Done(())
     }
 
-    /// The answer, or only the fact that there was one if there is no room.
+    /// The state of an answered claim, without the answer if there is no space.
     fn store(&self, record: &Record, answer: StoredAnswer) -> State {
         let len = answer.body.len() + answer.content_type.len();
         let fits = self
@@ -239,23 +237,23 @@
         }
     }
 
-    fn replace(&mut self, id: Id, state: State) {
+    fn replace(&mut self, id: ClaimId, state: State) {
         let Some(record) = self.records.get_mut(&id) else {
             return;
         };
-        let before = record.cost();
+        let before = record.size();
         record.state = state;
-        let after = record.cost();
+        let after = record.size();
         self.usage
-            .change(&self.bounds, &record.organisation, before, after);
+            .resize(&self.bounds, &record.organisation, before, after);
     }
 
     fn release(&mut self, release: &Release) -> Reply {
-        let id = id(&release.organisation, &release.key);
-        let Some(record) = self.records.get(&id).filter(|r| r.held(release.token)) else {
+        let id = claim_id(&release.organisation, &release.key);
+        let Some(record) = self.records.get(&id).filter(|r| r.held_by(release.token)) else {
             return Reply::Stale(());
         };
-        // Someone may have acted on "unknown, never run again": it stays true.
+        // A caller may rely on having been told that the request never runs again.
         if matches!(&record.state, State::Pending(pending) if pending.reported_unknown) {
             self.replace(id, State::NotRun);
         } else {
@@ -264,74 +262,74 @@
         Reply::Done(())
     }
 
-    fn remove(&mut self, id: Id) {
+    fn remove(&mut self, id: ClaimId) {
         let Some(record) = self.records.remove(&id) else {
             return;
         };
         let organisation = &record.organisation;
-        self.usage.remove(&self.bounds, organisation, record.cost());
-        self.trim(organisation);
+        self.usage.remove(&self.bounds, organisation, record.size());
+        self.compact(organisation);
     }
 
-    fn trim(&mut self, organisation: &OrganisationId) {
+    fn compact(&mut self, organisation: &OrganisationId) {
         let records = &self.records;
-        let live = |place: &Place| is_live(records, *place);
-        self.usage.trim(organisation, live);
+        let live = |entry: &AgeEntry| is_live(records, *entry);
+        self.usage.compact(organisation, live);
     }
 
     fn expire(&mut self, index: u64, expire: Expire) -> Reply {
         if expire.after == self.tick {
             self.tick = index;
-            self.time += expire.elapsed.min(LONGEST_STEP);
-            self.begin_ages();
-            self.forget();
+            self.time += expire.elapsed.min(MAX_STEP_MS);
+            self.start_aging();
+            self.discard_expired();
         }
         Reply::Ticked(Ticked { index: self.tick })
     }
 
-    /// Lets the claims since the last `Expire` begin to age.
-    fn begin_ages(&mut self) {
-        for (index, id) in mem::take(&mut self.fresh) {
+    /// Starts the age of the claims made since the last `Expire`.
+    fn start_aging(&mut self) {
+        for (index, id) in mem::take(&mut self.unaged) {
             let record = self.records.get_mut(&id).filter(|r| r.index == index);
             let Some(record) = record else { continue };
             record.since = self.time;
             if let Some(tenant) = self.usage.tenant(&record.organisation) {
-                tenant.order.push_back((index, id));
+                tenant.by_age.push_back((index, id));
             }
         }
     }
 
-    fn forget(&mut self) {
-        let longest = millis(self.bounds.longest).max(self.retention());
-        for organisation in self.usage.names() {
-            while self.forget_oldest(&organisation, longest) {}
+    fn discard_expired(&mut self) {
+        let max_retention = millis(self.bounds.max_retention).max(self.retention());
+        for organisation in self.usage.organisations() {
+            while self.discard_oldest(&organisation, max_retention) {}
         }
     }
 
-    /// Forgets the oldest claim of `organisation` if its age in milliseconds is
-    /// `least` or more.
-    fn forget_oldest(&mut self, organisation: &OrganisationId, least: u64) -> bool {
-        let Some(place) = self.oldest(organisation) else {
+    /// Removes the oldest age entry of `organisation`, with its claim if that is at
+    /// least `min_age` milliseconds old. Returns whether an entry was removed.
+    fn discard_oldest(&mut self, organisation: &OrganisationId, min_age: u64) -> bool {
+        let Some(entry) = self.oldest(organisation) else {
             return false;
         };
-        let live = is_live(&self.records, place);
-        if live && self.age(place.1) < least {
+        let live = is_live(&self.records, entry);
+        if live && self.age(entry.1) < min_age {
             return false;
         }
         if let Some(tenant) = self.usage.tenant(organisation) {
-            tenant.order.pop_front();
+            tenant.by_age.pop_front();
         }
         if live {
-            self.remove(place.1);
+            self.remove(entry.1);
         }
         true
     }
 
-    fn oldest(&mut self, organisation: &OrganisationId) -> Option<Place> {
-        self.usage.tenant(organisation)?.order.front().copied()
+    fn oldest(&mut self, organisation: &OrganisationId) -> Option<AgeEntry> {
+        self.usage.tenant(organisation)?.by_age.front().copied()
     }
 
-    fn age(&self, id: Id) -> u64 {
+    fn age(&self, id: ClaimId) -> u64 {
         self.records.get(&id).map_or(0, |r| r.age(self.time))
     }
 
@@ -339,20 +337,20 @@
         millis(self.bounds.retention)
     }
 
-    /// Longest time that an outcome is awaited: within the retention.
-    fn longest_wait(&self) -> u32 {
+    /// Longest time for which an outcome is awaited; half the retention.
+    fn max_ttl_ms(&self) -> u32 {
         u32::try_from(self.retention() / 2).unwrap_or(u32::MAX)
     }
 
-    /// Milliseconds until the organisation's oldest claim makes room.
+    /// Milliseconds until the organisation's oldest claim can be discarded.
     fn retry_after_ms(&mut self, organisation: &OrganisationId) -> u64 {
         match self.oldest(organisation) {
             Some((_, id)) => self.retention().saturating_sub(self.age(id)),
-            None => FULL_PAUSE,
+            None => FULL_RETRY_AFTER_MS,
         }
     }
 }
 
-fn is_live(records: &HashMap<Id, Record>, (index, id): Place) -> bool {
+fn is_live(records: &HashMap<ClaimId, Record>, (index, id): AgeEntry) -> bool {
     records.get(&id).is_some_and(|record| record.index == index)
 }
--- a/src/claim/message.rs
+++ b/src/claim/message.rs
@@ -1,4 +1,4 @@
-//! Commands to the register of claims and its replies.
+//! Commands to the claim register and its replies.
 
 use prost::Message;
 
@@ -8,20 +8,20 @@
 /// Longest idempotency key, in bytes.
 pub(crate) const MAX_KEY: usize = 256;
 
-/// Largest answer that is kept with a claim, in bytes. Of a longer one only
-/// the fact is kept that it was given.
+/// Largest answer that is stored with a claim, in bytes. For a larger one, the
+/// register only records that it was given.
 pub(crate) const MAX_STORED_ANSWER: usize = 16 * 1024;
 
-/// One sending of a request: its number, which is unique in the fleet.
+/// Identifies one submission of a request by a caller. Unique in the fleet.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(crate) struct ClaimToken {
-    /// The holder.
+    /// The instance that holds the claim.
     #[prost(uint64, tag = "1")]
     pub(crate) holder: u64,
-    /// Start of the holder.
+    /// Incarnation of the holder.
     #[prost(uint64, tag = "2")]
     pub(crate) incarnation: u64,
-    /// The holder's count of requests since that start.
+    /// Number of the request in that incarnation.
     #[prost(uint64, tag = "3")]
     pub(crate) sequence: u64,
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Asks for the only run of a request.
+/// Requests the right to the only run of a request.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Claim {
     /// The organisation whose API key the caller showed.
@@ -55,36 +55,36 @@
     /// SHA-256 of route and body.
     #[prost(bytes = "vec", tag = "3")]
     pub(crate) digest: Vec<u8>,
-    /// The sending that asks.
+    /// The submission that makes the claim.
     #[prost(message, optional, tag = "4")]
     pub(crate) token: Option<ClaimToken>,
-    /// Time within which the first byte may leave, in milliseconds.
+    /// Time within which the first byte may be sent, in milliseconds.
     #[prost(uint32, tag = "5")]
     pub(crate) dispatch_ms: u32,
     /// Time within which the outcome is awaited, in milliseconds.
     #[prost(uint32, tag = "6")]
     pub(crate) ttl_ms: u32,
-    /// What the claim is sent for.
+    /// Purpose of the claim.
     #[prost(enumeration = "Purpose", tag = "7")]
     pub(crate) purpose: i32,
 }
 
-/// What a [`Claim`] is sent for.
+/// Purpose of a [`Claim`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 pub(crate) enum Purpose {
-    /// To get the only run.
+    /// Obtains the right to the only run.
     Run = 0,
-    /// The same, by an asker that was told [`InProgress`] and believes that the
-    /// holder is down. It is told that the outcome is unknown as soon as the
-    /// holder can't dispatch any more.
+    /// Like `Run`, from a submission that got [`InProgress`] and believes that the
+    /// holder is down. The reply is [`Reply::Unknown`] as soon as the holder can no
+    /// longer dispatch.
     HolderDown = 1,
-    /// By the holder, to begin anew before it dispatches. That fails with
-    /// [`Reply::Stale`] once someone was told that the outcome is unknown, or
-    /// when the claim is forgotten.
+    /// Restarts the dispatch window, from the holder before it dispatches. Fails
+    /// with [`Reply::Stale`] once a caller was told that the outcome is unknown, or
+    /// if the claim has been discarded.
     Renew = 2,
 }
 
-/// An answer that is kept for later sendings with the same key.
+/// An answer stored for later submissions with the same key.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct StoredAnswer {
     /// HTTP status.
@@ -98,34 +98,34 @@
     pub(crate) body: Vec<u8>,
 }
 
-/// Content type of a kept text, before the number of its tokens.
-const TEXT: &str = "text/plain; tokens=";
+/// Content type of a stored text, without its number of tokens.
+const TEXT_TYPE: &str = "text/plain; tokens=";
 
 impl StoredAnswer {
     /// Content type of a text of `count` tokens.
     pub(crate) fn media_type(count: usize) -> String {
-        format!("{TEXT}{count}")
+        format!("{TEXT_TYPE}{count}")
     }
 
-    /// Tokens of a kept text; nothing for the answer of a plain service.
+    /// Number of tokens of a stored text; `None` for the answer of a plain service.
     pub(crate) fn tokens(&self) -> Option<u32> {
-        self.content_type.strip_prefix(TEXT)?.parse().ok()
+        self.content_type.strip_prefix(TEXT_TYPE)?.parse().ok()
     }
 }
 
 /// How a claimed request ended.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 pub(crate) enum Outcome {
-    /// It was answered, and this is the answer.
+    /// It was answered; the answer is stored.
     #[prost(message, tag = "13")]
     Stored(StoredAnswer),
-    /// It was answered; the answer isn't kept.
+    /// It was answered; the answer isn't stored.
     #[prost(message, tag = "14")]
     NotStored(()),
     /// The holder can't tell whether it ran.
     #[prost(message, tag = "15")]
     Unknown(()),
-    /// No byte left, and none will.
+    /// No byte was sent, and none will be.
     #[prost(message, tag = "16")]
     NotRun(()),
 }
@@ -133,7 +133,7 @@
 /// Records how a claimed request ended.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Settle {
-    /// The claim's organisation and key.
+    /// The claim's organisation.
     #[prost(string, tag = "1")]
     pub(crate) organisation: String,
     /// The caller's idempotency key.
@@ -142,15 +142,16 @@
     /// The outcome.
     #[prost(oneof = "Outcome", tags = "13, 14, 15, 16")]
     pub(crate) outcome: Option<Outcome>,
-    /// The sending that holds the claim.
+    /// The submission that holds the claim.
     #[prost(message, optional, tag = "3")]
     pub(crate) token: Option<ClaimToken>,
 }
 
-/// Gives a claim back. Only for a holder that knows no byte left.
+/// Releases a claim. Only for a holder that knows that no byte was sent.
 ///
-/// The key is free again, unless someone was told that the outcome may be
-/// unknown and never run again. Then it stays so: see [`Reply::NotRun`].
+/// The key becomes free again, unless a caller was told that the outcome is
+/// unknown and the request never runs again. That must stay true, so the key stays
+/// in use: see [`Reply::NotRun`].
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Release {
     /// The claim's organisation.
@@ -159,19 +160,19 @@
     /// The caller's idempotency key.
     #[prost(string, tag = "2")]
     pub(crate) key: String,
-    /// The sending that holds the claim.
+    /// The submission that holds the claim.
     #[prost(message, optional, tag = "3")]
     pub(crate) token: Option<ClaimToken>,
 }
 
-/// Moves the register's time on and forgets claims whose retention ended.
-/// Applied only if `after` is the index of the last one applied.
+/// Advances the register's time and discards claims whose retention has ended.
+/// Ignored unless `after` is the index of the last applied one.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(crate) struct Expire {
-    /// Log index of the last `Expire` that the proposer saw applied.
+    /// Log index of the last applied `Expire` that the proposer has seen.
     #[prost(uint64, tag = "1")]
     pub(crate) after: u64,
-    /// Time since the proposer saw it applied, in milliseconds.
+    /// Time since the proposer saw it, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub(crate) elapsed: u64,
 }
@@ -179,51 +180,51 @@
 /// A command to the register.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Command {
-    /// What to do.
+    /// The action.
     #[prost(oneof = "Action", tags = "1, 2, 3, 4")]
     pub(crate) action: Option<Action>,
 }
 
-/// What a [`Command`] does.
+/// Action of a [`Command`].
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub(crate) enum Action {
-    /// Asks for the only run.
+    /// Requests the right to the only run.
     #[prost(message, tag = "1")]
     Claim(Claim),
     /// Records the outcome.
     #[prost(message, tag = "2")]
     Settle(Settle),
-    /// Gives the claim back.
+    /// Releases the claim.
     #[prost(message, tag = "3")]
     Release(Release),
-    /// Moves time on.
+    /// Advances the time.
     #[prost(message, tag = "4")]
     Expire(Expire),
 }
 
 impl Action {
-    /// Bytes for the log.
+    /// Encodes the command for the log.
     pub(crate) fn into_bytes(self) -> Vec<u8> {
         let action = Some(self);
         Command { action }.encode_to_vec()
     }
 }
 
-/// The claim is the asker's.
+/// The claim is granted.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(crate) struct Granted {
-    /// The sending that may run.
+    /// The submission that may run.
     #[prost(message, optional, tag = "1")]
     pub(crate) token: Option<ClaimToken>,
 }
 
-/// Another sending holds the claim and its outcome is awaited.
+/// Another submission holds the claim and its outcome is awaited.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(crate) struct InProgress {
-    /// The sending that holds it.
+    /// The submission that holds the claim.
     #[prost(message, optional, tag = "1")]
     pub(crate) holder: Option<ClaimToken>,
-    /// Age of the claim in milliseconds, rounded down to the last tick.
+    /// Age of the claim in milliseconds, as of the last `Expire`.
     #[prost(uint64, tag = "2")]
     pub(crate) age: u64,
     /// Whether the holder may still send the first byte.
@@ -231,10 +232,10 @@
     pub(crate) may_dispatch: bool,
 }
 
-/// The organisation's share of the register is used up.
+/// The organisation's space in the register is used up.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(crate) struct Full {
-    /// Time to the end of the oldest claim's retention, in milliseconds.
+    /// Time until the retention of its oldest claim ends, in milliseconds.
     #[prost(uint64, tag = "1")]
     pub(crate) retry_after_ms: u64,
 }
@@ -242,15 +243,15 @@
 /// Reply to [`Expire`], whether it was applied or not.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(crate) struct Ticked {
-    /// Log index of the last `Expire` applied.
+    /// Log index of the last applied `Expire`.
     #[prost(uint64, tag = "1")]
     pub(crate) index: u64,
 }
 
-/// The earlier answer under the same key.
+/// The request was answered before, under the same key.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct Answered {
-    /// The answer, if it was kept.
+    /// The answer, if it was stored.
     #[prost(message, optional, tag = "1")]
     pub(crate) answer: Option<StoredAnswer>,
 }
@@ -258,38 +259,38 @@
 /// Reply of the register.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 pub(crate) enum Reply {
-    /// The asker may run the request.
+    /// The submission may run the request.
     #[prost(message, tag = "1")]
     Granted(Granted),
-    /// Another sending runs it.
+    /// Another submission runs it.
     #[prost(message, tag = "2")]
     InProgress(InProgress),
-    /// It ran.
+    /// It ran and was answered.
     #[prost(message, tag = "3")]
     Answered(Answered),
-    /// It was claimed, its outcome isn't known, and it is never run again.
+    /// Its outcome is unknown, and it never runs again under this key.
     #[prost(message, tag = "4")]
     Unknown(()),
-    /// The key stands for another request.
+    /// The key was used for a different request.
     #[prost(message, tag = "5")]
     Mismatch(()),
-    /// There is no room for a new claim.
+    /// There is no space for a new claim.
     #[prost(message, tag = "6")]
     Full(Full),
     /// The settlement or release was applied.
     #[prost(message, tag = "7")]
     Done(()),
-    /// The renewal, settlement or release isn't by the claim's holder, or comes
-    /// late.
+    /// The renewal, settlement or release isn't from the holder of the claim, or
+    /// came too late.
     #[prost(message, tag = "8")]
     Stale(()),
-    /// The state of the register's time.
+    /// Reply to [`Expire`].
     #[prost(message, tag = "9")]
     Ticked(Ticked),
-    /// It was never run and never will be under this key.
+    /// It never ran and never will under this key.
     #[prost(message, tag = "11")]
     NotRun(()),
-    /// The command can't be read or breaks a bound.
+    /// The command can't be decoded or exceeds a limit.
     #[prost(message, tag = "10")]
     Malformed(()),
 }
@@ -301,13 +302,13 @@
 }
 
 impl Reply {
-    /// Bytes for the proposer.
+    /// Encodes the reply for the proposer.
     pub(crate) fn into_bytes(self) -> Vec<u8> {
         let reply = Some(self);
         Envelope { reply }.encode_to_vec()
     }
 
-    /// Reads a reply. An unreadable one gives `None`: nothing was granted.
+    /// Decodes a reply. Returns `None` if it can't be decoded, so nothing was granted.
     pub(crate) fn from_bytes(bytes: &[u8]) -> Option<Self> {
         Envelope::decode(bytes).ok()?.reply
     }
--- a/src/claim/record.rs
+++ b/src/claim/record.rs
@@ -1,4 +1,4 @@
-//! One claim as the register stores it.
+//! A claim as stored in the register.
 
 use sha2::{Digest, Sha256};
 
@@ -7,28 +7,28 @@
 };
 use crate::id::OrganisationId;
 
-/// Most that one [`Expire`](crate::claim::Expire) moves the register's time, in
-/// milliseconds. After a longer gap the time lags behind, which only keeps
+/// Largest step by which one [`Expire`](crate::claim::Expire) advances the
+/// register's time. After a longer gap the time lags behind, which only retains
 /// claims for longer.
-pub(super) const LONGEST_STEP: u64 = 2_000;
+pub(super) const MAX_STEP_MS: u64 = 2_000;
 
-/// Bytes that a claim is counted with, besides its kept answer: its entry in a
-/// map that is half full after it has grown, and its place in the order of age.
-/// The box of an awaited outcome isn't counted; few are awaited at a time.
+/// Memory accounted to a claim besides its stored answer: its slot in a map that
+/// is half full, as after growing, and its age entry. The box of a pending claim
+/// isn't counted, as few are pending at a time.
 pub(super) const RECORD_LEN: u64 = 240;
 
-/// Bytes of a digest that are kept.
+/// Bytes of a digest that are stored.
 pub(super) const DIGEST_LEN: usize = 16;
 
-/// Name of a claim.
-pub(super) type Id = [u8; DIGEST_LEN];
+/// Identifies a claim by the prefix of a digest.
+pub(super) type ClaimId = [u8; DIGEST_LEN];
 
-/// Name of a claim: a digest of organisation and key.
+/// Digest of an organisation and its key.
 ///
-/// Guards against one organisation reading or blocking another's claim by the
-/// same key; it would show as another's letter in the answer. The length in
-/// front keeps `a` + `bc` apart from `ab` + `c`.
-fn digest(organisation: &str, key: &str) -> [u8; 32] {
+/// Guards against one organisation reading or blocking another's claim by using
+/// the same key; it could then receive the other's answer. The length prefix
+/// distinguishes `a` + `bc` from `ab` + `c`.
+fn key_digest(organisation: &str, key: &str) -> [u8; 32] {
     Sha256::new()
         .chain_update((organisation.len() as u64).to_le_bytes())
         .chain_update(organisation)
@@ -37,87 +37,88 @@
         .into()
 }
 
-pub(super) fn id(organisation: &str, key: &str) -> Id {
-    head(&digest(organisation, key))
+pub(super) fn claim_id(organisation: &str, key: &str) -> ClaimId {
+    digest_prefix(&key_digest(organisation, key))
 }
 
-/// The part of a digest that is kept.
-pub(super) fn head(bytes: &[u8]) -> Id {
-    let mut id = Id::default();
+/// The part of a digest that is stored.
+pub(super) fn digest_prefix(bytes: &[u8]) -> ClaimId {
+    let mut id = ClaimId::default();
     let len = bytes.len().min(DIGEST_LEN);
     id[..len].copy_from_slice(&bytes[..len]);
     id
 }
 
-/// The shard, below `shards`, whose register holds the claim.
+/// Index of the shard that holds the claim, less than `shards`.
 ///
 /// The hash is the same in every release. The number of shards must not change
-/// while claims live: choose more shards than groups and map several to each.
+/// while there are claims: choose more shards than groups and map several shards
+/// to each group.
 pub(crate) fn shard(organisation: &str, key: &str, shards: u32) -> u32 {
-    let digest = digest(organisation, key);
+    let digest = key_digest(organisation, key);
     let mut tail = [0; 8];
     tail.copy_from_slice(&digest[24..]);
     let shard = u64::from_le_bytes(tail) % u64::from(shards.max(1));
     u32::try_from(shard).unwrap_or(0)
 }
 
-/// `since` of a claim that has no age yet.
-pub(super) const FRESH: u64 = u64::MAX;
+/// Value of [`Record::since`] for a claim that has no age yet.
+pub(super) const UNAGED: u64 = u64::MAX;
 
 /// A claim whose outcome is awaited.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Pending {
-    /// The sending that holds it.
+    /// The submission that holds the claim.
     pub(super) token: ClaimToken,
     /// As in [`Claim`](crate::claim::Claim), in milliseconds.
     pub(super) dispatch_ms: u32,
     /// As in [`Claim`](crate::claim::Claim), in milliseconds.
     pub(super) ttl_ms: u32,
-    /// Whether a later sending was told that the outcome may be unknown.
+    /// Whether a later submission was told that the outcome is unknown.
     pub(super) reported_unknown: bool,
 }
 
-/// What is known of the outcome. Boxed where it is large: most claims that a
-/// register remembers have ended and keep no answer.
+/// Outcome of a claim, as far as it is known. Large variants are boxed, as most
+/// retained claims have ended and store no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum State {
     /// The outcome is awaited.
     Pending(Box<Pending>),
-    /// It was answered so.
+    /// It was answered; the answer is stored.
     Stored(Box<StoredAnswer>),
-    /// It was answered.
+    /// It was answered; the answer isn't stored.
     NotStored,
-    /// The holder itself can't tell.
+    /// The holder can't tell whether it ran.
     Unknown,
-    /// It didn't run; the key stays used.
+    /// It didn't run; the key stays in use.
     NotRun,
 }
 
-/// One claim.
+/// A claim.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     pub(super) organisation: OrganisationId,
-    /// Head of the request's digest.
-    pub(super) digest: Id,
-    /// Log index of the claim.
+    /// Prefix of the request's digest.
+    pub(super) digest: ClaimId,
+    /// Log index of the claim or of its last renewal.
     pub(super) index: u64,
-    /// Register's time at the first `Expire` after the claim, in milliseconds,
-    /// or [`FRESH`].
+    /// The register's time at the first `Expire` after that index, in milliseconds,
+    /// or [`UNAGED`].
     pub(super) since: u64,
     pub(super) state: State,
 }
 
 impl Record {
-    /// Time since the claim, in milliseconds, at the register's `time`.
+    /// Age of the claim in milliseconds at the register's `time`.
     pub(super) fn age(&self, time: u64) -> u64 {
         match self.since {
-            FRESH => 0,
+            UNAGED => 0,
             since => time.saturating_sub(since),
         }
     }
 
-    /// Bytes that it is counted with.
-    pub(super) fn cost(&self) -> u64 {
+    /// Bytes accounted to the claim.
+    pub(super) fn size(&self) -> u64 {
         let answer_len = match &self.state {
             State::Stored(answer) => answer.body.len() + answer.content_type.len(),
             _ => 0,
@@ -125,26 +126,26 @@
         RECORD_LEN + answer_len as u64
     }
 
-    /// Whether `token` holds it and its outcome is awaited.
-    pub(super) fn held(&self, token: Option<ClaimToken>) -> bool {
+    /// Whether the claim is pending and held by `token`.
+    pub(super) fn held_by(&self, token: Option<ClaimToken>) -> bool {
         matches!(&self.state, State::Pending(pending) if Some(pending.token) == token)
     }
 
-    /// Replies to `claim` of its key at the register's `time`; all times are in
-    /// milliseconds.
-    pub(super) fn found(
+    /// Replies to another `claim` of the same key at the register's `time`. All times
+    /// are in milliseconds.
+    pub(super) fn reply_to(
         &mut self,
         claim: &Claim,
         token: ClaimToken,
         time: u64,
         retention: u64,
     ) -> Reply {
-        // What is said of a claim that is about to be forgotten must stay true
-        // until the caller reads it, although the key may be free and run by then.
+        // The reply must still be true when the caller reads it. A claim that is about
+        // to be discarded may be gone by then, and a request with its key may have run.
         let age = self.age(time);
-        let ending = age + u64::from(claim.dispatch_ms) + LONGEST_STEP >= retention;
-        if self.digest != head(&claim.digest) {
-            return if ending {
+        let near_expiry = age + u64::from(claim.dispatch_ms) + MAX_STEP_MS >= retention;
+        if self.digest != digest_prefix(&claim.digest) {
+            return if near_expiry {
                 Reply::Unknown(())
             } else {
                 Reply::Mismatch(())
@@ -157,24 +158,24 @@
             }
             State::NotStored => Reply::Answered(Answered { answer: None }),
             State::Unknown => Reply::Unknown(()),
-            State::NotRun if ending => Reply::Unknown(()),
+            State::NotRun if near_expiry => Reply::Unknown(()),
             State::NotRun => Reply::NotRun(()),
-            // The proposal arrived twice; the holder still dispatches once.
+            // The proposal was applied twice; the holder dispatches only once.
             State::Pending(held) if held.token == token => {
                 Reply::Granted(Granted { token: Some(token) })
             }
-            State::Pending(held) => pending(held, claim, token, age),
+            State::Pending(held) => reply_pending(held, claim, token, age),
         }
     }
 }
 
-fn pending(held: &mut Pending, claim: &Claim, token: ClaimToken, age: u64) -> Reply {
+fn reply_pending(held: &mut Pending, claim: &Claim, token: ClaimToken, age: u64) -> Reply {
     let holder = held.token;
-    // A holder that started again has lost what it ran.
+    // A restarted holder has lost the request that it was running.
     let restarted = holder.holder == token.holder && holder.incarnation < token.incarnation;
     let may_dispatch = age < u64::from(held.dispatch_ms) && !restarted;
-    let doubted = claim.purpose() == Purpose::HolderDown && !may_dispatch;
-    if restarted || doubted || age >= u64::from(held.ttl_ms) {
+    let holder_down = claim.purpose() == Purpose::HolderDown && !may_dispatch;
+    if restarted || holder_down || age >= u64::from(held.ttl_ms) {
         held.reported_unknown = true;
         return Reply::Unknown(());
     }
--- a/src/claim/snapshot.rs
+++ b/src/claim/snapshot.rs
@@ -1,32 +1,32 @@
-//! The register as a replicated state machine, and its snapshot.
+//! The register as a replicated state machine, and its snapshot format.
 //!
-//! A snapshot is a [`Header`] and then a [`Saved`] for each claim, each with its
-//! length in front. It is written claim by claim: a message of all claims would
-//! take several times their memory.
+//! A snapshot is a [`SnapshotHeader`] followed by a [`SavedClaim`] for each claim,
+//! all length-delimited. Claims are encoded one by one, as a message of all claims
+//! would take several times their memory.
 
 use prost::Message;
 
 use crate::claim::machine::Claims;
 use crate::claim::message::{ClaimToken, Command, Outcome, Reply, StoredAnswer};
-use crate::claim::record::{DIGEST_LEN, FRESH, Id, Pending, Record, State};
+use crate::claim::record::{ClaimId, DIGEST_LEN, Pending, Record, State, UNAGED};
 use crate::collections::HashMap;
 use crate::id::OrganisationId;
 use crate::voter::StateMachine;
 
 #[derive(Clone, PartialEq, Message)]
-struct Header {
+struct SnapshotHeader {
     #[prost(uint64, tag = "1")]
     time: u64,
     #[prost(uint64, tag = "2")]
     tick: u64,
-    /// Names that [`Saved`] counts from 0, in alphabetical order.
+    /// Names in alphabetical order; [`SavedClaim::organisation`] is an index into them.
     #[prost(string, repeated, tag = "3")]
     organisations: Vec<String>,
 }
 
-/// An [`Id`] without an allocation.
+/// A [`ClaimId`] in a form that is decoded without an allocation.
 #[derive(Clone, Copy, PartialEq, Message)]
-struct Pair {
+struct IdHalves {
     #[prost(fixed64, tag = "1")]
     head: u64,
     #[prost(fixed64, tag = "2")]
@@ -34,13 +34,13 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Saved {
+struct SavedClaim {
     #[prost(message, required, tag = "1")]
-    id: Pair,
+    id: IdHalves,
     #[prost(uint32, tag = "2")]
     organisation: u32,
     #[prost(message, required, tag = "3")]
-    digest: Pair,
+    digest: IdHalves,
     #[prost(message, optional, tag = "4")]
     token: Option<ClaimToken>,
     #[prost(uint64, tag = "5")]
@@ -53,13 +53,13 @@
     ttl_ms: u32,
     #[prost(bool, tag = "9")]
     reported_unknown: bool,
-    /// Absent while the outcome is awaited.
+    /// `None` while the claim is pending.
     #[prost(oneof = "Outcome", tags = "13, 14, 15, 16")]
     outcome: Option<Outcome>,
 }
 
-impl From<Id> for Pair {
-    fn from(id: Id) -> Self {
+impl From<ClaimId> for IdHalves {
+    fn from(id: ClaimId) -> Self {
         let value = u128::from_be_bytes(id);
         let half = |value: u128| u64::try_from(value & u128::from(u64::MAX)).unwrap_or(0);
         Self {
@@ -69,23 +69,23 @@
     }
 }
 
-impl From<Pair> for Id {
-    fn from(pair: Pair) -> Self {
+impl From<IdHalves> for ClaimId {
+    fn from(halves: IdHalves) -> Self {
         let mut id = [0; DIGEST_LEN];
-        id[..8].copy_from_slice(&pair.head.to_be_bytes());
-        id[8..].copy_from_slice(&pair.tail.to_be_bytes());
+        id[..8].copy_from_slice(&halves.head.to_be_bytes());
+        id[8..].copy_from_slice(&halves.tail.to_be_bytes());
         id
     }
 }
 
-fn save(id: Id, record: &Record, organisation: u32) -> Saved {
-    let mut saved = Saved {
+fn save(id: ClaimId, record: &Record, organisation: u32) -> SavedClaim {
+    let mut saved = SavedClaim {
         id: id.into(),
         organisation,
         digest: record.digest.into(),
         index: record.index,
-        since: (record.since != FRESH).then_some(record.since),
-        ..Saved::default()
+        since: (record.since != UNAGED).then_some(record.since),
+        ..SavedClaim::default()
     };
     saved.outcome = match &record.state {
         State::Pending(pending) => {
@@ -103,7 +103,7 @@
     saved
 }
 
-fn load(saved: Saved, organisation: OrganisationId) -> Record {
+fn load(saved: SavedClaim, organisation: OrganisationId) -> Record {
     let state = match saved.outcome {
         None => State::Pending(Box::new(Pending {
             token: saved.token.unwrap_or_default(),
@@ -120,7 +120,7 @@
         organisation,
         digest: saved.digest.into(),
         index: saved.index,
-        since: saved.since.unwrap_or(FRESH),
+        since: saved.since.unwrap_or(UNAGED),
         state,
     }
 }
@@ -134,16 +134,16 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        let mut names = self.usage.names();
+        let mut names = self.usage.organisations();
         names.sort_unstable();
         let numbers: HashMap<&OrganisationId, u32> = names.iter().zip(0..).collect();
-        let header = Header {
+        let header = SnapshotHeader {
             time: self.time,
             tick: self.tick,
             organisations: names.iter().map(ToString::to_string).collect(),
         };
         let mut out = header.encode_length_delimited_to_vec();
-        // In order of their index, so that equal states give equal bytes.
+        // Sorted by log index, so that equal states give equal bytes.
         let mut records: Vec<_> = self.records.iter().collect();
         records.sort_unstable_by_key(|(_, record)| record.index);
         for (id, record) in records {
@@ -156,11 +156,11 @@
 
     /// # Panics
     ///
-    /// If the snapshot can't be read. A replica that went on with an empty
+    /// If the snapshot can't be decoded. A replica that continued with an empty
     /// register would grant claims a second time.
     fn restore(&mut self, mut snapshot: &[u8]) {
         const READABLE: &str = "a snapshot of claims that this release wrote";
-        let header = Header::decode_length_delimited(&mut snapshot).expect(READABLE);
+        let header = SnapshotHeader::decode_length_delimited(&mut snapshot).expect(READABLE);
         *self = Self::new(self.bounds);
         self.time = header.time;
         self.tick = header.tick;
@@ -170,7 +170,7 @@
             .map(|name| OrganisationId::from(name.as_str()))
             .collect();
         while !snapshot.is_empty() {
-            let saved = Saved::decode_length_delimited(&mut snapshot).expect(READABLE);
+            let saved = SavedClaim::decode_length_delimited(&mut snapshot).expect(READABLE);
             let name = names[saved.organisation as usize].clone();
             let id = saved.id.into();
             self.insert(id, load(saved, name));
--- a/src/claim/ticker.rs
+++ b/src/claim/ticker.rs
@@ -1,32 +1,34 @@
-//! Drives the register's time.
+//! Advances the register's clock.
 
 use std::time::Duration;
 
 use crate::claim::{Action, Expire, Ticked};
 use crate::clock::Time;
 
-/// Index that no `Expire` has: a proposer that has seen none asks with it.
-const UNSEEN: u64 = u64::MAX;
+/// Stands for the index of the last `Expire` in a proposer that has seen none; no
+/// command has it.
+const NONE_SEEN: u64 = u64::MAX;
 
-/// Proposes [`Expire`] in turn. Any number of instances may run one: the
-/// register applies only the first proposal after each of its own.
+/// Proposes [`Expire`] periodically. Any number of instances may run a ticker: of
+/// the proposals that follow the same `Expire`, the register applies only the
+/// first.
 ///
 /// Clocks of two instances can't be compared and a new leader's clock may be
-/// hours ahead, so a command carries no point in time. It carries the time that
-/// its proposer measured since it saw the last `Expire` applied. Hence the
-/// register's time never runs faster than a real clock, whoever proposes and
-/// however late a proposal arrives; between leaders it stands still.
+/// hours ahead, so a command carries no timestamp, but the time that its proposer
+/// measured since it saw the last `Expire` applied. The register's time therefore
+/// never runs faster than a real clock, whichever instance proposes and however
+/// late a proposal arrives; without a leader it stands still.
 #[derive(Debug)]
 pub(crate) struct Ticker {
     interval: Duration,
-    /// The last `Expire` seen applied, and when it was seen first.
+    /// Index of the last `Expire` seen applied, and when it was first seen.
     seen: Option<(u64, Time)>,
-    /// When to propose next.
+    /// Time of the next proposal.
     next: Time,
 }
 
 impl Ticker {
-    /// A ticker that proposes every `interval`.
+    /// Creates a ticker that proposes every `interval`.
     pub(crate) fn new(interval: Duration) -> Self {
         Self {
             interval,
@@ -35,18 +37,18 @@
         }
     }
 
-    /// The command to propose at `now`, if one is due.
+    /// Returns the command to propose at `now`, if one is due.
     pub(crate) fn poll(&mut self, now: Time) -> Option<Action> {
         if now < self.next {
             return None;
         }
         self.next = now + self.interval;
-        let (after, at) = self.seen.unwrap_or((UNSEEN, now));
+        let (after, at) = self.seen.unwrap_or((NONE_SEEN, now));
         let elapsed = u64::try_from(now.since(at).as_millis()).unwrap_or(u64::MAX);
         Some(Action::Expire(Expire { after, elapsed }))
     }
 
-    /// Takes the reply to a proposal, received at `now`.
+    /// Handles the reply to a proposal, received at `now`.
     pub(crate) fn on_reply(&mut self, now: Time, ticked: Ticked) {
         if self.seen.is_none_or(|(index, _)| ticked.index > index) {
             self.seen = Some((ticked.index, now));
--- a/src/claim/usage.rs
+++ b/src/claim/usage.rs
@@ -1,38 +1,38 @@
-//! What each organisation uses of a register.
+//! Memory accounting of a register, by organisation.
 
 use std::collections::VecDeque;
 
 use crate::claim::machine::Bounds;
-use crate::claim::record::Id;
+use crate::claim::record::ClaimId;
 use crate::collections::HashMap;
 use crate::id::OrganisationId;
 
-/// Entries of released claims that an organisation's order may hold beyond as
-/// many as it has claims.
-const SLACK: usize = 64;
+/// Stale age entries that an organisation may have on top of twice its number of
+/// claims before they are removed.
+const COMPACT_SLACK: usize = 64;
 
-/// A claim's place in the order of age: its log index, and its name. There may
-/// be no record of that index any more.
-pub(super) type Place = (u64, Id);
+/// Log index and id of a claim in the order of age. It is stale if the claim was
+/// renewed or removed since.
+pub(super) type AgeEntry = (u64, ClaimId);
 
 /// Claims of one organisation.
 #[derive(Debug, Default)]
 pub(super) struct Tenant {
     /// Bytes in use.
     used: u64,
-    /// Claims that are remembered.
+    /// Retained claims.
     count: usize,
     /// Claims that have an age, oldest first.
-    pub(super) order: VecDeque<Place>,
+    pub(super) by_age: VecDeque<AgeEntry>,
 }
 
-/// Use of a register, by organisation.
+/// Memory use of a register.
 #[derive(Debug, Default)]
 pub(super) struct Usage {
-    /// Only organisations with claims.
+    /// Organisations that have claims.
     tenants: HashMap<OrganisationId, Tenant>,
-    /// Sum over organisations of what they use beyond the floor, in bytes.
-    beyond: u64,
+    /// Bytes that organisations use beyond their reserved bytes, in total.
+    shared_used: u64,
 }
 
 impl Usage {
@@ -42,22 +42,25 @@
         self.tenants.values().map(|tenant| tenant.used).sum()
     }
 
-    /// Places in the orders of age, those of claims that are gone included.
+    /// Number of age entries, including stale ones.
     #[cfg(test)]
-    pub(super) fn places(&self) -> usize {
-        self.tenants.values().map(|tenant| tenant.order.len()).sum()
+    pub(super) fn age_entries(&self) -> usize {
+        self.tenants
+            .values()
+            .map(|tenant| tenant.by_age.len())
+            .sum()
     }
 
     /// Whether `organisation` may use `more` bytes within `bounds`.
     pub(super) fn fits(&self, bounds: &Bounds, organisation: &OrganisationId, more: u64) -> bool {
         let used = self.tenants.get(organisation).map_or(0, |t| t.used);
         let after = used + more;
-        let extra = over(bounds, after) - over(bounds, used);
-        after <= bounds.share && (extra == 0 || self.beyond + extra <= bounds.shared)
+        let extra = over_reserved(bounds, after) - over_reserved(bounds, used);
+        after <= bounds.quota && (extra == 0 || self.shared_used + extra <= bounds.shared)
     }
 
-    /// Whether `organisation` may keep an answer of `len` bytes. Answers leave
-    /// half of the room to claims, which matter more.
+    /// Whether an answer of `len` bytes may be stored for `organisation`. Answers
+    /// may fill only half of the space, as claims matter more.
     pub(super) fn fits_answer(
         &self,
         bounds: &Bounds,
@@ -66,26 +69,26 @@
     ) -> bool {
         let used = self.tenants.get(organisation).map_or(0, |t| t.used);
         let after = used + len;
-        let shared = after <= bounds.share / 2 && self.beyond + len <= bounds.shared / 2;
-        shared || after <= bounds.floor / 2
+        let shared = after <= bounds.quota / 2 && self.shared_used + len <= bounds.shared / 2;
+        shared || after <= bounds.reserved / 2
     }
 
-    /// The stored copy of the name, so that records share it.
-    pub(super) fn name(&self, organisation: OrganisationId) -> OrganisationId {
+    /// Returns the shared copy of the name, so that records don't duplicate it.
+    pub(super) fn intern(&self, organisation: OrganisationId) -> OrganisationId {
         self.tenants
             .get_key_value(&organisation)
             .map_or(organisation, |(name, _)| name.clone())
     }
 
-    /// Counts a new claim of `bytes`.
+    /// Adds a new claim of `bytes`.
     pub(super) fn add(&mut self, bounds: &Bounds, organisation: &OrganisationId, bytes: u64) {
         let tenant = self.tenants.entry(organisation.clone()).or_default();
         tenant.count += 1;
-        self.change(bounds, organisation, 0, bytes);
+        self.resize(bounds, organisation, 0, bytes);
     }
 
-    /// Counts a claim whose size changes.
-    pub(super) fn change(
+    /// Updates the size of a claim.
+    pub(super) fn resize(
         &mut self,
         bounds: &Bounds,
         organisation: &OrganisationId,
@@ -95,13 +98,14 @@
         if let Some(tenant) = self.tenants.get_mut(organisation) {
             let used = tenant.used;
             tenant.used = used + after - before;
-            self.beyond = self.beyond + over(bounds, tenant.used) - over(bounds, used);
+            self.shared_used =
+                self.shared_used + over_reserved(bounds, tenant.used) - over_reserved(bounds, used);
         }
     }
 
-    /// Counts a claim of `bytes` that is gone.
+    /// Removes a claim of `bytes`.
     pub(super) fn remove(&mut self, bounds: &Bounds, organisation: &OrganisationId, bytes: u64) {
-        self.change(bounds, organisation, bytes, 0);
+        self.resize(bounds, organisation, bytes, 0);
         let Some(tenant) = self.tenants.get_mut(organisation) else {
             return;
         };
@@ -111,30 +115,34 @@
         }
     }
 
-    /// Drops places that aren't `live`, if there are many.
+    /// Removes stale age entries if there are many.
     ///
-    /// Requests that are refused and released, or renewed, at a high rate must
-    /// not fill the memory with places of claims that are gone.
-    pub(super) fn trim(&mut self, organisation: &OrganisationId, live: impl Fn(&Place) -> bool) {
+    /// Without this, claims that are released or renewed at a high rate would fill
+    /// the memory with stale entries.
+    pub(super) fn compact(
+        &mut self,
+        organisation: &OrganisationId,
+        live: impl Fn(&AgeEntry) -> bool,
+    ) {
         let Some(tenant) = self.tenants.get_mut(organisation) else {
             return;
         };
-        if tenant.order.len() > 2 * tenant.count + SLACK {
-            tenant.order.retain(live);
+        if tenant.by_age.len() > 2 * tenant.count + COMPACT_SLACK {
+            tenant.by_age.retain(live);
         }
     }
 
-    /// The claims of one organisation.
+    /// The claims of `organisation`.
     pub(super) fn tenant(&mut self, organisation: &OrganisationId) -> Option<&mut Tenant> {
         self.tenants.get_mut(organisation)
     }
 
-    /// Organisations that have claims, in no certain order.
-    pub(super) fn names(&self) -> Vec<OrganisationId> {
+    /// Organisations that have claims, in no particular order.
+    pub(super) fn organisations(&self) -> Vec<OrganisationId> {
         self.tenants.keys().cloned().collect()
     }
 }
 
-fn over(bounds: &Bounds, used: u64) -> u64 {
-    used.saturating_sub(bounds.floor)
+fn over_reserved(bounds: &Bounds, used: u64) -> u64 {
+    used.saturating_sub(bounds.reserved)
 }
--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -177,8 +177,8 @@
             }) => Answer::Stored(stored),
             Reply::Answered(_) => failed(FailureCode::AnswerNotKept, None),
             // A late reply may be outdated: the key may have been used since.
-            Reply::Mismatch(()) if lease.valid(now) => not_run(RefusalCode::KeyMismatch),
-            Reply::NotRun(()) if lease.valid(now) => not_run(RefusalCode::KeyRetired),
+            Reply::Mismatch(()) if lease.permits_dispatch(now) => not_run(RefusalCode::KeyMismatch),
+            Reply::NotRun(()) if lease.permits_dispatch(now) => not_run(RefusalCode::KeyRetired),
             Reply::Full(full) => {
                 let retry_after = Duration::from_millis(full.retry_after_ms);
                 self.refuse_unclaimed(RefusalCode::ClaimsFull, Some(retry_after))
@@ -209,7 +209,7 @@
     pub(crate) fn renew(mut self, now: Time, lease: Option<ClaimLease>) -> Self {
         let same = |held: &ClaimLease| lease.is_some_and(|l| l.token() == held.token());
         let held = self.state.lease.as_ref();
-        if held.is_some_and(|held| same(held) && held.exclusive(now)) {
+        if held.is_some_and(|held| same(held) && held.is_exclusive(now)) {
             self.state.lease = lease;
         }
         self
@@ -222,7 +222,11 @@
     /// The life itself, when its claim's lease has ended: an instance that was
     /// frozen must not dispatch on a claim that others count as lost.
     pub(crate) fn dispatch(self, now: Time) -> Result<Lifecycle<Dispatched<P>>, Self> {
-        let valid = self.state.lease.as_ref().is_none_or(|l| l.valid(now));
+        let valid = self
+            .state
+            .lease
+            .as_ref()
+            .is_none_or(|l| l.permits_dispatch(now));
         if !valid {
             return Err(self);
         }
@@ -236,7 +240,11 @@
         code: RefusalCode,
         retry_after: Option<Duration>,
     ) -> Answer {
-        let exclusive = self.state.lease.as_ref().is_none_or(|l| l.exclusive(now));
+        let exclusive = self
+            .state
+            .lease
+            .as_ref()
+            .is_none_or(|l| l.is_exclusive(now));
         let ran = if exclusive { Ran::No } else { Ran::Unknown };
         Answer::Refused(Refusal::new(code, ran, retry_after))
     }
--- a/src/tests/claim.rs
+++ b/src/tests/claim.rs
@@ -210,11 +210,11 @@
 /// claims is forgotten early, and another organisation still gets its floor.
 #[test]
 fn claim_full() {
-    let (shared, floor, share) = (0, 1_000, 1_000_000);
+    let (shared, reserved, quota) = (0, 1_000, 1_000_000);
     let bounds = Bounds {
         shared,
-        floor,
-        share,
+        reserved,
+        quota,
         ..Bounds::default()
     };
     let mut log = Log::new(bounds);
@@ -235,7 +235,7 @@
     log.settle("0", HOLDER, Outcome::Stored(stored(900)));
     let found = log.claim("a", "0", HOLDER);
     assert_eq!(found, Reply::Answered(Answered { answer: None }));
-    assert!(log.0.bytes() <= 2 * floor);
+    assert!(log.0.bytes() <= 2 * reserved);
     // Past the retention an old claim makes room, one of its own organisation.
     log.pass(300_000);
     assert_eq!(log.claim("a", "more", HOLDER), granted(HOLDER));
@@ -256,7 +256,11 @@
         log.pass(1_000);
         assert_eq!(log.release(HOLDER), Reply::Done(()));
     }
-    assert!(log.0.places() < 100, "{} places", log.0.places());
+    assert!(
+        log.0.age_entries() < 100,
+        "{} age entries",
+        log.0.age_entries()
+    );
 }
 
 #[test]
@@ -303,7 +307,7 @@
     let count = std::env::var("LQ_CLAIMS").map_or(2_000, |n| n.parse().expect("a number"));
     let bounds = Bounds {
         shared: u64::MAX,
-        share: u64::MAX,
+        quota: u64::MAX,
         ..Bounds::default()
     };
     let before = resident();
--- a/src/tests/lifecycle/register.rs
+++ b/src/tests/lifecycle/register.rs
@@ -18,8 +18,8 @@
     let tight = seed.is_multiple_of(3);
     Claims::new(claim::Bounds {
         retention,
-        longest: retention * if tight { 2 } else { 1 },
-        share: if tight { 1_500 } else { 1 << 20 },
+        max_retention: retention * if tight { 2 } else { 1 },
+        quota: if tight { 1_500 } else { 1 << 20 },
         ..claim::Bounds::default()
     })
 }
