--- a/src/tests/answer.rs
+++ b/src/tests/answer.rs
@@ -1,10 +1,10 @@
-//! Tests of [`crate::request::Answer`] and of its page for callers.
+//! Tests of [`crate::request::Answer`] and of its documentation for callers.
 
 use crate::request::{FailureCode, Ran, RefusalCode};
 
 const PAGE: &str = include_str!("../../docs/REQUESTS.md");
 
-/// Variants that the exhaustive matches in the source name.
+/// Number of variants in the exhaustive matches of the source.
 fn named() -> usize {
     let lines = include_str!("../request/code.rs").lines().map(str::trim);
     let arms = lines.filter(|line| line.starts_with("Self::") && !line.contains(['(', '{']));
@@ -33,8 +33,8 @@
     }
 }
 
-/// A code that the page explains and the program doesn't know would send an
-/// operator after something that can't happen.
+/// A code that is documented but unknown to the program would mislead operators. A
+/// code that is missing in `ALL` would escape the tests above.
 #[test]
 fn page_lists_nothing_else() {
     let rows = PAGE.lines().filter(|line| line.starts_with("| `")).count();
--- a/src/tests/claim.rs
+++ b/src/tests/claim.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// A register with the length of its log.
+/// A register with the index of its last log entry.
 struct Log(Claims, u64);
 
 impl Log {
@@ -74,8 +74,8 @@
         }))
     }
 
-    /// Moves the time on, in steps as a ticker makes them.
-    fn pass(&mut self, mut ms: u64) {
+    /// Advances the time in steps like those of a ticker.
+    fn advance(&mut self, mut ms: u64) {
         let unseen = u64::MAX;
         let mut after = self.expire(unseen, 0);
         while ms > 0 {
@@ -113,7 +113,7 @@
     })
 }
 
-// The first second passes before the claim has an age.
+// The claim has no age until the first second has passed.
 #[rstest]
 #[case::again(token(2, 1, 1), 0, None, in_progress(0, true))]
 #[case::same_sending(HOLDER, 0, None, granted(HOLDER))]
@@ -137,33 +137,33 @@
     if let Some(outcome) = outcome {
         assert_eq!(log.settle("k", HOLDER, outcome), Reply::Done(()));
     }
-    log.pass(ms);
+    log.advance(ms);
     let mut other = Log::new(Bounds::default());
     other.0.restore(&log.0.snapshot());
     other.1 = log.1;
     assert_eq!(log.claim("a", "k", asker), reply);
     assert_eq!(other.claim("a", "k", asker), reply);
-    // Another organisation's claim of the same key is its own.
+    // Another organisation's claim of the same key is independent.
     assert_eq!(log.claim("b", "k", asker), granted(asker));
 }
 
-/// A holder that was slow gives its claim back after others were told that the
-/// outcome is unknown and the request never runs again. That must stay true.
+/// A slow holder releases its claim after another submission was told that the
+/// request's outcome is unknown and that it never runs again. That must stay true.
 #[rstest]
 #[case::early(1_000, granted(token(3, 1, 1)))]
 #[case::told(4_000, Reply::NotRun(()))]
 fn release_then_claim(#[case] ms: u64, #[case] reply: Reply) {
     let mut log = Log::new(Bounds::default());
     log.claim("a", "k", HOLDER);
-    log.pass(ms);
+    log.advance(ms);
     log.claim_for(Purpose::HolderDown, "a", "k", token(2, 1, 1));
     assert_eq!(log.release(token(2, 1, 1)), Reply::Stale(()));
     assert_eq!(log.release(HOLDER), Reply::Done(()));
     assert_eq!(log.claim("a", "k", token(3, 1, 1)), reply);
 }
 
-/// A letter waits for a path, and its caller asks again meanwhile. The holder
-/// renews its claim and goes on, unless someone was told "unknown".
+/// A request waits for a path while its caller submits it again. The holder can
+/// renew its claim, unless the caller was told that the outcome is unknown.
 #[rstest]
 #[case::asked(Purpose::Run, 4_000, granted(HOLDER), in_progress(0, true))]
 #[case::early(Purpose::HolderDown, 1_000, granted(HOLDER), in_progress(0, true))]
@@ -181,7 +181,7 @@
         Reply::Stale(())
     );
     log.claim("a", "k", HOLDER);
-    log.pass(ms);
+    log.advance(ms);
     log.claim_for(purpose, "a", "k", asker);
     assert_eq!(
         log.claim_for(Purpose::Renew, "a", "k", asker),
@@ -191,8 +191,8 @@
     assert_eq!(log.claim_for(Purpose::HolderDown, "a", "k", asker), reply);
 }
 
-/// A ticker's proposal is delayed for ten seconds while a claim is made. The
-/// claim is young: what passed before it must not count.
+/// A ticker's proposal is delayed for ten seconds, and a claim is made meanwhile.
+/// The time before the claim must not count towards its age.
 #[test]
 fn expire_delayed() {
     let mut log = Log::new(Bounds::default());
@@ -206,8 +206,8 @@
     assert_eq!(log.claim("a", "k", asker), in_progress(0, true));
 }
 
-/// An organisation fills its share. Its new claims are refused, none of its
-/// claims is forgotten early, and another organisation still gets its floor.
+/// An organisation uses up its space. Its new claims are refused, none of its claims
+/// is discarded early, and another organisation can still use its reserved bytes.
 #[test]
 fn claim_full() {
     let (shared, reserved, quota) = (0, 1_000, 1_000_000);
@@ -224,36 +224,36 @@
     };
     let first = fill(&mut log, "a");
     assert!(first > 0);
-    log.pass(301_000);
+    log.advance(301_000);
     let full = Reply::Full(Full {
         retry_after_ms: 300_000,
     });
     assert_eq!(log.claim("a", "more", HOLDER), full);
     assert_eq!(fill(&mut log, "b"), first);
     assert_eq!(fill(&mut log, "a"), first, "each one is still held");
-    // No room for answers either: the fact is kept, not the text.
+    // There is no space for the answer either, so only the fact is recorded.
     log.settle("0", HOLDER, Outcome::Stored(stored(900)));
     let found = log.claim("a", "0", HOLDER);
     assert_eq!(found, Reply::Answered(Answered { answer: None }));
     assert!(log.0.bytes() <= 2 * reserved);
-    // Past the retention an old claim makes room, one of its own organisation.
-    log.pass(300_000);
+    // After the retention, an old claim of the same organisation is discarded.
+    log.advance(300_000);
     assert_eq!(log.claim("a", "more", HOLDER), granted(HOLDER));
     assert_eq!(log.claim("a", "1", HOLDER), granted(HOLDER));
     assert_eq!(fill(&mut log, "b"), first);
-    log.pass(86_402_000);
+    log.advance(86_402_000);
     assert_eq!((log.0.len(), log.0.bytes()), (0, 0));
 }
 
-/// All engines are down for an hour: every letter is claimed, refused a second
-/// later and released. The register must not grow with claims that are gone.
+/// While all engines are down, each request is claimed, refused a second later and
+/// released. The register must not grow with released claims.
 #[test]
 fn release_many() {
     let mut log = Log::new(Bounds::default());
     log.claim("a", "kept", HOLDER);
     for _ in 0..3_600 {
         log.claim("a", "k", HOLDER);
-        log.pass(1_000);
+        log.advance(1_000);
         assert_eq!(log.release(HOLDER), Reply::Done(()));
     }
     assert!(
@@ -287,12 +287,12 @@
     assert_eq!(ticker.poll(at(5_000)), expire(u64::MAX, 0));
     assert_eq!(ticker.poll(at(5_999)), None);
     ticker.on_reply(at(6_000), Ticked { index: 9 });
-    // A later reply about the same one tells nothing new.
+    // A later reply with the same index is ignored.
     ticker.on_reply(at(6_500), Ticked { index: 9 });
     assert_eq!(ticker.poll(at(7_200)), expire(9, 1_200));
 }
 
-/// Claims must stay where they are over an upgrade.
+/// Claims must stay in their shards across upgrades.
 #[rstest]
 #[case("a", "key", 34)]
 #[case("ab", "c", 49)]
@@ -301,7 +301,7 @@
     assert_eq!(shard(organisation, key, 64), expected);
 }
 
-/// Prints what a claim costs. `LQ_CLAIMS` sets the number of claims.
+/// Prints time and memory per claim. `LQ_CLAIMS` sets the number of claims.
 #[test]
 fn claim_cost() {
     let count = std::env::var("LQ_CLAIMS").map_or(2_000, |n| n.parse().expect("a number"));
--- a/src/tests/generation.rs
+++ b/src/tests/generation.rs
@@ -52,7 +52,7 @@
 }
 
 impl Run {
-    /// A run whose first attempt is sent. A keyed one holds a claim.
+    /// A generation whose first attempt has been sent. A keyed one holds a claim.
     fn sent(idempotent: bool, keyed: bool) -> Self {
         let mut run = Self::opened(idempotent, keyed);
         run.start(1);
@@ -102,7 +102,7 @@
         });
     }
 
-    fn broken(&mut self, attempt: u32, cause: AttemptError) {
+    fn fail(&mut self, attempt: u32, cause: AttemptError) {
         let suspect = None;
         self.step(Event::Failed {
             attempt,
@@ -115,7 +115,7 @@
         matches!(self.out[..], [Effect::Emit { .. }])
     }
 
-    /// Code and `ran` of the answer that the last step gave.
+    /// Code and `ran` of the answer given by the last step.
     fn answer(&self) -> Option<(&'static str, Ran)> {
         self.out.iter().find_map(|effect| match effect {
             Effect::Finish(answer) => Some((answer.code(), answer.ran())),
@@ -123,7 +123,7 @@
         })
     }
 
-    fn open(&self) -> Option<(u32, u32)> {
+    fn opened_attempt(&self) -> Option<(u32, u32)> {
         self.out.iter().find_map(|effect| match effect {
             Effect::Open {
                 attempt, resume, ..
@@ -143,21 +143,21 @@
     }
 }
 
-/// A stage dies in the middle of an answer. The caller sees a short pause and
-/// then the rest, each token once, though the old connection still brings some.
+/// A stage fails in the middle of an answer. The caller must get each remaining
+/// token once, although the old connection still delivers some.
 #[test]
 fn step_resume() {
     let mut run = Run::sent(true, false);
     run.frame(1, 1, 0);
-    run.broken(1, AttemptError::ConnectionLost);
-    assert_eq!(run.open(), Some((2, 1)));
+    run.fail(1, AttemptError::ConnectionLost);
+    assert_eq!(run.opened_attempt(), Some((2, 1)));
     run.start(2);
     run.frame(1, 1, 1);
     assert_eq!(run.out, []);
-    // The new attempt isn't broken by what the old connection claims to be.
+    // A frame on the old connection that names the new attempt is ignored.
     run.frame(1, 2, 1);
     assert_eq!(run.out, []);
-    // Nor by a token of the old attempt on the new connection.
+    // So is a token of the old attempt on the new connection.
     run.frame(2, 1, 1);
     assert_eq!(run.out, []);
     run.frame(2, 2, 1);
@@ -216,46 +216,46 @@
 ) {
     let mut run = Run::sent(idempotent, false);
     let mut attempt = 1;
-    run.broken(attempt, cause);
-    while let Some((next, _)) = run.open() {
+    run.fail(attempt, cause);
+    while let Some((next, _)) = run.opened_attempt() {
         attempt = next;
         run.start(attempt);
-        run.broken(attempt, cause);
+        run.fail(attempt, cause);
     }
     assert_eq!(run.answer(), answer);
     assert!(attempt <= bounds().max_attempts);
 }
 
-/// The first engine has gone. The others of its path are well and must stay in
-/// the choice, else a fleet of few engines has no path left.
+/// The first engine of a path is down. The others must stay eligible, or a fleet of
+/// few engines has no path left.
 #[test]
 fn broken_refused_excludes_first() {
     let mut run = Run::sent(true, false);
-    run.broken(1, AttemptError::Refused);
+    run.fail(1, AttemptError::Refused);
     let opened =
         |e: &Effect| matches!(e, Effect::Open { exclude, .. } if *exclude == ["e1".into()]);
     assert!(run.out.iter().any(opened));
 }
 
-/// An operator changes the pools of a route while requests wait for a path.
-/// They must get a path in the new pools; they were refused instead.
+/// An operator changes the pools of a route while requests wait for a path. They
+/// must get a path in the new pools, where they used to be refused.
 #[test]
 fn outdated_chooses_again() {
     let mut run = Run::opened(true, false);
     run.step(Event::Outdated { attempt: 1 });
-    assert_eq!(run.open(), Some((2, 0)));
+    assert_eq!(run.opened_attempt(), Some((2, 0)));
     run.start(2);
-    // One that comes late says nothing of the attempt in flight.
+    // A late one doesn't affect the attempt in flight.
     run.step(Event::Outdated { attempt: 2 });
     assert_eq!(run.out, []);
 }
 
-/// One attempt ran and broke, the next finds every engine busy. The caller must
+/// An attempt runs and fails, and the next finds every engine busy. The caller must
 /// not be told that nothing ran.
 #[test]
 fn busy_after_cut() {
     let mut run = Run::sent(true, false);
-    run.broken(1, AttemptError::ConnectionLost);
+    run.fail(1, AttemptError::ConnectionLost);
     run.start(2);
     run.step(Event::Busy {
         attempt: 2,
@@ -270,18 +270,18 @@
     assert_eq!(run.answer(), Some(("answer_cut", Ran::Unknown)));
 }
 
-/// The last token came and the closing event was lost: the answer is whole, and
-/// a second attempt would have nothing to do.
+/// The last token arrives but the closing event is lost. The answer is complete, and
+/// another attempt would have nothing to generate.
 #[test]
 fn broken_after_last() {
     let mut run = Run::sent(false, false);
     (0..3).for_each(|index| run.frame(1, 1, index));
-    run.broken(1, AttemptError::ConnectionLost);
+    run.fail(1, AttemptError::ConnectionLost);
     assert_eq!(run.answer(), Some(("complete", Ran::Yes)));
 }
 
-/// The caller of a letter closes its connection. The letter goes out all the
-/// same, and a later sending with the same key gets the kept answer.
+/// The caller of a keyed request disconnects. The request must still run to its end,
+/// so that a later submission with the same key gets the stored answer.
 #[test]
 fn left_keyed() {
     let mut run = Run::sent(false, true);
@@ -307,8 +307,8 @@
     assert_eq!(run.answer(), Some(("complete", Ran::Yes)));
 }
 
-/// An instance freezes between claim and dispatch. When it wakes, others count
-/// its claim as lost; it must send nothing and give the claim back.
+/// An instance freezes between claim and dispatch, until others consider its claim
+/// lost. It must then send nothing and release the claim.
 #[test]
 fn started_after_lease() {
     let mut run = Run::opened(false, true);
@@ -324,9 +324,9 @@
     assert_eq!(run.answer(), Some(("claim_lapsed", Ran::No)));
 }
 
-/// A letter waits for a path for longer than its claim lets it dispatch. The
-/// claim is renewed and the letter goes out, unless the lease is another's or
-/// the claim may have been forgotten meanwhile.
+/// A request waits for a path for longer than its dispatch window. Its claim is
+/// renewed and it is sent, unless the lease belongs to another submission or the
+/// claim may have been discarded meanwhile.
 #[rstest]
 #[case::own(9, 5, true)]
 #[case::other(8, 5, false)]
@@ -367,7 +367,7 @@
     (0..tokens).for_each(|index| run.frame(1, 1, index));
     run.now = START + Duration::from_millis(ms);
     run.step(Event::Tick);
-    assert_eq!(run.open(), open);
+    assert_eq!(run.opened_attempt(), open);
     let report = AttemptReport::Failed {
         cause: AttemptError::Timeout,
         suspect: None,
@@ -392,8 +392,8 @@
     assert_eq!(run.out, []);
 }
 
-/// Every refusal of a letter before its claim is granted may be about a resend.
-/// The first sending may have run, so "not run" would be false.
+/// A keyed request that is refused before its claim is granted may be a resend. The
+/// first submission may have run, so "not run" could be false.
 #[test]
 fn refuse_keyed() {
     let code = crate::request::RefusalCode::QueueFull;
@@ -403,9 +403,8 @@
     assert_eq!(refuse(false).ran(), Ran::No);
 }
 
-/// Three instances share a full engine, and a request that comes there is told
-/// "busy" again and again. It has only to wait: that must not use up the
-/// attempts and the retry budget, which are for failures.
+/// Instances share a full engine, so a request finds it busy again and again. Waiting
+/// must not use up the attempts and the retry budget, which are for failures.
 #[test]
 fn busy_waits() {
     let mut run = Run::sent(true, false);
@@ -420,12 +419,12 @@
         }));
         run.start(attempt + 1);
     }
-    run.broken(20, AttemptError::ConnectionLost);
-    assert_eq!(run.open(), Some((21, 0)));
+    run.fail(20, AttemptError::ConnectionLost);
+    assert_eq!(run.opened_attempt(), Some((21, 0)));
 }
 
-/// A plain service does its work and then finds another one busy: it answers
-/// 503. The caller must not be told that the call wasn't run.
+/// A plain service does its work, then finds another service busy and answers 503.
+/// The caller must not be told that the call didn't run.
 #[rstest]
 #[case::engine(true, ("upstream_busy", Ran::No))]
 #[case::service(false, ("outcome_unknown", Ran::Unknown))]
@@ -433,7 +432,7 @@
     let mut run = Run::sent(false, false);
     let mut attempt = 1;
     run.step(Event::Busy { attempt, not_run });
-    while let Some((next, _)) = run.open() {
+    while let Some((next, _)) = run.opened_attempt() {
         attempt = next;
         run.start(attempt);
         run.step(Event::Busy { attempt, not_run });
@@ -441,8 +440,8 @@
     assert_eq!(run.answer(), Some(answer));
 }
 
-/// The driver gets the end of the claim's lease with the order to send, to look
-/// at it again when it is connected.
+/// The driver must get the end of the claim's lease, to check it again once it is
+/// connected.
 #[rstest]
 #[case::keyed(true, Some(START + Duration::from_millis(1_800)))]
 #[case::free(false, None)]
--- a/src/tests/lifecycle.rs
+++ b/src/tests/lifecycle.rs
@@ -1,7 +1,7 @@
-//! Randomised runs of requests, claims and engines under faults.
+//! Randomised simulation of requests, claims and engines under faults.
 //!
-//! Each run is a discrete simulation with one seed. `LQ_RUNS` sets the number
-//! of runs and `LQ_FIRST` the first seed, to replay a failure.
+//! Each run is a discrete-event simulation with its own seed. `LQ_RUNS` sets the
+//! number of runs and `LQ_FIRST` the first seed, to replay a failure.
 
 mod caller;
 mod check;
@@ -14,11 +14,11 @@
 
 const RUNS: u64 = 500;
 
-/// A caller sends a letter's request, and sends it again through another
-/// instance when the answer is lost. Meanwhile instances crash and freeze
-/// between claim and dispatch and after it, proposals are lost and doubled, and
-/// engines break off, skip layers, repeat tokens, mix up streams and send late.
-/// The letter must go out once, and every answer must be its own.
+/// Callers submit requests, and submit them again through another instance when the
+/// answer is lost. Meanwhile instances crash and freeze before and after dispatch,
+/// proposals are lost and duplicated, and engines disconnect, skip layers, repeat
+/// tokens, mix up streams and send late. A non-idempotent request must run at most
+/// once, and each caller must get its own answer.
 #[test]
 fn run_faults() {
     let runs = number("LQ_RUNS", RUNS);
--- a/src/tests/lifecycle/caller.rs
+++ b/src/tests/lifecycle/caller.rs
@@ -1,4 +1,4 @@
-//! The callers, and what an instance holds of each sending.
+//! The simulated callers and their submissions.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,12 +6,12 @@
 
 use rand::RngExt;
 
-use super::world::{Back, END, INSTANCES, Phase, RETENTION, What, World};
+use super::world::{END, INSTANCES, Phase, RETENTION, ReplyTo, SimEvent, World};
 use crate::claim::{ClaimLease, Purpose};
 use crate::request::{Answer, Event, Hop, Lifecycle, RequestId};
 use crate::{Incarnation, InstanceId};
 
-/// Counts the permits given and not given back.
+/// A permit that counts how many are held.
 #[derive(Debug)]
 pub(super) struct Permit(Rc<Cell<i64>>);
 
@@ -28,7 +28,7 @@
     }
 }
 
-pub(super) struct Sending {
+pub(super) struct Submission {
     pub(super) caller: usize,
     pub(super) instance: usize,
     pub(super) id: RequestId,
@@ -36,17 +36,17 @@
     pub(super) permits: Rc<Cell<i64>>,
     /// Real time at which the register first granted its claim.
     pub(super) granted: Option<u64>,
-    /// The grant that the register's reply is about.
-    pub(super) about: u64,
+    /// Time of the grant that the last reply of the register is about.
+    pub(super) reply_grant: u64,
     pub(super) answer: Option<Answer>,
     pub(super) emitted: u32,
     pub(super) resume: u32,
     pub(super) path: Vec<Hop>,
-    /// A start that waits for a renewal, and the lease that this gives.
+    /// A start that waits for the renewal of its claim, and the new lease.
     pub(super) renewing: Option<(Event, ClaimLease)>,
-    /// The attempt whose connection is open.
-    pub(super) flight: Option<u32>,
-    /// The last attempt that was sent.
+    /// The attempt in flight, from `Send` to `Cancel`.
+    pub(super) in_flight: Option<u32>,
+    /// The last attempt that was sent to an engine.
     pub(super) sent: u32,
 }
 
@@ -66,7 +66,7 @@
             idempotent,
         } = self.callers[caller].clone();
         let incarnation = Incarnation(self.instances[instance].incarnation);
-        let number = self.sendings.len();
+        let number = self.submissions.len();
         let id = RequestId {
             instance: InstanceId(instance as u64 + 1),
             incarnation,
@@ -76,44 +76,44 @@
         let life = Lifecycle::new(id, organisation.into(), idempotent, key.is_some());
         let life = life.admit(Permit::new(&permits));
         let retention = Duration::from_millis(RETENTION);
-        let lease = ClaimLease::new(id.into(), self.local(instance), retention);
+        let lease = ClaimLease::new(id.into(), self.local_time(instance), retention);
         let needed = life.needs_claim();
-        self.totals.sendings += 1;
-        self.sendings.push(Sending {
+        self.totals.submissions += 1;
+        self.submissions.push(Submission {
             caller,
             instance,
             id,
             phase: Phase::Waiting(life, lease),
             permits,
             granted: None,
-            about: 0,
+            reply_grant: 0,
             answer: None,
             emitted: 0,
             resume: 0,
             path: Vec::new(),
             renewing: None,
-            flight: None,
+            in_flight: None,
             sent: 0,
         });
         if self.chance(15) {
             let delay = self.rng.random_range(0..600);
-            self.push(delay, What::Event(number, Event::CallerLeft));
-            self.again(caller);
+            self.push(delay, SimEvent::Event(number, Event::CallerLeft));
+            self.resubmit(caller);
         }
         if needed {
-            self.propose(self.claim(number, Purpose::Run), Back::Claim(number));
-            self.push(900, What::Patience(number));
+            self.propose(self.claim(number, Purpose::Run), ReplyTo::Claim(number));
+            self.push(900, SimEvent::ClaimTimeout(number));
         } else {
             let (life, _) = self.waiting(number).expect("just arrived");
             self.generate(number, Ok(life.without_claim().expect("needs no claim")));
         }
     }
 
-    /// The caller sends the same request again, if it may.
-    pub(super) fn again(&mut self, caller: usize) {
+    /// Submits the same request again, if it has a key.
+    pub(super) fn resubmit(&mut self, caller: usize) {
         let delay = self.rng.random_range(50..4_000);
         if self.callers[caller].key.is_some() && self.now + delay < END {
-            self.push(delay, What::Arrive(caller));
+            self.push(delay, SimEvent::Arrive(caller));
         }
     }
 }
--- a/src/tests/lifecycle/register.rs
+++ b/src/tests/lifecycle/register.rs
@@ -1,20 +1,21 @@
-//! The simulated register: two replicas behind a lossy way of proposals.
+//! The simulated register: two replicas, to which proposals may be lost or
+//! duplicated.
 
 use std::time::Duration;
 
 use rand::RngExt;
 
-use super::caller::{Caller, Permit, Sending};
-use super::world::{Back, END, Phase, RETENTION, What, World};
+use super::caller::{Caller, Permit, Submission};
+use super::world::{END, Phase, RETENTION, ReplyTo, SimEvent, World};
 use crate::claim::{self, Action, Claim, ClaimLease, ClaimToken, Claims, Granted, Purpose, Reply};
 use crate::request::{Admitted, Effect, Event, Lifecycle, RefusalCode};
 use crate::voter::StateMachine;
 
 /// An empty replica.
-pub(super) fn register(seed: u64) -> Claims {
+pub(super) fn new_register(seed: u64) -> Claims {
     let retention = Duration::from_millis(RETENTION);
-    // In every third run claims are kept for longer while there is room, and
-    // there is little.
+    // In every third run, claims are retained for longer while there is space, and
+    // space is scarce.
     let tight = seed.is_multiple_of(3);
     Claims::new(claim::Bounds {
         retention,
@@ -25,8 +26,8 @@
 }
 
 impl World {
-    pub(super) fn claim(&self, sending: usize, purpose: Purpose) -> Action {
-        let Sending { caller, id, .. } = &self.sendings[sending];
+    pub(super) fn claim(&self, submission: usize, purpose: Purpose) -> Action {
+        let Submission { caller, id, .. } = &self.submissions[submission];
         let Caller {
             organisation, key, ..
         } = &self.callers[*caller];
@@ -41,100 +42,102 @@
         })
     }
 
-    pub(super) fn propose(&mut self, action: Action, back: Back) {
+    pub(super) fn propose(&mut self, action: Action, reply_to: ReplyTo) {
         let command = action.into_bytes();
         if self.chance(4) {
             let delay = self.rng.random_range(0..14_000);
-            self.push(delay, What::Apply(command.clone(), Back::Nobody));
+            self.push(delay, SimEvent::Apply(command.clone(), ReplyTo::Nobody));
         }
         if !self.chance(4) {
             let delay = self.rng.random_range(1..20);
-            self.push(delay, What::Apply(command, back));
+            self.push(delay, SimEvent::Apply(command, reply_to));
         }
     }
 
-    pub(super) fn apply(&mut self, command: &[u8], back: Back) {
+    pub(super) fn apply(&mut self, command: &[u8], reply_to: ReplyTo) {
         self.index += 1;
         let reply = self.register.apply(self.index, command);
         let other = self.replica.apply(self.index, command);
         assert_eq!(reply, other, "seed {}: replicas differ", self.seed);
-        self.observe(back, &reply);
+        self.observe(reply_to, &reply);
         if self.chance(2) {
             let snapshot = self.register.snapshot();
             assert_eq!(snapshot, self.replica.snapshot(), "seed {}", self.seed);
-            self.register = register(self.seed);
+            self.register = new_register(self.seed);
             self.register.restore(&snapshot);
         }
         if !self.chance(4) {
             let delay = self.rng.random_range(1..20);
-            self.push(delay, What::Reply(reply, back));
+            self.push(delay, SimEvent::Reply(reply, reply_to));
         }
     }
 
-    /// Notes grants, to tie every "unknown" to the grant that it is about.
-    fn observe(&mut self, back: Back, reply: &[u8]) {
+    /// Records grants, to relate each "unknown" reply to the grant that it is about.
+    fn observe(&mut self, reply_to: ReplyTo, reply: &[u8]) {
         let now = self.now;
         if let Some(Reply::Granted(Granted { token: Some(token) })) = Reply::from_bytes(reply) {
-            let sending = token.sequence as usize;
-            if self.sendings[sending].granted.is_none() {
-                self.sendings[sending].granted = Some(now);
-                self.work(sending).granted = now;
+            let submission = token.sequence as usize;
+            if self.submissions[submission].granted.is_none() {
+                self.submissions[submission].granted = Some(now);
+                self.history(submission).granted = now;
             }
         }
-        if let Back::Claim(sending) = back {
-            self.sendings[sending].about = self.work(sending).granted;
+        if let ReplyTo::Claim(submission) = reply_to {
+            self.submissions[submission].reply_grant = self.history(submission).granted;
         }
     }
 
-    pub(super) fn reply(&mut self, reply: &[u8], back: Back) {
+    pub(super) fn reply(&mut self, reply: &[u8], reply_to: ReplyTo) {
         let reply = Reply::from_bytes(reply).expect("a reply");
-        match (back, reply) {
-            (Back::Claim(sending), reply) => self.claimed(sending, reply),
-            (Back::Renew(sending), reply) => self.renewed(sending, &reply),
-            (Back::Tick(instance), Reply::Ticked(ticked)) => {
-                let now = self.local(instance);
+        match (reply_to, reply) {
+            (ReplyTo::Claim(submission), reply) => self.claimed(submission, reply),
+            (ReplyTo::Renew(submission), reply) => self.renewed(submission, &reply),
+            (ReplyTo::Tick(instance), Reply::Ticked(ticked)) => {
+                let now = self.local_time(instance);
                 self.instances[instance].ticker.on_reply(now, ticked);
             }
             _ => {}
         }
     }
 
-    fn claimed(&mut self, sending: usize, reply: Reply) {
-        // Whether the holder is believed to be down has nothing to do with
-        // whether it is.
+    fn claimed(&mut self, submission: usize, reply: Reply) {
+        // Whether the holder is believed to be down is independent of whether it is.
         let held = matches!(&reply, Reply::InProgress(found) if !found.may_dispatch);
         if held && self.chance(50) {
-            let doubt = self.claim(sending, Purpose::HolderDown);
-            return self.propose(doubt, Back::Claim(sending));
+            let doubt = self.claim(submission, Purpose::HolderDown);
+            return self.propose(doubt, ReplyTo::Claim(submission));
         }
-        let now = self.local(self.sendings[sending].instance);
-        if let Some((life, lease)) = self.waiting(sending) {
-            self.generate(sending, life.claimed(now, lease, reply));
+        let now = self.local_time(self.submissions[submission].instance);
+        if let Some((life, lease)) = self.waiting(submission) {
+            self.generate(submission, life.claimed(now, lease, reply));
         }
     }
 
-    /// Renews the claim before the attempt starts, if its lease is short.
-    pub(super) fn start(&mut self, sending: usize, event: Event) {
-        let now = self.local(self.sendings[sending].instance);
-        let Phase::Running(generation) = &self.sendings[sending].phase else {
+    /// Renews the claim before the attempt starts, if its lease is about to end.
+    pub(super) fn start(&mut self, submission: usize, event: Event) {
+        let now = self.local_time(self.submissions[submission].instance);
+        let Phase::Running(generation) = &self.submissions[submission].phase else {
             return;
         };
         let short = generation
             .pending_lease()
             .is_some_and(|lease| lease.needs_renewal(now));
         if !short {
-            return self.step(sending, event);
+            return self.step(submission, event);
         }
         let retention = Duration::from_millis(RETENTION);
-        let lease = ClaimLease::new(self.sendings[sending].id.into(), now, retention);
-        self.sendings[sending].renewing = Some((event, lease));
-        self.propose(self.claim(sending, Purpose::Renew), Back::Renew(sending));
-        self.push(900, What::Patience(sending));
+        let lease = ClaimLease::new(self.submissions[submission].id.into(), now, retention);
+        self.submissions[submission].renewing = Some((event, lease));
+        self.propose(
+            self.claim(submission, Purpose::Renew),
+            ReplyTo::Renew(submission),
+        );
+        self.push(900, SimEvent::ClaimTimeout(submission));
     }
 
-    fn renewed(&mut self, sending: usize, reply: &Reply) {
+    fn renewed(&mut self, submission: usize, reply: &Reply) {
         if let Some((Event::Started { attempt, path, .. }, held)) =
-            self.sendings[sending].renewing.take()
+            self.submissions[submission].renewing.take()
         {
             let lease = matches!(reply, Reply::Granted(_)).then_some(held);
             let event = Event::Started {
@@ -142,19 +145,19 @@
                 path,
                 lease,
             };
-            self.step(sending, event);
+            self.step(submission, event);
         }
     }
 
-    pub(super) fn patience(&mut self, sending: usize) {
-        self.renewed(sending, &Reply::Stale(()));
-        if let Some((life, lease)) = self.waiting(sending) {
+    pub(super) fn claim_timeout(&mut self, submission: usize) {
+        self.renewed(submission, &Reply::Stale(()));
+        if let Some((life, lease)) = self.waiting(submission) {
             self.generate(
-                sending,
+                submission,
                 Err(life.refuse(RefusalCode::ClaimUnavailable, None)),
             );
             self.effect(
-                sending,
+                submission,
                 Effect::Release {
                     token: lease.token(),
                 },
@@ -164,10 +167,10 @@
 
     pub(super) fn waiting(
         &mut self,
-        sending: usize,
+        submission: usize,
     ) -> Option<(Lifecycle<Admitted<Permit>>, ClaimLease)> {
-        let phase = &mut self.sendings[sending].phase;
-        match std::mem::replace(phase, Phase::Over) {
+        let phase = &mut self.submissions[submission].phase;
+        match std::mem::replace(phase, Phase::Ended) {
             Phase::Waiting(life, lease) => Some((life, lease)),
             other => {
                 *phase = other;
@@ -177,12 +180,12 @@
     }
 
     pub(super) fn poll(&mut self, instance: usize) {
-        let now = self.local(instance);
+        let now = self.local_time(instance);
         if let Some(action) = self.instances[instance].ticker.poll(now) {
-            self.propose(action, Back::Tick(instance));
+            self.propose(action, ReplyTo::Tick(instance));
         }
         if self.now < 2 * END {
-            self.push(100, What::Poll(instance));
+            self.push(100, SimEvent::Poll(instance));
         }
     }
 }
--- a/src/tests/lifecycle/world.rs
+++ b/src/tests/lifecycle/world.rs
@@ -4,10 +4,10 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use super::caller::{Caller, Permit, Sending};
-use super::check::{Totals, Work};
-use super::engine::{broken, unopened};
-use super::register::register;
+use super::caller::{Caller, Permit, Submission};
+use super::check::{RequestHistory, Totals};
+use super::engine::{failed, open_failed};
+use super::register::new_register;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -23,23 +23,23 @@
 pub(super) const CALLERS: usize = 24;
 pub(super) const LAYERS: u32 = 8;
 pub(super) const TOKENS: u32 = 6;
-/// Retention of claims, short so that runs reach its end. Milliseconds.
+/// Retention of claims in milliseconds; short enough for runs to reach its end.
 pub(super) const RETENTION: u64 = 12_000;
-/// Callers send again until here; faults end here too. Milliseconds.
+/// Time in milliseconds until which callers submit requests again and faults occur.
 pub(super) const END: u64 = 40_000;
-/// Time between two runs of one key below which the second is a double: a
-/// claim is forgotten [`RETENTION`] after it, and runs up to `START` later.
+/// Milliseconds within which a second run of a key is an error: a claim is discarded
+/// [`RETENTION`] after it was made, and its request runs up to 2 s after that time.
 pub(super) const WINDOW: u64 = RETENTION - 2_000;
 
-pub(super) enum What {
-    /// A caller sends its request.
+pub(super) enum SimEvent {
+    /// A caller submits its request.
     Arrive(usize),
-    Apply(Vec<u8>, Back),
-    Reply(Vec<u8>, Back),
-    /// The wait for the claim's reply ends.
-    Patience(usize),
+    Apply(Vec<u8>, ReplyTo),
+    Reply(Vec<u8>, ReplyTo),
+    /// The wait for the reply to a claim ends.
+    ClaimTimeout(usize),
     Event(usize, Event),
-    /// The connection for an attempt is there.
+    /// The connection for an attempt is established.
     Connected(usize, u32, Option<Time>),
     Poll(usize),
     Crash(usize),
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Copy)]
-pub(super) enum Back {
+pub(super) enum ReplyTo {
     Claim(usize),
     Renew(usize),
     Tick(usize),
@@ -57,14 +57,14 @@
 pub(super) enum Phase {
     Waiting(Lifecycle<Admitted<Permit>>, ClaimLease),
     Running(Box<Generation<Permit>>),
-    Over,
+    Ended,
 }
 
 pub(super) struct Instance {
     pub(super) incarnation: u64,
     frozen: u64,
     offset: u64,
-    /// Thousandths that its clock runs per real thousandth.
+    /// Speed of its clock, in thousandths of real time.
     rate: u64,
     pub(super) ticker: Ticker,
     budget: Budget,
@@ -77,13 +77,13 @@
     pub(super) now: u64,
     count: u64,
     heap: BinaryHeap<Reverse<(u64, u64)>>,
-    events: HashMap<u64, What>,
+    events: HashMap<u64, SimEvent>,
     pub(super) instances: Vec<Instance>,
     pub(super) callers: Vec<Caller>,
-    pub(super) sendings: Vec<Sending>,
-    pub(super) works: HashMap<String, Work>,
+    pub(super) submissions: Vec<Submission>,
+    pub(super) histories: HashMap<String, RequestHistory>,
     pub(super) register: Claims,
-    /// Applies the same log without the restarts.
+    /// Applies the same log, but is never restored from a snapshot.
     pub(super) replica: Claims,
     pub(super) index: u64,
     pub(super) totals: Totals,
@@ -115,10 +115,10 @@
             events: HashMap::default(),
             instances,
             callers: callers.collect(),
-            sendings: Vec::new(),
-            works: HashMap::default(),
-            register: register(seed),
-            replica: register(seed),
+            submissions: Vec::new(),
+            histories: HashMap::default(),
+            register: new_register(seed),
+            replica: new_register(seed),
             index: 0,
             totals: Totals::default(),
             rng,
@@ -130,31 +130,31 @@
     fn prepare(&mut self) {
         for caller in 0..CALLERS {
             let at = self.rng.random_range(0..8_000);
-            self.push(at, What::Arrive(caller));
+            self.push(at, SimEvent::Arrive(caller));
         }
         for instance in 0..INSTANCES {
-            self.push(1, What::Poll(instance));
+            self.push(1, SimEvent::Poll(instance));
             for _ in 0..3 {
                 let at = self.rng.random_range(0..END);
-                self.push(at, What::Freeze(instance));
+                self.push(at, SimEvent::Freeze(instance));
                 if self.rng.random_bool(0.5) {
-                    self.push(at / 2, What::Crash(instance));
+                    self.push(at / 2, SimEvent::Crash(instance));
                 }
             }
         }
     }
 
-    pub(super) fn push(&mut self, delay: u64, what: What) {
+    pub(super) fn push(&mut self, delay: u64, event: SimEvent) {
         self.count += 1;
         self.heap.push(Reverse((self.now + delay, self.count)));
-        self.events.insert(self.count, what);
+        self.events.insert(self.count, event);
     }
 
     pub(super) fn chance(&mut self, percent: u32) -> bool {
         self.rng.random_ratio(percent, 100)
     }
 
-    pub(super) fn local(&self, instance: usize) -> Time {
+    pub(super) fn local_time(&self, instance: usize) -> Time {
         let Instance { offset, rate, .. } = &self.instances[instance];
         Time((offset + self.now) * rate)
     }
@@ -162,42 +162,50 @@
     pub(super) fn run(mut self) -> Totals {
         while let Some(Reverse((at, number))) = self.heap.pop() {
             self.now = at;
-            let what = self.events.remove(&number).expect("each event once");
-            if let Some(instance) = self.place(&what)
+            let event = self.events.remove(&number).expect("each event once");
+            if let Some(instance) = self.handler(&event)
                 && self.instances[instance].frozen > at
             {
-                self.push(self.instances[instance].frozen - at, what);
+                self.push(self.instances[instance].frozen - at, event);
                 continue;
             }
-            self.handle(what);
+            self.handle(event);
         }
         self.finish()
     }
 
-    /// The instance that handles the event.
-    fn place(&self, what: &What) -> Option<usize> {
-        match what {
-            What::Patience(s)
-            | What::Event(s, _)
-            | What::Connected(s, ..)
-            | What::Reply(_, Back::Claim(s) | Back::Renew(s)) => Some(self.sendings[*s].instance),
-            What::Poll(instance) | What::Reply(_, Back::Tick(instance)) => Some(*instance),
+    /// The instance that handles the event, if it isn't handled elsewhere.
+    fn handler(&self, event: &SimEvent) -> Option<usize> {
+        match event {
+            SimEvent::ClaimTimeout(s)
+            | SimEvent::Event(s, _)
+            | SimEvent::Connected(s, ..)
+            | SimEvent::Reply(_, ReplyTo::Claim(s) | ReplyTo::Renew(s)) => {
+                Some(self.submissions[*s].instance)
+            }
+            SimEvent::Poll(instance) | SimEvent::Reply(_, ReplyTo::Tick(instance)) => {
+                Some(*instance)
+            }
             _ => None,
         }
     }
 
-    fn handle(&mut self, what: What) {
-        match what {
-            What::Arrive(caller) => self.arrive(caller),
-            What::Apply(command, back) => self.apply(&command, back),
-            What::Reply(reply, back) => self.reply(&reply, back),
-            What::Patience(sending) => self.patience(sending),
-            What::Event(sending, event @ Event::Started { .. }) => self.start(sending, event),
-            What::Event(sending, event) => self.step(sending, event),
-            What::Connected(sending, attempt, send_by) => self.connected(sending, attempt, send_by),
-            What::Poll(instance) => self.poll(instance),
-            What::Crash(instance) => self.crash(instance),
-            What::Freeze(instance) => {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrive(caller) => self.arrive(caller),
+            SimEvent::Apply(command, reply_to) => self.apply(&command, reply_to),
+            SimEvent::Reply(reply, reply_to) => self.reply(&reply, reply_to),
+            SimEvent::ClaimTimeout(submission) => self.claim_timeout(submission),
+            SimEvent::Event(submission, event @ Event::Started { .. }) => {
+                self.start(submission, event)
+            }
+            SimEvent::Event(submission, event) => self.step(submission, event),
+            SimEvent::Connected(submission, attempt, send_by) => {
+                self.connected(submission, attempt, send_by)
+            }
+            SimEvent::Poll(instance) => self.poll(instance),
+            SimEvent::Crash(instance) => self.crash(instance),
+            SimEvent::Freeze(instance) => {
                 self.instances[instance].frozen = self.now + self.rng.random_range(500..16_000);
             }
         }
@@ -205,22 +213,22 @@
 
     pub(super) fn generate(
         &mut self,
-        sending: usize,
+        submission: usize,
         next: Result<Lifecycle<Claimed<Permit>>, Answer>,
     ) {
         let mut out = Vec::new();
         match next {
             Ok(life) => {
-                let generation = Generation::new(life, self.bounds(sending), &mut out);
-                self.sendings[sending].phase = Phase::Running(Box::new(generation));
+                let generation = Generation::new(life, self.bounds(submission), &mut out);
+                self.submissions[submission].phase = Phase::Running(Box::new(generation));
             }
             Err(answer) => out.push(Effect::Finish(answer)),
         }
-        self.effects(sending, out);
+        self.effects(submission, out);
     }
 
-    fn bounds(&self, sending: usize) -> Bounds {
-        let now = self.local(self.sendings[sending].instance);
+    fn bounds(&self, submission: usize) -> Bounds {
+        let now = self.local_time(self.submissions[submission].instance);
         Bounds {
             max_tokens: TOKENS,
             layers: LAYERS,
@@ -231,31 +239,31 @@
         }
     }
 
-    pub(super) fn step(&mut self, sending: usize, event: Event) {
-        let now = self.local(self.sendings[sending].instance);
+    pub(super) fn step(&mut self, submission: usize, event: Event) {
+        let now = self.local_time(self.submissions[submission].instance);
         let mut out = Vec::new();
-        if let Phase::Running(generation) = &mut self.sendings[sending].phase {
+        if let Phase::Running(generation) = &mut self.submissions[submission].phase {
             generation.step(now, event, &mut out);
         }
-        self.effects(sending, out);
+        self.effects(submission, out);
     }
 
-    fn effects(&mut self, sending: usize, out: Vec<Effect>) {
+    fn effects(&mut self, submission: usize, out: Vec<Effect>) {
         for effect in out {
-            self.effect(sending, effect);
+            self.effect(submission, effect);
         }
-        let now = self.local(self.sendings[sending].instance);
-        if let Phase::Running(generation) = &self.sendings[sending].phase
+        let now = self.local_time(self.submissions[submission].instance);
+        if let Phase::Running(generation) = &self.submissions[submission].phase
             && !generation.finished()
         {
             let wait = generation.next_tick().since(now).as_millis() as u64;
             let event = Event::Tick;
-            self.push(wait * 103 / 100 + 1, What::Event(sending, event));
+            self.push(wait * 103 / 100 + 1, SimEvent::Event(submission, event));
         }
     }
 
-    pub(super) fn effect(&mut self, sending: usize, effect: Effect) {
-        let caller = &self.callers[self.sendings[sending].caller];
+    pub(super) fn effect(&mut self, submission: usize, effect: Effect) {
+        let caller = &self.callers[self.submissions[submission].caller];
         let organisation = caller.organisation.to_string();
         let key = caller.key.clone().unwrap_or_default();
         match effect {
@@ -264,24 +272,24 @@
                 retry,
                 resume,
                 ..
-            } => self.open(sending, attempt, retry, resume),
+            } => self.open(submission, attempt, retry, resume),
             Effect::Send { attempt, send_by } => {
-                self.sendings[sending].flight = Some(attempt);
+                self.submissions[submission].in_flight = Some(attempt);
                 let delay = self.rng.random_range(0..300);
-                self.push(delay, What::Connected(sending, attempt, send_by));
+                self.push(delay, SimEvent::Connected(submission, attempt, send_by));
             }
             Effect::Emit {
                 request,
                 index,
                 text,
-            } => self.emit(sending, request, index, &text),
+            } => self.emit(submission, request, index, &text),
             Effect::Release { token } => {
                 let release = claim::Release {
                     organisation,
                     key,
                     token: Some(token),
                 };
-                self.propose(Action::Release(release), Back::Nobody);
+                self.propose(Action::Release(release), ReplyTo::Nobody);
             }
             Effect::Settle { token, outcome } => {
                 let settle = claim::Settle {
@@ -290,29 +298,29 @@
                     outcome: Some(outcome),
                     token: Some(token),
                 };
-                self.propose(Action::Settle(settle), Back::Nobody);
+                self.propose(Action::Settle(settle), ReplyTo::Nobody);
             }
-            Effect::Finish(answer) => self.answer(sending, answer),
-            Effect::Cancel { .. } => self.sendings[sending].flight = None,
+            Effect::Finish(answer) => self.answer(submission, answer),
+            Effect::Cancel { .. } => self.submissions[submission].in_flight = None,
             Effect::Report { .. } => {}
         }
     }
 
-    fn connected(&mut self, sending: usize, attempt: u32, send_by: Option<Time>) {
-        let state = &self.sendings[sending];
-        if state.flight != Some(attempt) || matches!(state.phase, Phase::Over) {
+    fn connected(&mut self, submission: usize, attempt: u32, send_by: Option<Time>) {
+        let state = &self.submissions[submission];
+        if state.in_flight != Some(attempt) || matches!(state.phase, Phase::Ended) {
             return;
         }
-        if send_by.is_some_and(|send_by| self.local(state.instance) >= send_by) {
-            return self.plan(sending, 0, broken(attempt, AttemptError::Refused));
+        if send_by.is_some_and(|send_by| self.local_time(state.instance) >= send_by) {
+            return self.schedule(submission, 0, failed(attempt, AttemptError::Refused));
         }
-        self.send(sending, attempt);
+        self.send(submission, attempt);
     }
 
-    fn open(&mut self, sending: usize, attempt: u32, retry: bool, resume: u32) {
-        let instance = self.sendings[sending].instance;
-        let now = self.local(instance);
-        let organisation = self.callers[self.sendings[sending].caller].organisation;
+    fn open(&mut self, submission: usize, attempt: u32, retry: bool, resume: u32) {
+        let instance = self.submissions[submission].instance;
+        let now = self.local_time(instance);
+        let organisation = self.callers[self.submissions[submission].caller].organisation;
         let budget = &mut self.instances[instance].budget;
         let reason = if retry && !budget.take(now, &organisation.into()) {
             Some(OpenError::RetryBudget)
@@ -320,42 +328,42 @@
             self.chance(4).then_some(OpenError::NoPath)
         };
         let event = match reason {
-            Some(reason) => unopened(attempt, reason),
+            Some(reason) => open_failed(attempt, reason),
             None => Event::Started {
                 attempt,
-                path: self.path(sending, resume),
+                path: self.path(submission, resume),
                 lease: None,
             },
         };
         let range = if self.chance(4) { 1_500..3_000 } else { 1..40 };
         let delay = self.rng.random_range(range);
-        self.plan(sending, delay, event);
+        self.schedule(submission, delay, event);
     }
 
-    pub(super) fn plan(&mut self, sending: usize, delay: u64, event: Event) {
-        self.push(delay, What::Event(sending, event));
+    pub(super) fn schedule(&mut self, submission: usize, delay: u64, event: Event) {
+        self.push(delay, SimEvent::Event(submission, event));
     }
 
     fn crash(&mut self, instance: usize) {
         self.instances[instance].incarnation += 1;
         self.instances[instance].ticker = Ticker::new(Duration::from_millis(250));
         let lost: Vec<usize> = self
-            .sendings
+            .submissions
             .iter_mut()
-            .filter(|s| s.instance == instance && !matches!(s.phase, Phase::Over))
+            .filter(|s| s.instance == instance && !matches!(s.phase, Phase::Ended))
             .map(|s| {
-                s.phase = Phase::Over;
+                s.phase = Phase::Ended;
                 s.caller
             })
             .collect();
-        lost.into_iter().for_each(|caller| self.again(caller));
+        lost.into_iter().for_each(|caller| self.resubmit(caller));
     }
 
     fn finish(self) -> Totals {
-        for (number, sending) in self.sendings.iter().enumerate() {
-            let over = sending.answer.is_some() || matches!(sending.phase, Phase::Over);
-            assert!(over, "seed {}: no answer to sending {number}", self.seed);
-            assert_eq!(sending.permits.get(), 0, "seed {}", self.seed);
+        for (number, submission) in self.submissions.iter().enumerate() {
+            let over = submission.answer.is_some() || matches!(submission.phase, Phase::Ended);
+            assert!(over, "seed {}: no answer to submission {number}", self.seed);
+            assert_eq!(submission.permits.get(), 0, "seed {}", self.seed);
         }
         self.totals
     }
