--- a/src/decide/path.rs
+++ b/src/decide/path.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 /// Cost of each millisecond for which a request occupies the link between two domains, in
 /// milliseconds. All requests share the link, so each of about a hundred running ones is delayed
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Candidate {
     /// Layers that it holds.
-    pub(crate) range: Range,
+    pub(crate) range: LayerRange,
     /// Index of its failure domain.
     pub(crate) domain: usize,
     /// Duration of a step for one layer under the current load, in milliseconds.
@@ -115,7 +115,7 @@
 pub(crate) struct Hop {
     /// Index of the candidate.
     pub(crate) engine: usize,
-    pub(crate) range: Range,
+    pub(crate) range: LayerRange,
 }
 
 /// Reason why there is no path.
@@ -174,7 +174,7 @@
     for at in (0..last).rev() {
         let from_caller = at == 0 && start == Start::Caller;
         for (i, candidate) in candidates.iter().enumerate() {
-            if !candidate.range.holds(cuts[at]) || (from_caller && !candidate.may_enter) {
+            if !candidate.range.contains(cuts[at]) || (from_caller && !candidate.may_enter) {
                 continue;
             }
             let Some(segment) = cheapest_segment(i, candidate, at, &cuts, &best, work, noise(i))
@@ -276,7 +276,7 @@
     let mut at = 0;
     let mut next = Some(first);
     while let Some(segment) = next {
-        let range = Range::new(cuts[at], cuts[segment.to]);
+        let range = LayerRange::new(cuts[at], cuts[segment.to]);
         hops.push(Hop {
             engine: segment.engine,
             range,
@@ -307,7 +307,7 @@
 }
 
 fn no_path_reason(first: u32, layers: u32, candidates: &[Candidate]) -> NoPath {
-    let held = |layer| candidates.iter().any(|c| c.range.holds(layer));
+    let held = |layer| candidates.iter().any(|c| c.range.contains(layer));
     match (first..layers).find(|&l| !held(l)) {
         Some(layer) => NoPath::MissingLayer(layer),
         None => NoPath::Full,
@@ -326,7 +326,11 @@
 }
 
 /// Whether `parts` cover every layer from `first` on once and in order.
-pub(crate) fn is_contiguous(first: u32, layers: u32, parts: impl Iterator<Item = Range>) -> bool {
+pub(crate) fn is_contiguous(
+    first: u32,
+    layers: u32,
+    parts: impl Iterator<Item = LayerRange>,
+) -> bool {
     let mut at = Some(first);
     for part in parts {
         at = at.filter(|&a| a == part.first).map(|_| part.end);
--- a/src/decide/placement/relief.rs
+++ b/src/decide/placement/relief.rs
@@ -2,7 +2,7 @@
 
 use super::layout::Group;
 use super::{BALANCE_GAIN, BALANCE_STEP, BALANCE_STEPS, MIN_LAYER_ROOM, total};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 impl Group<'_> {
     /// Relieves the engine that limits the pipeline: it gives up layers for which others have room, or else a
@@ -32,7 +32,7 @@
             self.max_layers(h, self.requests).min(held.end - first)
         });
         match helper {
-            Some(helper) if most > 0 => self.assign(helper, Range::new(first, first + most)),
+            Some(helper) if most > 0 => self.assign(helper, LayerRange::new(first, first + most)),
             _ => self.balance(),
         }
     }
@@ -65,7 +65,7 @@
 
     /// Returns the ranges of a balanced layout that keeps the order of the engines, if it has much
     /// more room than the current one.
-    fn targets(&self) -> Option<Vec<(usize, Range)>> {
+    fn targets(&self) -> Option<Vec<(usize, LayerRange)>> {
         let current = self.rooms().iter().copied().fold(f64::INFINITY, f64::min);
         let capacity = |requests| total(self.model, self.workers, self.members, requests);
         let steps = (1..=BALANCE_STEPS)
@@ -88,7 +88,7 @@
                 .layers
                 .min(at + self.max_layers(worker, requests));
             if at < end {
-                targets.push((worker, Range::new(at, end)));
+                targets.push((worker, LayerRange::new(at, end)));
             }
             at = end;
         }
@@ -96,20 +96,20 @@
     }
 
     /// Returns an engine's range without the ends outside its target that others have loaded.
-    fn without_copies(&self, worker: usize, held: Range, target: Range) -> Range {
+    fn without_copies(&self, worker: usize, held: LayerRange, target: LayerRange) -> LayerRange {
         let copied = |layer: u32| self.loaded_room_at(layer, worker) > 0.0;
-        let outside = |layer: u32| !target.holds(layer) && copied(layer);
+        let outside = |layer: u32| !target.contains(layer) && copied(layer);
         let (low, high) = ends(held, outside);
         if low == held.len() {
             // All its layers are held elsewhere, and none belongs to the target.
             return target;
         }
-        Range::new(held.first + low, held.end - high)
+        LayerRange::new(held.first + low, held.end - high)
     }
 
     /// Returns a range that is extended towards its target as far as the memory allows besides the
     /// running requests.
-    fn grown(&self, worker: usize, kept: Range, target: Range) -> Range {
+    fn grown(&self, worker: usize, kept: LayerRange, target: LayerRange) -> LayerRange {
         let mut left = self.max_beside_running(worker).saturating_sub(kept.len());
         let low = kept.first.saturating_sub(target.first).min(left);
         left -= low;
@@ -118,12 +118,12 @@
             // Reaching the target would require layers that don't belong to it.
             return kept;
         }
-        Range::new(kept.first - low, kept.end + high)
+        LayerRange::new(kept.first - low, kept.end + high)
     }
 
     /// Returns the engine with the least room among the holders of the layer with the least room,
     /// and its range, if that layer has too little room.
-    pub(super) fn most_constrained(&self) -> Option<(usize, Range)> {
+    pub(super) fn most_constrained(&self) -> Option<(usize, LayerRange)> {
         let least = self.tokens(MIN_LAYER_ROOM);
         let rooms = (0..self.model.layers).zip(self.rooms().iter().copied());
         let constrained = rooms.filter(|&(_, room)| room > 0.0 && room < least);
@@ -134,7 +134,7 @@
 
     /// Returns the layers that an engine keeps if others have enough room for some at one of its
     /// ends.
-    fn trimmed(&self, worker: usize, held: Range) -> Option<Range> {
+    fn trimmed(&self, worker: usize, held: LayerRange) -> Option<LayerRange> {
         let least = self.tokens(MIN_LAYER_ROOM);
         let others = |layer: u32| self.loaded_room_at(layer, worker) >= least;
         let (low, high) = ends(held, others);
@@ -144,9 +144,9 @@
             return None;
         }
         Some(if low >= high {
-            Range::new(held.first + low.min(most), held.end)
+            LayerRange::new(held.first + low.min(most), held.end)
         } else {
-            Range::new(held.first, held.end - high.min(most))
+            LayerRange::new(held.first, held.end - high.min(most))
         })
     }
 
@@ -160,7 +160,7 @@
     /// memory, except for one of them. Engines that are still loading it don't count: if another
     /// gave up the layer because of them, it would be missing until they have loaded it.
     pub(super) fn loaded_room_at(&self, layer: u32, without: usize) -> f64 {
-        let loaded = |i: usize| self.workers[i].loaded.is_some_and(|l| l.holds(layer));
+        let loaded = |i: usize| self.workers[i].loaded.is_some_and(|l| l.contains(layer));
         let others = self.holders(layer).filter(|&i| i != without && loaded(i));
         let rooms = others.filter_map(|i| Some(self.room(i, self.held[i]?)));
         rooms.sum()
@@ -172,7 +172,7 @@
 }
 
 /// Number of layers at the low and at the high end of a range that satisfy `predicate`.
-fn ends(range: Range, predicate: impl Fn(u32) -> bool) -> (u32, u32) {
+fn ends(range: LayerRange, predicate: impl Fn(u32) -> bool) -> (u32, u32) {
     let low = (range.first..range.end)
         .take_while(|&l| predicate(l))
         .count();
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use crate::configuration::Repeat;
+use crate::configuration::RetryPolicy;
 
 /// Number of attempts that no upstream ran after which the request is refused. Each of them met
 /// a full or dying upstream, so further ones would only delay the refusal.
@@ -74,13 +74,13 @@
 
 /// Returns what follows `failure`, which `counts` already includes.
 pub(crate) fn next_step(
-    repeat: Repeat,
+    repeat: RetryPolicy,
     attempts: u32,
     counts: AttemptCounts,
     failure: Failure,
     left: Duration,
 ) -> NextStep {
-    let may_repeat = repeat != Repeat::Never || counts.may_have_run == 0;
+    let may_repeat = repeat != RetryPolicy::Never || counts.may_have_run == 0;
     let in_bounds =
         counts.may_have_run < attempts && counts.not_run < MAX_NOT_RUN && left >= MIN_REMAINING;
     if may_repeat && in_bounds {
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -18,7 +18,7 @@
 use super::select::{Chosen, Exclusions};
 use super::view::of_service;
 use crate::clock::{Time, millis};
-use crate::configuration::{Model, Repeat, Route, Table};
+use crate::configuration::{Model, RetryPolicy, Route, RoutingTable};
 use crate::decide::health;
 use crate::decide::load;
 use crate::decide::path::Work;
@@ -30,7 +30,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::metric;
 use crate::platform::headers;
-use crate::sync::key_address;
+use crate::sync::address_from_key;
 
 /// Longest time to connect to an upstream. A connection takes one to two
 /// milliseconds; a lost packet would be sent again after a second, and another
@@ -95,7 +95,7 @@
 /// A request with what became of its attempts.
 pub(super) struct Run {
     pub(super) entry: Arc<Entry>,
-    pub(super) table: Arc<Table>,
+    pub(super) table: Arc<RoutingTable>,
     pub(super) call: Call,
     tries: AttemptCounts,
     /// Upstreams at which it failed.
@@ -146,7 +146,7 @@
 }
 
 impl Run {
-    pub(super) fn new(entry: Arc<Entry>, table: Arc<Table>, call: Call) -> Self {
+    pub(super) fn new(entry: Arc<Entry>, table: Arc<RoutingTable>, call: Call) -> Self {
         entry
             .shared()
             .allowance
@@ -307,7 +307,7 @@
         tracing::info!(
             event = event::UPSTREAM_SUSPECTED.id,
             attempt = self.call.attempt,
-            address = %key_address(culprit),
+            address = %address_from_key(culprit),
             cause,
             left_ms = millis(self.left()),
             "left out"
@@ -328,7 +328,13 @@
         self.tries.record(failure);
         let route = &self.call.route;
         let left = self.left();
-        let mut next = retry::next_step(route.repeat, route.attempts, self.tries, failure, left);
+        let mut next = retry::next_step(
+            route.retry_policy,
+            route.attempts,
+            self.tries,
+            failure,
+            left,
+        );
         if next == NextStep::Again && self.may_crash_engine(cause) {
             next = retry::give_up(self.tries, failure);
         }
@@ -397,8 +403,8 @@
             "sent"
         );
         let cutoff = Cutoff::new(None, Arc::clone(&self.entry.clock));
-        let patience = match self.call.route.repeat {
-            Repeat::Never => self.left(),
+        let patience = match self.call.route.retry_policy {
+            RetryPolicy::Never => self.left(),
             _ => self.call.route.objective * PATIENCE,
         };
         let sent = self.entry.now();
--- a/src/tests/peer.rs
+++ b/src/tests/peer.rs
@@ -15,7 +15,7 @@
 use crate::message::{Answer, Ask, Reply, Request};
 use crate::peer::{self, Handler, Peers, ReplySink};
 use crate::replica::Message;
-use crate::sync::Sync;
+use crate::sync::SyncRequest;
 
 const PEER: InstanceId = InstanceId(7);
 const LIMIT: Duration = Duration::from_millis(300);
@@ -69,14 +69,14 @@
     let silent = Arc::new(AtomicUsize::new(0));
     let listener = TcpListener::bind(local).await.unwrap();
     let peers = Peers::new(key, Handle::current());
-    peers.learn(PEER, listener.local_addr().unwrap());
+    peers.set_address(PEER, listener.local_addr().unwrap());
     tokio::spawn(relay(listener, peer, Arc::clone(&silent)));
     (peers, silent)
 }
 
 async fn is_answered(peers: &Peers) -> bool {
     let request = Request {
-        ask: Some(Ask::Sync(Sync::default())),
+        ask: Some(Ask::Sync(SyncRequest::default())),
     };
     let reply = peers.call(PEER, request, LIMIT).await;
     reply.is_ok_and(|r| r.answer == Some(Answer::NotLeader(9)))
