--- a/src/claim/machine.rs
+++ b/src/claim/machine.rs
@@ -78,7 +78,7 @@
     /// The register's time in milliseconds. Never decreases.
     pub(super) time: u64,
     /// Log index of the last applied `Expire`.
-    pub(super) tick: u64,
+    pub(super) last_expire: u64,
     pub(super) records: HashMap<ClaimId, Record>,
     /// Claims made or renewed since the last `Expire`, by log index.
     unaged: Vec<AgeEntry>,
@@ -91,7 +91,7 @@
         Self {
             bounds,
             time: 0,
-            tick: 0,
+            last_expire: 0,
             records: HashMap::default(),
             unaged: Vec::new(),
             usage: Usage::default(),
@@ -278,13 +278,15 @@
     }
 
     fn expire(&mut self, index: u64, expire: Expire) -> Reply {
-        if expire.after == self.tick {
-            self.tick = index;
+        if expire.after == self.last_expire {
+            self.last_expire = index;
             self.time += expire.elapsed.min(MAX_STEP_MS);
             self.start_aging();
             self.discard_expired();
         }
-        Reply::Ticked(Ticked { index: self.tick })
+        Reply::Ticked(Ticked {
+            index: self.last_expire,
+        })
     }
 
     /// Starts the age of the claims made since the last `Expire`.
--- a/src/claim/snapshot.rs
+++ b/src/claim/snapshot.rs
@@ -18,7 +18,7 @@
     #[prost(uint64, tag = "1")]
     time: u64,
     #[prost(uint64, tag = "2")]
-    tick: u64,
+    last_expire: u64,
     /// Names in alphabetical order; [`SavedClaim::organisation`] is an index into them.
     #[prost(string, repeated, tag = "3")]
     organisations: Vec<String>,
@@ -139,7 +139,7 @@
         let numbers: HashMap<&OrganisationId, u32> = names.iter().zip(0..).collect();
         let header = SnapshotHeader {
             time: self.time,
-            tick: self.tick,
+            last_expire: self.last_expire,
             organisations: names.iter().map(ToString::to_string).collect(),
         };
         let mut out = header.encode_length_delimited_to_vec();
@@ -163,7 +163,7 @@
         let header = SnapshotHeader::decode_length_delimited(&mut snapshot).expect(READABLE);
         *self = Self::new(self.bounds);
         self.time = header.time;
-        self.tick = header.tick;
+        self.last_expire = header.last_expire;
         let names: Vec<OrganisationId> = header
             .organisations
             .iter()
--- a/src/tests/claim.rs
+++ b/src/tests/claim.rs
@@ -127,7 +127,7 @@
 #[case::broken(token(2, 1, 1), 0, Some(Outcome::Unknown(())), Reply::Unknown(()))]
 #[case::forgotten(token(2, 1, 1), 86_402_000, Some(Outcome::NotStored(())), granted(token(2, 1, 1)))]
 fn claim_again(
-    #[case] asker: ClaimToken,
+    #[case] submitter: ClaimToken,
     #[case] ms: u64,
     #[case] outcome: Option<Outcome>,
     #[case] reply: Reply,
@@ -141,10 +141,10 @@
     let mut other = Log::new(Bounds::default());
     other.0.restore(&log.0.snapshot());
     other.1 = log.1;
-    assert_eq!(log.claim("a", "k", asker), reply);
-    assert_eq!(other.claim("a", "k", asker), reply);
+    assert_eq!(log.claim("a", "k", submitter), reply);
+    assert_eq!(other.claim("a", "k", submitter), reply);
     // Another organisation's claim of the same key is independent.
-    assert_eq!(log.claim("b", "k", asker), granted(asker));
+    assert_eq!(log.claim("b", "k", submitter), granted(submitter));
 }
 
 /// A slow holder releases its claim after another submission was told that the
@@ -174,7 +174,7 @@
     #[case] renewed: Reply,
     #[case] reply: Reply,
 ) {
-    let asker = token(2, 1, 1);
+    let submitter = token(2, 1, 1);
     let mut log = Log::new(Bounds::default());
     assert_eq!(
         log.claim_for(Purpose::Renew, "a", "k", HOLDER),
@@ -182,13 +182,16 @@
     );
     log.claim("a", "k", HOLDER);
     log.advance(ms);
-    log.claim_for(purpose, "a", "k", asker);
+    log.claim_for(purpose, "a", "k", submitter);
     assert_eq!(
-        log.claim_for(Purpose::Renew, "a", "k", asker),
+        log.claim_for(Purpose::Renew, "a", "k", submitter),
         Reply::Stale(())
     );
     assert_eq!(log.claim_for(Purpose::Renew, "a", "k", HOLDER), renewed);
-    assert_eq!(log.claim_for(Purpose::HolderDown, "a", "k", asker), reply);
+    assert_eq!(
+        log.claim_for(Purpose::HolderDown, "a", "k", submitter),
+        reply
+    );
 }
 
 /// A ticker's proposal is delayed for ten seconds, and a claim is made meanwhile.
@@ -202,8 +205,8 @@
     let next = log.expire(seen, 10_000);
     // The same time, measured and proposed by another instance.
     assert_eq!(log.expire(seen, 10_000), next);
-    let asker = token(2, 1, 1);
-    assert_eq!(log.claim("a", "k", asker), in_progress(0, true));
+    let submitter = token(2, 1, 1);
+    assert_eq!(log.claim("a", "k", submitter), in_progress(0, true));
 }
 
 /// An organisation uses up its space. Its new claims are refused, none of its claims
--- a/src/tests/generation.rs
+++ b/src/tests/generation.rs
@@ -296,14 +296,14 @@
         attempt: 1,
         count,
     });
-    let kept = run.out.iter().find_map(|effect| match effect {
+    let stored = run.out.iter().find_map(|effect| match effect {
         Effect::Settle {
             outcome: Outcome::Stored(answer),
             ..
         } => Some(answer.body.clone()),
         _ => None,
     });
-    assert_eq!(kept.as_deref(), Some(&b"t0 t1 t2 "[..]));
+    assert_eq!(stored.as_deref(), Some(&b"t0 t1 t2 "[..]));
     assert_eq!(run.answer(), Some(("complete", Ran::Yes)));
 }
 
--- a/src/tests/lifecycle/check.rs
+++ b/src/tests/lifecycle/check.rs
@@ -127,7 +127,7 @@
         );
         let state = &mut self.submissions[submission];
         assert!(state.answer.is_none(), "seed {seed}: two answers");
-        assert_eq!(state.permits.get(), 0, "seed {seed}: permit kept");
+        assert_eq!(state.permits.get(), 0, "seed {seed}: permit not released");
         let caller = state.caller;
         match &answer {
             Answer::Complete { count } => assert_eq!((*count, state.emitted), (TOKENS, TOKENS)),
