--- a/src/claim/record.rs
+++ b/src/claim/record.rs
@@ -70,9 +70,9 @@
 pub(super) struct Pending {
     /// The submission that holds the claim.
     pub(super) token: ClaimToken,
-    /// As in [`Claim`](crate::claim::Claim), in milliseconds.
+    /// As in [`Claim`], in milliseconds.
     pub(super) dispatch_ms: u32,
-    /// As in [`Claim`](crate::claim::Claim), in milliseconds.
+    /// As in [`Claim`], in milliseconds.
     pub(super) ttl_ms: u32,
     /// Whether a later submission was told that the outcome is unknown.
     pub(super) reported_unknown: bool,
