--- a/src/control/voters.rs
+++ b/src/control/voters.rs
@@ -56,7 +56,7 @@
             event = event::VOTER_CHANGED.id,
             instance,
             remove,
-            "changed the voters"
+            "voters changed"
         );
         Ok(json(
             StatusCode::OK,
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! Log events. A test checks that docs/EVENTS.md lists all of them.
+//! Log events. A test checks that docs/EVENTS.md lists exactly these.
 
 /// A type of log line. The meaning of an id never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
 pub(crate) const LEASE_HELD: Event = event(201, "lease_held");
 /// The catalogue lease expired; new work is refused.
 pub(crate) const LEASE_LOST: Event = event(202, "lease_lost");
-/// A newer catalogue revision is in force here.
+/// This instance applied a newer revision of the catalogue.
 pub(crate) const CATALOGUE_APPLIED: Event = event(203, "catalogue_applied");
 /// An operator's change of the catalogue was accepted or rejected.
 pub(crate) const CHANGE_DECIDED: Event = event(204, "change_decided");
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -258,13 +258,13 @@
     peers: &Peers,
     supervisor: &Supervisor,
 ) -> Result<Option<LocalVoter>> {
-    let Some(data_dir) = settings.data_dir.clone() else {
+    let Some(dir) = settings.data_dir.clone() else {
         return Ok(None);
     };
     let (machine, catalogue) = CatalogueMachine::new();
     let voter_settings = VoterSettings {
         instance: settings.instance,
-        data_dir,
+        data_dir: dir,
         initial_voters: settings.voters.keys().copied().collect(),
         election_timeout: settings.election_timeout,
         heartbeat_interval: settings.election_timeout / HEARTBEATS_PER_ELECTION,
--- a/src/metric.rs
+++ b/src/metric.rs
@@ -1,5 +1,5 @@
-//! Metrics of the entry and controller roles. A test checks that docs/METRICS.md lists all of
-//! them.
+//! Metrics of the entry and controller roles. A test checks that docs/METRICS.md lists exactly
+//! these.
 
 use crate::configuration::RetryPolicy;
 
