--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,13 +1,13 @@
 //! Datagrams between instances: the failure detector's probes, rumours that
 //! ride on them, and comparisons of tables that mend what was lost.
 
+mod broadcast;
 mod driver;
 mod dump;
 mod fleet;
 mod node;
-mod rumour;
+mod report;
 mod sync;
-mod watch;
 mod wire;
 
 pub use dump::{FleetDump, TrafficCounts};
--- a/src/gossip/driver.rs
+++ b/src/gossip/driver.rs
@@ -14,32 +14,32 @@
 use crate::gossip::dump::FleetDump;
 use crate::gossip::fleet::{self, FleetError, FleetSettings, Shared};
 use crate::gossip::node::{Datagram, Node, NodeEvent, NodeSettings};
-use crate::gossip::watch::Watch;
+use crate::gossip::report::FleetReporter;
 use crate::gossip::wire::MAX_DATAGRAM;
-use crate::membership::{Member, MemberState, STALL};
+use crate::membership::{Member, MemberState, SUSPEND_GAP};
 use crate::upstream::{AnnounceError, AnnounceOutcome, Announcement};
 
 /// Datagrams that may wait for the driver. More are dropped, as a full socket
 /// would do.
-const BACKLOG: usize = 1_024;
+const DATAGRAM_QUEUE: usize = 1_024;
 
 /// Commands that may wait for the driver.
-const COMMANDS: usize = 256;
+const COMMAND_QUEUE: usize = 256;
 
 /// Turns of the driver in a period.
-const TURNS: u32 = 20;
+const TICKS_PER_PERIOD: u32 = 20;
 
 /// Rounds of rumours after leaving.
-const FAREWELL: u32 = 4;
+const LEAVE_ROUNDS: u32 = 4;
 
 /// Longest wait of the reading thread before it looks whether to end.
 const READ_TIMEOUT: Duration = Duration::from_millis(200);
 
-type Answer = Result<AnnounceOutcome, AnnounceError>;
+type AnnounceResult = Result<AnnounceOutcome, AnnounceError>;
 
 /// What the handle asks of the driver.
 pub(crate) enum Command {
-    Announce(Box<Announcement>, Sender<Answer>),
+    Announce(Box<Announcement>, Sender<AnnounceResult>),
     Dump(Sender<FleetDump>),
     Drain,
     Stop,
@@ -61,9 +61,9 @@
     shared: Arc<Shared>,
     probe_period: Duration,
     overflow: Arc<std::sync::atomic::AtomicU64>,
-    last_turn: Time,
-    failed: u64,
-    watch: Watch,
+    last_tick: Time,
+    send_errors: u64,
+    reporter: FleetReporter,
     out: Vec<Datagram>,
 }
 
@@ -91,22 +91,22 @@
         shared,
         probe_period,
         overflow: Arc::clone(&overflow),
-        last_turn: now,
-        failed: 0,
-        watch: Watch::default(),
+        last_tick: now,
+        send_errors: 0,
+        reporter: FleetReporter::default(),
         out: Vec::new(),
     };
     driver.publish(now);
-    let (commands, command_queue) = bounded(COMMANDS);
-    let (datagrams, datagram_queue) = bounded(BACKLOG);
-    let ended = Arc::new(AtomicBool::new(false));
-    let read_ended = Arc::clone(&ended);
+    let (commands, command_queue) = bounded(COMMAND_QUEUE);
+    let (datagrams, datagram_queue) = bounded(DATAGRAM_QUEUE);
+    let stopped = Arc::new(AtomicBool::new(false));
+    let reader_stopped = Arc::clone(&stopped);
     let reading = fleet::spawn_thread("gossip-read", move || {
-        read(&reader, &datagrams, &overflow, &read_ended);
+        read(&reader, &datagrams, &overflow, &reader_stopped);
     })?;
     let thread = fleet::spawn_thread("gossip", move || {
         driver.run(&command_queue, &datagram_queue);
-        ended.store(true, Ordering::Release);
+        stopped.store(true, Ordering::Release);
         if reading.join().is_err() {
             tracing::error!("the thread that reads datagrams panicked");
         }
@@ -144,11 +144,11 @@
     socket: &UdpSocket,
     datagrams: &Sender<Incoming>,
     overflow: &std::sync::atomic::AtomicU64,
-    ended: &AtomicBool,
+    stopped: &AtomicBool,
 ) {
     // One byte more than the longest, so that a longer one shows.
     let mut buffer = [0; MAX_DATAGRAM + 1];
-    while !ended.load(Ordering::Acquire) {
+    while !stopped.load(Ordering::Acquire) {
         match socket.recv_from(&mut buffer) {
             Ok((len, from)) => {
                 if datagrams.try_send((from, buffer[..len].to_vec())).is_err() {
@@ -168,37 +168,37 @@
 
 impl Driver {
     fn run(&mut self, commands: &Receiver<Command>, datagrams: &Receiver<Incoming>) {
-        let turns = tick(self.probe_period / TURNS);
+        let ticks = tick(self.probe_period / TICKS_PER_PERIOD);
         loop {
-            let goes_on = select_biased! {
-                recv(turns) -> _ => {
-                    self.turn();
+            let keep_running = select_biased! {
+                recv(ticks) -> _ => {
+                    self.tick();
                     true
                 }
                 recv(commands) -> command => self.on_command(command.ok()),
                 recv(datagrams) -> datagram => self.on_datagram(datagram.ok()),
             };
-            if !goes_on {
+            if !keep_running {
                 break;
             }
             self.flush();
         }
-        self.farewell();
+        self.announce_leave();
     }
 
     /// Says whether to go on.
     fn on_command(&mut self, command: Option<Command>) -> bool {
-        let now = self.turn();
+        let now = self.tick();
         match command {
             Some(Command::Stop) | None => return false,
-            Some(command) => self.obey(now, command),
+            Some(command) => self.execute(now, command),
         }
         true
     }
 
     /// Says whether to go on.
     fn on_datagram(&mut self, datagram: Option<Incoming>) -> bool {
-        let now = self.turn();
+        let now = self.tick();
         let Some((from, bytes)) = datagram else {
             return false;
         };
@@ -209,26 +209,26 @@
 
     /// Notes the time, and lets it pass for the node when a turn is due. Goes
     /// before whatever came, so that a suspension is seen first.
-    fn turn(&mut self) -> Time {
+    fn tick(&mut self) -> Time {
         let now = self.clock.now();
-        let gap = now.since(self.last_turn);
-        if gap >= STALL {
+        let gap = now.since(self.last_tick);
+        if gap >= SUSPEND_GAP {
             tracing::warn!(
                 event = event::SUSPENDED.id,
                 millis = gap.as_millis() as u64,
                 "the process was suspended"
             );
         }
-        if gap >= self.probe_period / TURNS {
-            self.last_turn = now;
+        if gap >= self.probe_period / TICKS_PER_PERIOD {
+            self.last_tick = now;
             self.node.step(now, NodeEvent::Tick, &mut self.out);
             self.publish(now);
-            self.watch.node(&self.node);
+            self.reporter.node(&self.node);
         }
         now
     }
 
-    fn obey(&mut self, now: Time, command: Command) {
+    fn execute(&mut self, now: Time, command: Command) {
         match command {
             Command::Announce(announcement, reply) => {
                 let outcome = self.announce(now, &announcement);
@@ -237,7 +237,7 @@
             Command::Dump(reply) => {
                 let mut dump = self.node.dump(now);
                 dump.traffic.overflow = self.overflow.load(Ordering::Relaxed);
-                dump.traffic.failed = self.failed;
+                dump.traffic.failed = self.send_errors;
                 let _ = reply.send(dump);
             }
             Command::Drain => self.node.step(now, NodeEvent::Drain, &mut self.out),
@@ -245,7 +245,7 @@
         }
     }
 
-    fn announce(&mut self, now: Time, announcement: &Announcement) -> Answer {
+    fn announce(&mut self, now: Time, announcement: &Announcement) -> AnnounceResult {
         let outcome = self.node.announce(now, announcement, &mut self.out);
         self.publish(now);
         outcome
@@ -254,33 +254,33 @@
     fn flush(&mut self) {
         for datagram in self.out.drain(..) {
             if self.socket.send_to(&datagram.bytes, datagram.to).is_err() {
-                self.failed += 1;
+                self.send_errors += 1;
             }
         }
     }
 
     fn publish(&mut self, now: Time) {
-        self.shared.turned.store(now.0, Ordering::Release);
+        self.shared.last_tick.store(now.0, Ordering::Release);
         if self.node.registry.changed() {
             let view = self.node.upstreams(now);
-            self.watch.upstreams(&view);
+            self.reporter.upstreams(&view);
             self.shared.upstreams.store(view);
         }
         if let Some(view) = self.node.changed_members() {
-            self.watch.members(&view);
+            self.reporter.members(&view);
             self.shared.members.store(Arc::new(view));
         }
     }
 
     /// Tells the fleet that this instance leaves, a few times.
-    fn farewell(&mut self) {
+    fn announce_leave(&mut self) {
         self.node
             .step(self.clock.now(), NodeEvent::Leave, &mut self.out);
-        for _ in 0..FAREWELL {
+        for _ in 0..LEAVE_ROUNDS {
             self.flush();
-            std::thread::sleep(self.probe_period / TURNS);
+            std::thread::sleep(self.probe_period / TICKS_PER_PERIOD);
             let now = self.clock.now();
-            self.node.farewell(now, &mut self.out);
+            self.node.send_remaining(now, &mut self.out);
         }
         self.flush();
         self.publish(self.clock.now());
--- a/src/gossip/dump.rs
+++ b/src/gossip/dump.rs
@@ -44,7 +44,8 @@
     /// Records of another process that uses this instance's number.
     pub conflicts: u64,
     /// Rumours that wait: of members, upstreams and loads.
-    pub rumours: [usize; 3],
+    #[serde(rename = "rumours")]
+    pub queued: [usize; 3],
     /// Counts of upstreams.
     pub counts: RegistryCounts,
     /// Datagrams.
--- a/src/gossip/fleet.rs
+++ b/src/gossip/fleet.rs
@@ -19,10 +19,10 @@
 use crate::upstream::{AnnounceError, AnnounceOutcome, Announcement, UpstreamView};
 
 /// Time without a turn of the driver after which its views are out of date.
-const TRUSTED: Duration = Duration::from_secs(5);
+const MAX_VIEW_AGE: Duration = Duration::from_secs(5);
 
 /// Longest wait for the driver to answer a call.
-const ANSWER: Duration = Duration::from_secs(2);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Settings of an instance's part in the fleet.
 #[derive(Clone, Debug)]
@@ -88,7 +88,7 @@
     pub(crate) upstreams: ArcSwap<UpstreamView>,
     pub(crate) members: ArcSwap<MemberView>,
     /// Last turn of the driver, in microseconds of the local clock.
-    pub(crate) turned: AtomicU64,
+    pub(crate) last_tick: AtomicU64,
 }
 
 /// Handle of this instance's part in the fleet. Clones share it.
@@ -116,7 +116,7 @@
         let shared = Arc::new(Shared {
             upstreams: ArcSwap::default(),
             members: ArcSwap::default(),
-            turned: AtomicU64::new(clock.now().0),
+            last_tick: AtomicU64::new(clock.now().0),
         });
         let started = driver::start(settings, Arc::clone(&shared), Arc::clone(&clock))?;
         let fleet = Fleet {
@@ -145,7 +145,7 @@
         let command = Command::Announce(Box::new(announcement), reply);
         let stalled = || AnnounceError::Stalled { retry: 1_000 };
         self.commands.send(command).map_err(|_| stalled())?;
-        answer.recv_timeout(ANSWER).map_err(|_| stalled())?
+        answer.recv_timeout(REPLY_TIMEOUT).map_err(|_| stalled())?
     }
 
     /// Upstreams that may be given work.
@@ -155,8 +155,8 @@
     /// meanwhile, before its driver had a turn to drop it.
     #[must_use]
     pub fn upstreams(&self) -> Arc<UpstreamView> {
-        let turned = Time(self.shared.turned.load(Ordering::Acquire));
-        if self.clock.now().since(turned) > TRUSTED {
+        let last_tick = Time(self.shared.last_tick.load(Ordering::Acquire));
+        if self.clock.now().since(last_tick) > MAX_VIEW_AGE {
             return Arc::default();
         }
         self.shared.upstreams.load_full()
@@ -185,7 +185,7 @@
         if self.commands.send(Command::Dump(reply)).is_err() {
             return FleetDump::default();
         }
-        answer.recv_timeout(ANSWER).unwrap_or_default()
+        answer.recv_timeout(REPLY_TIMEOUT).unwrap_or_default()
     }
 }
 
--- a/src/gossip/node.rs
+++ b/src/gossip/node.rs
@@ -10,12 +10,14 @@
 
 use crate::auth::FleetKey;
 use crate::clock::Time;
+use crate::gossip::broadcast::BroadcastQueue;
 use crate::gossip::dump::{FleetDump, TrafficCounts};
-use crate::gossip::rumour::Rumours;
 use crate::gossip::sync;
 use crate::gossip::wire::{Body, Packet, decode, encode};
 use crate::id::InstanceId;
-use crate::membership::{DetectorSettings, Member, MemberEffect, MemberView, Membership, STALL};
+use crate::membership::{
+    DetectorSettings, Member, MemberEffect, MemberView, Membership, SUSPEND_GAP,
+};
 use crate::upstream::{AnnounceError, AnnounceOutcome, Announcement, Registry, UpstreamView};
 
 mod effects;
@@ -26,26 +28,26 @@
 const FANOUT: usize = 3;
 
 /// Rounds of urgent rumours in one period.
-const ROUNDS: u32 = 5;
+const ROUNDS_PER_PERIOD: u32 = 5;
 
 /// Datagrams in one period that carry loads alone.
-const LOAD_ROUNDS: u32 = 2;
+const LOAD_ROUNDS_PER_PERIOD: u32 = 2;
 
 /// Periods between two comparisons of tables.
-const SYNC: u32 = 2;
+const SYNC_PERIODS: u32 = 2;
 
 /// Most datagrams that answer comparisons in one round. When a whole fleet
 /// starts at once, all come to the seeds; whoever gets no answer asks again.
-const ANSWERS: u32 = 16;
+const MAX_SYNC_REPLIES: u32 = 16;
 
 /// Time between two passes over the upstreams.
 const REGISTRY_TICK: Duration = Duration::from_secs(1);
 
 /// Time after a suspension in which datagrams are dropped.
-const DEAF: Duration = Duration::from_millis(100);
+const DATAGRAM_DROP_TIME: Duration = Duration::from_millis(100);
 
 /// Time after a suspension in which announcements are refused.
-const WARY: Duration = Duration::from_secs(1);
+const ANNOUNCE_REFUSE_TIME: Duration = Duration::from_secs(1);
 
 /// Settings of a node.
 #[derive(Clone, Debug)]
@@ -86,7 +88,7 @@
 
 /// The instance that an event came from.
 #[derive(Clone, Copy, Debug)]
-struct Origin {
+struct PeerAddress {
     id: InstanceId,
     address: SocketAddr,
 }
@@ -102,21 +104,21 @@
 pub struct Node {
     pub(super) members: Membership,
     pub(super) registry: Registry,
-    member_rumours: Rumours<InstanceId>,
-    upstream_rumours: Rumours<u64>,
-    load_rumours: Rumours<u64>,
+    member_broadcasts: BroadcastQueue<InstanceId>,
+    upstream_broadcasts: BroadcastQueue<u64>,
+    load_broadcasts: BroadcastQueue<u64>,
     key: FleetKey,
     traffic: TrafficCounts,
     probe_period: Duration,
     last_tick: Time,
     /// End of the last suspension of this process.
-    woke: Option<Time>,
+    resumed_at: Option<Time>,
     next_round: Time,
-    next_loads: Time,
+    next_load_round: Time,
     /// Datagrams left to answer comparisons with, until the next round.
-    answers: u32,
+    sync_replies_left: u32,
     next_sync: Time,
-    next_pass: Time,
+    next_registry_tick: Time,
     rng: ChaCha8Rng,
     out: Vec<Outgoing>,
 }
@@ -143,19 +145,19 @@
         Self {
             members: Membership::new(now, detector, detector_rng),
             registry,
-            member_rumours: Rumours::new(),
-            upstream_rumours: Rumours::new(),
-            load_rumours: Rumours::new(),
+            member_broadcasts: BroadcastQueue::new(),
+            upstream_broadcasts: BroadcastQueue::new(),
+            load_broadcasts: BroadcastQueue::new(),
             key,
             traffic: TrafficCounts::default(),
             probe_period,
             last_tick: now,
-            woke: None,
+            resumed_at: None,
             next_round: now,
-            next_loads: now,
-            answers: ANSWERS,
+            next_load_round: now,
+            sync_replies_left: MAX_SYNC_REPLIES,
             next_sync: now + probe_period,
-            next_pass: now,
+            next_registry_tick: now,
             rng,
             out: Vec::new(),
         }
@@ -164,12 +166,12 @@
     /// Takes an event; datagrams to send are added to `out`. Time is to pass
     /// by [`NodeEvent::Tick`] at least five times a period.
     pub fn step(&mut self, now: Time, event: NodeEvent<'_>, out: &mut Vec<Datagram>) {
-        self.notice_stall(now);
+        self.detect_suspension(now);
         match event {
             NodeEvent::Tick => self.tick(now),
-            NodeEvent::Datagram(from, bytes) => self.take(now, from, bytes),
-            NodeEvent::Drain => self.restate(now, Membership::drain),
-            NodeEvent::Leave => self.restate(now, Membership::leave),
+            NodeEvent::Datagram(from, bytes) => self.receive_datagram(now, from, bytes),
+            NodeEvent::Drain => self.update_own(now, Membership::drain),
+            NodeEvent::Leave => self.update_own(now, Membership::leave),
         }
         self.seal(out);
     }
@@ -190,16 +192,16 @@
         announcement: &Announcement,
         out: &mut Vec<Datagram>,
     ) -> Result<AnnounceOutcome, AnnounceError> {
-        self.notice_stall(now);
-        if self.woke_within(now, WARY) {
-            let retry = u64::try_from(WARY.as_millis()).unwrap_or(u64::MAX);
+        self.detect_suspension(now);
+        if self.resumed_within(now, ANNOUNCE_REFUSE_TIME) {
+            let retry = u64::try_from(ANNOUNCE_REFUSE_TIME.as_millis()).unwrap_or(u64::MAX);
             return Err(AnnounceError::Stalled { retry });
         }
         let mut effects = Vec::new();
         let outcome = self
             .registry
             .announce(now, announcement, &self.members, &mut effects);
-        self.on_registry(effects, None);
+        self.apply_registry_effects(effects, None);
         self.seal(out);
         outcome
     }
@@ -229,7 +231,7 @@
             address: self.members.address(id),
             health: self.members.health(),
             conflicts: self.members.conflicts(),
-            rumours: self.waiting(),
+            queued: self.queued(),
             counts: self.registry.counts(),
             traffic: self.traffic,
             members: self.members.dump(now),
@@ -238,47 +240,47 @@
     }
 
     /// Sends the rumours that wait once more, after leaving.
-    pub(super) fn farewell(&mut self, now: Time, out: &mut Vec<Datagram>) {
-        self.send_round(now);
+    pub(super) fn send_remaining(&mut self, now: Time, out: &mut Vec<Datagram>) {
+        self.send_broadcasts(now);
         self.seal(out);
     }
 
     /// Rumours that wait: of members, upstreams and loads.
-    fn waiting(&self) -> [usize; 3] {
+    fn queued(&self) -> [usize; 3] {
         [
-            self.member_rumours.len(),
-            self.upstream_rumours.len(),
-            self.load_rumours.len(),
+            self.member_broadcasts.len(),
+            self.upstream_broadcasts.len(),
+            self.load_broadcasts.len(),
         ]
     }
 
     /// Lets time pass first when this process was suspended, so that whatever
     /// came meets expired records and not those of before.
-    fn notice_stall(&mut self, now: Time) {
-        if now.since(self.last_tick) < STALL {
+    fn detect_suspension(&mut self, now: Time) {
+        if now.since(self.last_tick) < SUSPEND_GAP {
             return;
         }
-        self.woke = Some(now);
-        self.next_sync = now + DEAF;
+        self.resumed_at = Some(now);
+        self.next_sync = now + DATAGRAM_DROP_TIME;
         self.tick(now);
     }
 
-    fn woke_within(&self, now: Time, pause: Duration) -> bool {
-        self.woke.is_some_and(|at| now.since(at) < pause)
+    fn resumed_within(&self, now: Time, pause: Duration) -> bool {
+        self.resumed_at.is_some_and(|at| now.since(at) < pause)
     }
 
     /// Takes a datagram, unless it may have waited in the socket while this
     /// process was suspended. The ages in it would then be too low, and an
     /// upstream that left an hour ago would come back.
-    fn take(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
-        if self.woke_within(now, DEAF) {
+    fn receive_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+        if self.resumed_within(now, DATAGRAM_DROP_TIME) {
             self.traffic.stale += 1;
             return;
         }
         self.traffic.received += 1;
         self.traffic.read += bytes.len() as u64;
         match decode(bytes, &self.key) {
-            Some(packet) => self.receive(now, from, packet),
+            Some(packet) => self.handle_packet(now, from, packet),
             None => self.traffic.bad += 1,
         }
     }
@@ -297,42 +299,46 @@
     /// is renewed or told of.
     fn tick(&mut self, now: Time) {
         self.last_tick = now;
-        if now >= self.next_pass {
-            self.next_pass = now + REGISTRY_TICK;
+        if now >= self.next_registry_tick {
+            self.next_registry_tick = now + REGISTRY_TICK;
             let mut effects = Vec::new();
             self.registry.tick(now, &self.members, &mut effects);
-            self.on_registry(effects, None);
+            self.apply_registry_effects(effects, None);
         }
         let mut effects = Vec::new();
         self.members.tick(now, &mut effects);
-        self.on_members(now, effects, None);
+        self.apply_member_effects(now, effects, None);
         if now >= self.next_sync {
             self.next_sync =
-                now + (self.probe_period * SYNC).mul_f64(self.rng.random_range(0.75..1.25));
-            let peers = self.members.pick(1);
-            peers.into_iter().for_each(|to| self.compare(now, to));
+                now + (self.probe_period * SYNC_PERIODS).mul_f64(self.rng.random_range(0.75..1.25));
+            let peers = self.members.random_peers(1);
+            peers.into_iter().for_each(|to| self.start_sync(now, to));
         }
         if now >= self.next_round {
-            self.next_round = now + self.probe_period / ROUNDS;
-            self.answers = ANSWERS;
-            self.send_round(now);
+            self.next_round = now + self.probe_period / ROUNDS_PER_PERIOD;
+            self.sync_replies_left = MAX_SYNC_REPLIES;
+            self.send_broadcasts(now);
         }
-        if now >= self.next_loads {
-            self.next_loads = now + self.probe_period / LOAD_ROUNDS;
-            self.send_loads();
+        if now >= self.next_load_round {
+            self.next_load_round = now + self.probe_period / LOAD_ROUNDS_PER_PERIOD;
+            self.send_load_broadcasts();
         }
     }
 
-    fn restate(&mut self, now: Time, change: impl FnOnce(&mut Membership, &mut Vec<MemberEffect>)) {
+    fn update_own(
+        &mut self,
+        now: Time,
+        change: impl FnOnce(&mut Membership, &mut Vec<MemberEffect>),
+    ) {
         let mut effects = Vec::new();
         change(&mut self.members, &mut effects);
-        self.on_members(now, effects, None);
-        self.send_round(now);
+        self.apply_member_effects(now, effects, None);
+        self.send_broadcasts(now);
     }
 
     /// Starts a comparison of tables.
-    pub(super) fn compare(&mut self, now: Time, to: SocketAddr) {
-        let roots = sync::roots(now, &self.members, &self.registry);
-        self.out.push(self.datagram(to, Body::Roots(roots)));
+    pub(super) fn start_sync(&mut self, now: Time, to: SocketAddr) {
+        let roots = sync::root_hashes(now, &self.members, &self.registry);
+        self.out.push(self.datagram(to, Body::RootHashes(roots)));
     }
 }
--- a/src/gossip/node/effects.rs
+++ b/src/gossip/node/effects.rs
@@ -1,18 +1,18 @@
 //! What a node does for its detector and its table of upstreams.
 
 use crate::clock::Time;
-use crate::gossip::node::{Node, Origin};
-use crate::gossip::wire::{Body, Ping, Request, Want};
+use crate::gossip::node::{Node, PeerAddress};
+use crate::gossip::wire::{Body, Ping, PingRequest, RecordRequest};
 use crate::id::InstanceId;
-use crate::membership::{MemberEffect, ProbeEvent, Source};
+use crate::membership::{MemberEffect, ProbeEvent, RecordSource};
 use crate::upstream::RegistryEffect;
 
 impl Node {
-    pub(super) fn on_members(
+    pub(super) fn apply_member_effects(
         &mut self,
         now: Time,
         effects: Vec<MemberEffect>,
-        origin: Option<Origin>,
+        sender: Option<PeerAddress>,
     ) {
         for effect in effects {
             match effect {
@@ -28,70 +28,74 @@
                     self.send_probe(now, to, body, Some(target));
                 }
                 MemberEffect::Ack { to, sequence } => {
-                    let sender = origin.map(|o| o.id);
+                    let sender = sender.map(|o| o.id);
                     self.send_probe(now, to, Body::Ack(sequence), sender);
                 }
                 MemberEffect::Nack { to, sequence } => {
                     self.send_probe(now, to, Body::Nack(sequence), None);
                 }
-                MemberEffect::Request {
+                MemberEffect::PingRequest {
                     to,
                     target,
                     address,
                     sequence,
                 } => {
-                    let request = Request::new(target, address, sequence);
-                    self.send_probe(now, to, Body::Request(request), None);
+                    let request = PingRequest::new(target, address, sequence);
+                    self.send_probe(now, to, Body::PingRequest(request), None);
                 }
-                MemberEffect::Spread(id) => self.member_rumours.add(id),
-                MemberEffect::Want(id) => {
-                    let want = Want {
+                MemberEffect::Broadcast(id) => self.member_broadcasts.add(id),
+                MemberEffect::RequestRecord(id) => {
+                    let request = RecordRequest {
                         members: vec![id.0],
                         upstreams: Vec::new(),
                     };
-                    self.answer(origin, Body::Want(want));
+                    self.send_to(sender, Body::RecordRequest(request));
                 }
-                MemberEffect::Reply(id) => {
+                MemberEffect::SendRecord(id) => {
                     let record = self.members.record(now, id, true);
-                    let to = origin.map(|o| o.address);
+                    let to = sender.map(|o| o.address);
                     if let (Some(record), Some(to)) = (record, to) {
-                        self.send_records(to, Source::Rumour, vec![record], Vec::new());
+                        self.send_records(to, RecordSource::Broadcast, vec![record], Vec::new());
                     }
                 }
-                MemberEffect::Sync(to) => self.compare(now, to),
+                MemberEffect::Sync(to) => self.start_sync(now, to),
             }
         }
     }
 
-    pub(super) fn on_registry(&mut self, effects: Vec<RegistryEffect>, origin: Option<Origin>) {
-        let mut wanted = Vec::new();
+    pub(super) fn apply_registry_effects(
+        &mut self,
+        effects: Vec<RegistryEffect>,
+        sender: Option<PeerAddress>,
+    ) {
+        let mut missing_facts = Vec::new();
         for effect in effects {
             match effect {
-                RegistryEffect::Spread(key) => self.upstream_rumours.add(key),
-                RegistryEffect::SpreadLoad(key) => self.load_rumours.add(key),
+                RegistryEffect::Spread(key) => self.upstream_broadcasts.add(key),
+                RegistryEffect::SpreadLoad(key) => self.load_broadcasts.add(key),
                 RegistryEffect::Renew(voucher, renewal) => {
                     let to = self.members.address(voucher);
-                    let to = to.map(|address| Origin {
+                    let to = to.map(|address| PeerAddress {
                         id: voucher,
                         address,
                     });
-                    self.answer(to, Body::Renewal(renewal));
+                    self.send_to(to, Body::Renewal(renewal));
                 }
-                RegistryEffect::Want(key) => wanted.push(key),
+                RegistryEffect::Want(key) => missing_facts.push(key),
             }
         }
-        if wanted.is_empty() {
+        if missing_facts.is_empty() {
             return;
         }
-        let want = Want {
+        let request = RecordRequest {
             members: Vec::new(),
-            upstreams: wanted,
+            upstreams: missing_facts,
         };
-        self.answer(origin, Body::Want(want));
+        self.send_to(sender, Body::RecordRequest(request));
     }
 
     /// Sends a body without rumours to an instance, if there is one.
-    fn answer(&mut self, to: Option<Origin>, body: Body) {
+    fn send_to(&mut self, to: Option<PeerAddress>, body: Body) {
         let outgoing = to.map(|to| self.datagram(to.address, body));
         self.out.extend(outgoing);
     }
@@ -110,7 +114,7 @@
             Body::Nack(sequence) => Some(ProbeEvent::Nack {
                 sequence: *sequence,
             }),
-            Body::Request(request) => request.event(),
+            Body::PingRequest(request) => request.event(),
             _ => None,
         }
     }
--- a/src/gossip/node/receive.rs
+++ b/src/gossip/node/receive.rs
@@ -5,94 +5,97 @@
 use rand::RngExt;
 
 use crate::clock::Time;
-use crate::gossip::node::{Node, Origin};
+use crate::gossip::node::{Node, PeerAddress};
 use crate::gossip::sync::{self, Difference};
-use crate::gossip::wire::{Body, Buckets, Listing, Packet, Request, Roots, Want};
+use crate::gossip::wire::{
+    Body, BucketHashes, BucketListing, Packet, PingRequest, RecordRequest, RootHashes,
+};
 use crate::id::InstanceId;
 use crate::membership::{
-    MemberEffect, MemberRecord, MemberState, ProbeEvent, Source, decode_address, encode_address,
+    MemberEffect, MemberRecord, MemberState, ProbeEvent, RecordSource, decode_address,
+    encode_address,
 };
 use crate::upstream::{Loads, RegistryEffect, UpstreamRecord};
 
 impl Node {
     /// Takes a packet. Records go first, so that an answer to a probe that
     /// came with an accusation carries the refutation.
-    pub(super) fn receive(&mut self, now: Time, from: SocketAddr, packet: Packet) {
+    pub(super) fn handle_packet(&mut self, now: Time, from: SocketAddr, packet: Packet) {
         let sender = InstanceId(packet.from);
         if sender == self.members.identity().0 {
             return;
         }
         let source = if packet.sync {
-            Source::Sync
+            RecordSource::Sync
         } else {
-            Source::Rumour
+            RecordSource::Broadcast
         };
-        let origin = Origin {
+        let sender = PeerAddress {
             id: sender,
             address: from,
         };
-        self.merge_members(now, origin, source, &packet.members);
-        self.merge_upstreams(now, origin, source, packet.upstreams);
+        self.merge_members(now, sender, source, &packet.members);
+        self.merge_upstreams(now, sender, source, packet.upstreams);
         if let Some(loads) = packet.loads {
             self.merge_loads(&loads);
         }
         if let Some(body) = packet.body {
-            self.on_body(now, origin, source, body);
+            self.on_body(now, sender, source, body);
         }
     }
 
-    fn on_body(&mut self, now: Time, origin: Origin, source: Source, body: Body) {
-        let from = origin.address;
+    fn on_body(&mut self, now: Time, sender: PeerAddress, source: RecordSource, body: Body) {
+        let from = sender.address;
         if let Some(event) = Option::<ProbeEvent>::from(&body) {
-            return self.on_probe(now, origin, event);
+            return self.on_probe(now, sender, event);
         }
         match body {
             Body::Renewal(renewal) => {
                 let mut effects = Vec::new();
                 self.registry.renew(now, &renewal, &mut effects);
-                self.on_registry(effects, None);
+                self.apply_registry_effects(effects, None);
             }
-            Body::Roots(roots) => self.on_roots(now, from, &roots),
-            Body::Buckets(buckets) => self.on_buckets(now, from, &buckets),
-            Body::Listing(listing) => self.on_listing(now, from, &listing),
-            Body::Want(want) => self.on_want(now, from, source, &want),
-            Body::Ping(_) | Body::Ack(_) | Body::Nack(_) | Body::Request(_) => {}
+            Body::RootHashes(roots) => self.on_root_hashes(now, from, &roots),
+            Body::BucketHashes(buckets) => self.on_bucket_hashes(now, from, &buckets),
+            Body::BucketListing(listing) => self.on_bucket_listing(now, from, &listing),
+            Body::RecordRequest(request) => self.on_record_request(now, from, source, &request),
+            Body::Ping(_) | Body::Ack(_) | Body::Nack(_) | Body::PingRequest(_) => {}
         }
     }
 
     /// Takes a message of the detector. A sender that is unknown here, or held
     /// for dead or suspect, hears of it.
-    fn on_probe(&mut self, now: Time, origin: Origin, event: ProbeEvent) {
+    fn on_probe(&mut self, now: Time, sender: PeerAddress, event: ProbeEvent) {
         let mut effects = Vec::new();
         self.members
-            .receive(now, origin.address, event, &mut effects);
-        if self.members.state(origin.id).is_none() {
-            effects.push(MemberEffect::Want(origin.id));
+            .receive(now, sender.address, event, &mut effects);
+        if self.members.state(sender.id).is_none() {
+            effects.push(MemberEffect::RequestRecord(sender.id));
         }
-        self.on_members(now, effects, Some(origin));
+        self.apply_member_effects(now, effects, Some(sender));
     }
 
     fn merge_members(
         &mut self,
         now: Time,
-        origin: Origin,
-        source: Source,
+        sender: PeerAddress,
+        source: RecordSource,
         records: &[MemberRecord],
     ) {
         let mut effects = Vec::new();
         for record in records {
             self.members.merge(now, record, &mut effects);
         }
-        if source == Source::Sync {
-            effects.retain(|effect| self.urgent(effect));
+        if source == RecordSource::Sync {
+            effects.retain(|effect| self.must_broadcast(effect));
         }
-        self.on_members(now, effects, Some(origin));
+        self.apply_member_effects(now, effects, Some(sender));
     }
 
     /// Whether an effect of a comparison is more than learning what others
     /// know. A suspect has to hear of it in time to refute.
-    fn urgent(&self, effect: &MemberEffect) -> bool {
-        let MemberEffect::Spread(id) = effect else {
+    fn must_broadcast(&self, effect: &MemberEffect) -> bool {
+        let MemberEffect::Broadcast(id) = effect else {
             return true;
         };
         let own = self.members.identity().0;
@@ -102,51 +105,52 @@
     fn merge_upstreams(
         &mut self,
         now: Time,
-        origin: Origin,
-        source: Source,
+        sender: PeerAddress,
+        source: RecordSource,
         records: Vec<UpstreamRecord>,
     ) {
         let mut effects = Vec::new();
         for record in records {
             self.registry.receive(now, record, &mut effects);
         }
-        if source == Source::Sync {
+        if source == RecordSource::Sync {
             effects.retain(|e| !matches!(e, RegistryEffect::Spread(_)));
         }
-        self.on_registry(effects, Some(origin));
+        self.apply_registry_effects(effects, Some(sender));
     }
 
     fn merge_loads(&mut self, loads: &Loads) {
         let mut effects = Vec::new();
         self.registry.receive_loads(loads, &mut effects);
-        self.on_registry(effects, None);
+        self.apply_registry_effects(effects, None);
     }
 
-    fn on_roots(&mut self, now: Time, from: SocketAddr, roots: &Roots) {
-        if self.answers == 0 {
+    fn on_root_hashes(&mut self, now: Time, from: SocketAddr, roots: &RootHashes) {
+        if self.sync_replies_left == 0 {
             return;
         }
-        let buckets = sync::buckets(now, roots, &self.members, &self.registry);
+        let buckets = sync::differing_buckets(now, roots, &self.members, &self.registry);
         if let Some(buckets) = buckets {
-            let mut answer = self.datagram(from, Body::Buckets(buckets));
+            let mut answer = self.datagram(from, Body::BucketHashes(buckets));
             answer.packet.sync = true;
-            self.send_answer(from, answer.packet);
+            self.send_reply(from, answer.packet);
         }
     }
 
     /// Goes into the buckets that differ, and compares again soon.
-    fn on_buckets(&mut self, now: Time, from: SocketAddr, buckets: &Buckets) {
+    fn on_bucket_hashes(&mut self, now: Time, from: SocketAddr, buckets: &BucketHashes) {
         let offset = self.rng.random_range(0..1_024);
         let listings = sync::listings(now, buckets, offset, &self.members, &self.registry);
         if !listings.is_empty() {
             self.next_sync = self.next_sync.min(now + self.probe_period / 2);
         }
         for listing in listings {
-            self.out.push(self.datagram(from, Body::Listing(listing)));
+            self.out
+                .push(self.datagram(from, Body::BucketListing(listing)));
         }
     }
 
-    fn on_listing(&mut self, now: Time, from: SocketAddr, listing: &Listing) {
+    fn on_bucket_listing(&mut self, now: Time, from: SocketAddr, listing: &BucketListing) {
         if listing.upstreams {
             let difference = sync::difference(listing, self.registry.hashes(now));
             self.send_difference_upstreams(now, from, difference);
@@ -161,34 +165,34 @@
         let changed = difference.changed.iter().map(|key| (*key, false));
         let records = missing.chain(changed);
         let records = records.filter_map(|(key, full)| self.registry.record(now, key, full));
-        self.send_records(from, Source::Sync, Vec::new(), records.collect());
+        self.send_records(from, RecordSource::Sync, Vec::new(), records.collect());
         if difference.wanted.is_empty() {
             return;
         }
-        let want = Want {
+        let request = RecordRequest {
             members: Vec::new(),
             upstreams: difference.wanted,
         };
-        self.ask(from, want);
+        self.request_records(from, request);
     }
 
     fn send_difference_members(&mut self, now: Time, from: SocketAddr, difference: Difference) {
         let keys = difference.missing.iter().chain(&difference.changed);
         let records = keys.filter_map(|id| self.members.record(now, InstanceId(*id), true));
-        self.send_records(from, Source::Sync, records.collect(), Vec::new());
+        self.send_records(from, RecordSource::Sync, records.collect(), Vec::new());
         if difference.wanted.is_empty() {
             return;
         }
-        let want = Want {
+        let request = RecordRequest {
             members: difference.wanted,
             upstreams: Vec::new(),
         };
-        self.ask(from, want);
+        self.request_records(from, request);
     }
 
     /// Asks for records that a comparison found to differ.
-    fn ask(&mut self, to: SocketAddr, want: Want) {
-        let mut outgoing = self.datagram(to, Body::Want(want));
+    fn request_records(&mut self, to: SocketAddr, request: RecordRequest) {
+        let mut outgoing = self.datagram(to, Body::RecordRequest(request));
         outgoing.packet.sync = true;
         self.out.push(outgoing);
     }
@@ -199,10 +203,16 @@
     /// Guards against two instances that both lack the facts of an upstream
     /// and ask each other for them without end: a record that can't answer the
     /// request isn't sent.
-    fn on_want(&mut self, now: Time, from: SocketAddr, source: Source, want: &Want) {
-        let members = want.members.iter();
+    fn on_record_request(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        source: RecordSource,
+        request: &RecordRequest,
+    ) {
+        let members = request.members.iter();
         let members = members.filter_map(|id| self.members.record(now, InstanceId(*id), true));
-        let upstreams = want.upstreams.iter();
+        let upstreams = request.upstreams.iter();
         let upstreams = upstreams
             .filter(|key| self.registry.complete(**key))
             .filter_map(|key| self.registry.record(now, *key, true));
@@ -210,7 +220,7 @@
     }
 }
 
-impl Request {
+impl PingRequest {
     pub(super) fn new(target: InstanceId, address: SocketAddr, sequence: u64) -> Self {
         Self {
             target: target.0,
@@ -220,7 +230,7 @@
     }
 
     pub(super) fn event(&self) -> Option<ProbeEvent> {
-        Some(ProbeEvent::Request {
+        Some(ProbeEvent::PingRequest {
             target: InstanceId(self.target),
             address: decode_address(&self.address)?,
             sequence: self.sequence,
--- a/src/gossip/node/send.rs
+++ b/src/gossip/node/send.rs
@@ -6,30 +6,30 @@
 use prost::encoding::encoded_len_varint;
 
 use crate::clock::Time;
+use crate::gossip::broadcast::WriteOutcome;
 use crate::gossip::node::{FANOUT, Node, Outgoing};
-use crate::gossip::rumour::Put;
 use crate::gossip::wire::{Body, MAX_PACKET, Packet};
 use crate::id::InstanceId;
-use crate::membership::{MemberRecord, MemberState, Source};
+use crate::membership::{MemberRecord, MemberState, RecordSource};
 use crate::upstream::{Loads, UpstreamRecord};
 
 /// Times that a rumour is told by each instance, for each digit of the size of
 /// the fleet and one more.
-const REPEATS: u32 = 4;
+const TRANSMIT_FACTOR: u32 = 4;
 
 /// The same for a report of load. One that is missed does little harm.
-const LOAD_REPEATS: u32 = 1;
+const LOAD_TRANSMIT_FACTOR: u32 = 1;
 
 /// Bytes of load reports in one datagram. Together with the fixed
 /// number of datagrams this bounds what load reports cost, however many
 /// upstreams change their load.
-const LOAD_BUDGET: usize = 560;
+const MAX_LOAD_BYTES: usize = 560;
 
 /// Most bytes of one load report: key, incarnation, sequence, level.
-const LOAD_ROW: usize = 4 + 1 + 10 + 1;
+const LOAD_ROW_BYTES: usize = 4 + 1 + 10 + 1;
 
 /// Overhead of a record in a packet: its tag and length.
-const RECORD_HEAD: usize = 3;
+const RECORD_OVERHEAD: usize = 3;
 
 impl Node {
     /// A datagram with a body and no rumours.
@@ -54,23 +54,23 @@
         let mut packet = self.datagram(to, body).packet;
         packet
             .members
-            .extend(target.and_then(|id| self.accusation(now, id)));
-        self.fill(now, &mut packet);
+            .extend(target.and_then(|id| self.suspicion_record(now, id)));
+        self.fill_records(now, &mut packet);
         self.fill_loads(&mut packet);
         self.out.push(Outgoing { to, packet });
     }
 
     /// Sends urgent rumours to a few instances.
-    pub(super) fn send_round(&mut self, now: Time) {
-        if self.member_rumours.len() + self.upstream_rumours.len() == 0 {
+    pub(super) fn send_broadcasts(&mut self, now: Time) {
+        if self.member_broadcasts.len() + self.upstream_broadcasts.len() == 0 {
             return;
         }
-        for to in self.members.pick(FANOUT) {
+        for to in self.members.random_peers(FANOUT) {
             let mut packet = Packet {
                 from: self.members.identity().0.0,
                 ..Packet::default()
             };
-            self.fill(now, &mut packet);
+            self.fill_records(now, &mut packet);
             if packet.members.is_empty() && packet.upstreams.is_empty() {
                 return;
             }
@@ -79,11 +79,11 @@
     }
 
     /// Sends loads that are news to one instance.
-    pub(super) fn send_loads(&mut self) {
-        if self.load_rumours.len() == 0 {
+    pub(super) fn send_load_broadcasts(&mut self) {
+        if self.load_broadcasts.len() == 0 {
             return;
         }
-        for to in self.members.pick(1) {
+        for to in self.members.random_peers(1) {
             let mut packet = Packet {
                 from: self.members.identity().0.0,
                 ..Packet::default()
@@ -97,129 +97,129 @@
     pub(super) fn send_records(
         &mut self,
         to: SocketAddr,
-        source: Source,
+        source: RecordSource,
         members: Vec<MemberRecord>,
         upstreams: Vec<UpstreamRecord>,
     ) {
         let mut packet = self.record_packet(source);
-        let mut room = Room::of(&packet);
+        let mut remaining = RemainingBytes::of(&packet);
         for record in members {
-            if !room.take(record.encoded_len()) {
+            if !remaining.reserve(record.encoded_len()) {
                 let full = std::mem::replace(&mut packet, self.record_packet(source));
-                self.send_answer(to, full);
-                room = Room::of(&packet);
-                room.take(record.encoded_len());
+                self.send_reply(to, full);
+                remaining = RemainingBytes::of(&packet);
+                remaining.reserve(record.encoded_len());
             }
             packet.members.push(record);
         }
         for record in upstreams {
-            if !room.take(record.encoded_len()) {
+            if !remaining.reserve(record.encoded_len()) {
                 let full = std::mem::replace(&mut packet, self.record_packet(source));
-                self.send_answer(to, full);
-                room = Room::of(&packet);
-                room.take(record.encoded_len());
+                self.send_reply(to, full);
+                remaining = RemainingBytes::of(&packet);
+                remaining.reserve(record.encoded_len());
             }
             packet.upstreams.push(record);
         }
         if !packet.members.is_empty() || !packet.upstreams.is_empty() {
-            self.send_answer(to, packet);
+            self.send_reply(to, packet);
         }
     }
 
     /// Sends an answer; one to a comparison only while there are some left.
-    pub(super) fn send_answer(&mut self, to: SocketAddr, packet: Packet) {
-        if packet.sync && self.answers == 0 {
+    pub(super) fn send_reply(&mut self, to: SocketAddr, packet: Packet) {
+        if packet.sync && self.sync_replies_left == 0 {
             return;
         }
-        self.answers -= u32::from(packet.sync);
+        self.sync_replies_left -= u32::from(packet.sync);
         self.out.push(Outgoing { to, packet });
     }
 
-    fn record_packet(&self, source: Source) -> Packet {
+    fn record_packet(&self, source: RecordSource) -> Packet {
         Packet {
             from: self.members.identity().0.0,
-            sync: source == Source::Sync,
+            sync: source == RecordSource::Sync,
             ..Packet::default()
         }
     }
 
     /// What this instance holds against `id`, if anything.
-    fn accusation(&self, now: Time, id: InstanceId) -> Option<MemberRecord> {
-        let accused = self.members.state(id)? != MemberState::Alive;
-        accused
+    fn suspicion_record(&self, now: Time, id: InstanceId) -> Option<MemberRecord> {
+        let not_alive = self.members.state(id)? != MemberState::Alive;
+        not_alive
             .then(|| self.members.record(now, id, false))
             .flatten()
     }
 
-    fn fill(&mut self, now: Time, packet: &mut Packet) {
-        let limit = self.repeats();
-        let mut room = Room::of(packet);
+    fn fill_records(&mut self, now: Time, packet: &mut Packet) {
+        let limit = self.transmit_limit();
+        let mut remaining = RemainingBytes::of(packet);
         let (members, registry) = (&self.members, &self.registry);
-        self.member_rumours.tell(limit, |id| {
+        self.member_broadcasts.transmit(limit, |id| {
             let record = members.record(now, id, false);
-            room.put(record, &mut packet.members)
+            remaining.write(record, &mut packet.members)
         });
-        self.upstream_rumours.tell(limit, |key| {
+        self.upstream_broadcasts.transmit(limit, |key| {
             let record = registry.record(now, key, false);
-            room.put(record, &mut packet.upstreams)
+            remaining.write(record, &mut packet.upstreams)
         });
     }
 
     fn fill_loads(&mut self, packet: &mut Packet) {
-        let limit = self.repeats() * LOAD_REPEATS / REPEATS;
-        let mut room = MAX_PACKET
-            .saturating_sub(packet.encoded_len() + 4 * RECORD_HEAD)
-            .min(LOAD_BUDGET);
+        let limit = self.transmit_limit() * LOAD_TRANSMIT_FACTOR / TRANSMIT_FACTOR;
+        let mut remaining = MAX_PACKET
+            .saturating_sub(packet.encoded_len() + 4 * RECORD_OVERHEAD)
+            .min(MAX_LOAD_BYTES);
         let mut loads = Loads::default();
         let registry = &self.registry;
-        self.load_rumours.tell(limit, |key| {
+        self.load_broadcasts.transmit(limit, |key| {
             let Some((short, incarnation, sequence, level)) = registry.load_row(key) else {
-                return Put::Void;
+                return WriteOutcome::Obsolete;
             };
-            if room < LOAD_ROW {
-                return Put::Full;
+            if remaining < LOAD_ROW_BYTES {
+                return WriteOutcome::Full;
             }
-            room -= 6 + encoded_len_varint(sequence);
+            remaining -= 6 + encoded_len_varint(sequence);
             loads.keys.push(short);
             loads.incarnations.push(incarnation);
             loads.sequences.push(sequence);
             loads.levels.push(level);
-            Put::Sent
+            WriteOutcome::Sent
         });
         packet.loads = (!loads.keys.is_empty()).then_some(loads);
     }
 
     /// Times that a rumour is told: grows with the logarithm of the fleet.
-    fn repeats(&self) -> u32 {
+    fn transmit_limit(&self) -> u32 {
         let size = u32::try_from(self.members.present()).unwrap_or(u32::MAX);
         let digits = size.checked_ilog10().unwrap_or(0) + 1;
-        REPEATS * (1 + digits)
+        TRANSMIT_FACTOR * (1 + digits)
     }
 }
 
 /// Bytes left in a packet.
-struct Room(usize);
+struct RemainingBytes(usize);
 
-impl Room {
+impl RemainingBytes {
     fn of(packet: &Packet) -> Self {
         Self(MAX_PACKET.saturating_sub(packet.encoded_len()))
     }
 
-    fn take(&mut self, len: usize) -> bool {
-        let needed = len + RECORD_HEAD;
+    fn reserve(&mut self, len: usize) -> bool {
+        let needed = len + RECORD_OVERHEAD;
         let fits = needed <= self.0;
         self.0 -= if fits { needed } else { 0 };
         fits
     }
 
-    fn put<R: Message>(&mut self, record: Option<R>, records: &mut Vec<R>) -> Put {
+    fn write<R: Message>(&mut self, record: Option<R>, records: &mut Vec<R>) -> WriteOutcome {
         let Some(record) = record else {
-            return Put::Void;
+            return WriteOutcome::Obsolete;
         };
-        if !self.take(record.encoded_len()) {
-            return Put::Full;
+        if !self.reserve(record.encoded_len()) {
+            return WriteOutcome::Full;
         }
         records.push(record);
-        Put::Sent
+        WriteOutcome::Sent
     }
 }
--- a/src/gossip/watch.rs
+++ b/src/gossip/report.rs
@@ -7,12 +7,12 @@
 
 /// Remembers what was reported last.
 #[derive(Debug, Default)]
-pub(crate) struct Watch {
+pub(crate) struct FleetReporter {
     members: Vec<(u64, MemberState)>,
     conflicts: u64,
 }
 
-impl Watch {
+impl FleetReporter {
     /// Reports members whose state is another than before.
     pub(crate) fn members(&mut self, view: &MemberView) {
         let present = view.present().count();
--- a/src/gossip/sync.rs
+++ b/src/gossip/sync.rs
@@ -6,24 +6,24 @@
 
 use crate::clock::Time;
 use crate::collections::HashMap;
-use crate::gossip::wire::{Buckets, Listing, Roots};
+use crate::gossip::wire::{BucketHashes, BucketListing, RootHashes};
 use crate::membership::Membership;
 use crate::upstream::Registry;
 
 /// Buckets of each table.
-const BUCKETS: usize = 64;
+const BUCKET_COUNT: usize = 64;
 
 /// Most buckets that one comparison goes into. The rest waits for the next,
 /// so that a newcomer doesn't get all at once.
-const MAX_DIFFERENT: usize = 8;
+const MAX_LISTED_BUCKETS: usize = 8;
 
 /// Most keys listed of one bucket; they fit in a datagram.
-const MAX_LISTED: usize = 80;
+const MAX_LISTED_KEYS: usize = 80;
 
 /// Hash over all entries.
-pub(crate) fn roots(now: Time, members: &Membership, registry: &Registry) -> Roots {
+pub(crate) fn root_hashes(now: Time, members: &Membership, registry: &Registry) -> RootHashes {
     let root = |hashes: &mut dyn Iterator<Item = (u64, u64)>| hashes.fold(0, |all, (_, h)| all ^ h);
-    Roots {
+    RootHashes {
         members: root(&mut members.hashes(now)),
         upstreams: root(&mut registry.hashes(now)),
     }
@@ -31,41 +31,41 @@
 
 /// Hashes over the buckets of the tables whose root is another here, or
 /// `None` when both are the same.
-pub(crate) fn buckets(
+pub(crate) fn differing_buckets(
     now: Time,
-    theirs: &Roots,
+    theirs: &RootHashes,
     members: &Membership,
     registry: &Registry,
-) -> Option<Buckets> {
-    let own = roots(now, members, registry);
-    let mut buckets = Buckets::default();
+) -> Option<BucketHashes> {
+    let own = root_hashes(now, members, registry);
+    let mut buckets = BucketHashes::default();
     if own.members != theirs.members {
-        buckets.members = fold(members.hashes(now));
+        buckets.members = bucket_hashes(members.hashes(now));
     }
     if own.upstreams != theirs.upstreams {
-        buckets.upstreams = fold(registry.hashes(now));
+        buckets.upstreams = bucket_hashes(registry.hashes(now));
     }
-    (buckets != Buckets::default()).then_some(buckets)
+    (buckets != BucketHashes::default()).then_some(buckets)
 }
 
 /// Listings of some buckets that differ, from one at `offset` on.
 pub(crate) fn listings(
     now: Time,
-    theirs: &Buckets,
+    theirs: &BucketHashes,
     offset: usize,
     members: &Membership,
     registry: &Registry,
-) -> Vec<Listing> {
+) -> Vec<BucketListing> {
     let different = |own: &[u32], theirs: &[u32]| -> Vec<usize> {
-        if theirs.len() != BUCKETS {
+        if theirs.len() != BUCKET_COUNT {
             return Vec::new();
         }
-        let rotated = (0..BUCKETS).map(|i| (i + offset) % BUCKETS);
+        let rotated = (0..BUCKET_COUNT).map(|i| (i + offset) % BUCKET_COUNT);
         let found = rotated.filter(|i| own[*i] != theirs[*i]);
-        found.take(MAX_DIFFERENT).collect()
+        found.take(MAX_LISTED_BUCKETS).collect()
     };
-    let in_members = different(&fold(members.hashes(now)), &theirs.members);
-    let in_upstreams = different(&fold(registry.hashes(now)), &theirs.upstreams);
+    let in_members = different(&bucket_hashes(members.hashes(now)), &theirs.members);
+    let in_upstreams = different(&bucket_hashes(registry.hashes(now)), &theirs.upstreams);
     let of_members = in_members
         .into_iter()
         .map(|i| listing(false, i, members.hashes(now)));
@@ -85,11 +85,14 @@
 }
 
 /// Compares a listing with the entries here.
-pub(crate) fn difference(theirs: &Listing, own: impl Iterator<Item = (u64, u64)>) -> Difference {
+pub(crate) fn difference(
+    theirs: &BucketListing,
+    own: impl Iterator<Item = (u64, u64)>,
+) -> Difference {
     let bucket = theirs.bucket as usize;
     let own: BTreeMap<u64, u32> = own
         .filter(|(key, _)| bucket_of(*key) == bucket)
-        .map(|(key, hash)| (key, short(hash)))
+        .map(|(key, hash)| (key, truncate(hash)))
         .collect();
     let listed: HashMap<u64, u32> = theirs
         .keys
@@ -105,29 +108,33 @@
             Some(_) => {}
         }
     }
-    let unlike = |key: &u64| own.get(key) != listed.get(key);
-    difference.wanted = theirs.keys.iter().copied().filter(unlike).collect();
+    let differs = |key: &u64| own.get(key) != listed.get(key);
+    difference.wanted = theirs.keys.iter().copied().filter(differs).collect();
     difference
 }
 
-fn listing(upstreams: bool, bucket: usize, hashes: impl Iterator<Item = (u64, u64)>) -> Listing {
+fn listing(
+    upstreams: bool,
+    bucket: usize,
+    hashes: impl Iterator<Item = (u64, u64)>,
+) -> BucketListing {
     let mut entries: Vec<_> = hashes
         .filter(|(key, _)| bucket_of(*key) == bucket)
         .collect();
     entries.sort_unstable();
-    entries.truncate(MAX_LISTED);
-    Listing {
+    entries.truncate(MAX_LISTED_KEYS);
+    BucketListing {
         upstreams,
         bucket: u32::try_from(bucket).unwrap_or(0),
         keys: entries.iter().map(|(key, _)| *key).collect(),
-        hashes: entries.iter().map(|(_, hash)| short(*hash)).collect(),
+        hashes: entries.iter().map(|(_, hash)| truncate(*hash)).collect(),
     }
 }
 
-fn fold(hashes: impl Iterator<Item = (u64, u64)>) -> Vec<u32> {
-    let mut buckets = vec![0; BUCKETS];
+fn bucket_hashes(hashes: impl Iterator<Item = (u64, u64)>) -> Vec<u32> {
+    let mut buckets = vec![0; BUCKET_COUNT];
     for (key, hash) in hashes {
-        buckets[bucket_of(key)] ^= short(hash);
+        buckets[bucket_of(key)] ^= truncate(hash);
     }
     buckets
 }
@@ -135,9 +142,9 @@
 /// Keys are digests or small numbers; the multiplication spreads both.
 fn bucket_of(key: u64) -> usize {
     let spread = key.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
-    usize::try_from(spread).unwrap_or(0) % BUCKETS
+    usize::try_from(spread).unwrap_or(0) % BUCKET_COUNT
 }
 
-fn short(hash: u64) -> u32 {
+fn truncate(hash: u64) -> u32 {
     (hash >> 32) as u32
 }
--- a/src/gossip/wire.rs
+++ b/src/gossip/wire.rs
@@ -45,17 +45,17 @@
     #[prost(uint64, tag = "5")]
     Nack(u64),
     #[prost(message, tag = "6")]
-    Request(Request),
+    PingRequest(PingRequest),
     #[prost(message, tag = "7")]
     Renewal(Renewal),
     #[prost(message, tag = "8")]
-    Roots(Roots),
+    RootHashes(RootHashes),
     #[prost(message, tag = "9")]
-    Buckets(Buckets),
+    BucketHashes(BucketHashes),
     #[prost(message, tag = "10")]
-    Listing(Listing),
+    BucketListing(BucketListing),
     #[prost(message, tag = "11")]
-    Want(Want),
+    RecordRequest(RecordRequest),
 }
 
 /// A probe.
@@ -69,7 +69,7 @@
 
 /// A request to probe another instance.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Request {
+pub(crate) struct PingRequest {
     #[prost(uint64, tag = "1")]
     pub(crate) target: u64,
     #[prost(uint64, tag = "2")]
@@ -80,7 +80,7 @@
 
 /// First step of a comparison: one hash over each table.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub(crate) struct Roots {
+pub(crate) struct RootHashes {
     #[prost(fixed64, tag = "1")]
     pub(crate) members: u64,
     #[prost(fixed64, tag = "2")]
@@ -89,7 +89,7 @@
 
 /// Second step: a hash over each bucket of the tables that differ.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Buckets {
+pub(crate) struct BucketHashes {
     #[prost(fixed32, repeated, tag = "1")]
     pub(crate) members: Vec<u32>,
     #[prost(fixed32, repeated, tag = "2")]
@@ -98,7 +98,7 @@
 
 /// Third step: keys and hashes in one bucket that differs.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Listing {
+pub(crate) struct BucketListing {
     /// Whether it is a bucket of upstreams, not of members.
     #[prost(bool, tag = "1")]
     pub(crate) upstreams: bool,
@@ -112,7 +112,7 @@
 
 /// A request for records.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Want {
+pub(crate) struct RecordRequest {
     #[prost(uint64, repeated, tag = "1")]
     pub(crate) members: Vec<u64>,
     #[prost(fixed64, repeated, tag = "2")]
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -13,7 +13,7 @@
 
 pub use member::{Member, MemberDump, MemberState, MemberView};
 
-pub(crate) use detector::{DetectorSettings, MemberEffect, Membership, STALL};
-pub(crate) use merge::Source;
+pub(crate) use detector::{DetectorSettings, MemberEffect, Membership, SUSPEND_GAP};
+pub(crate) use merge::RecordSource;
 pub(crate) use probe::ProbeEvent;
 pub(crate) use wire::{MemberRecord, decode_address, encode_address};
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -101,7 +101,7 @@
 
 /// A member with its local state.
 #[derive(Clone, Debug)]
-pub(crate) struct Slot {
+pub(crate) struct MemberEntry {
     /// Its `state` is that of `version`.
     pub(crate) member: Arc<Member>,
     pub(crate) version: MemberVersion,
@@ -111,7 +111,7 @@
     pub(crate) deadline: Option<Time>,
 }
 
-impl Slot {
+impl MemberEntry {
     /// Whether it may still answer.
     pub(crate) fn present(&self) -> bool {
         self.version.state < MemberState::Dead
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -5,16 +5,16 @@
 
 use crate::clock::Time;
 use crate::id::InstanceId;
-use crate::membership::detector::{MAX_MEMBERS, MemberEffect, Membership, RETENTION};
-use crate::membership::member::{Member, MemberState, MemberVersion, Slot};
+use crate::membership::detector::{DEAD_RETENTION, MAX_MEMBERS, MemberEffect, Membership};
+use crate::membership::member::{Member, MemberEntry, MemberState, MemberVersion};
 use crate::membership::wire::MemberRecord;
 use crate::upstream::Since;
 
 /// How a record came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Source {
+pub(crate) enum RecordSource {
     /// As news, to be told on.
-    Rumour,
+    Broadcast,
     /// From a comparison of tables, which reaches all by itself.
     Sync,
 }
@@ -31,8 +31,8 @@
             return;
         }
         let since = Since::aged(now, Duration::from_millis(record.age.into()));
-        match self.slots.get(&id).map(|slot| slot.version) {
-            None => self.learn(now, version, record, since, out),
+        match self.entries.get(&id).map(|entry| entry.version) {
+            None => self.insert_new(now, version, record, since, out),
             Some(known) if version > known => self.update(now, id, version, record, since, out),
             Some(_) => {}
         }
@@ -40,17 +40,17 @@
 
     /// The record of `id`, with everything if `full`.
     pub(crate) fn record(&self, now: Time, id: InstanceId, full: bool) -> Option<MemberRecord> {
-        let slot = self.slots.get(&id)?;
-        let final_state = !slot.present();
+        let entry = self.entries.get(&id)?;
+        let final_state = !entry.present();
         let age = if final_state {
-            slot.since.age(now)
+            entry.since.age(now)
         } else {
             Duration::ZERO
         };
         let age = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
-        let mut record = MemberRecord::new(id, slot.version, age);
-        if full || slot.version.state == MemberState::Alive {
-            record.info = Some((&*slot.member).into());
+        let mut record = MemberRecord::new(id, entry.version, age);
+        if full || entry.version.state == MemberState::Alive {
+            record.info = Some((&*entry.member).into());
         }
         Some(record)
     }
@@ -62,23 +62,23 @@
     /// outranks the accusation everywhere. One who holds an accusation that
     /// was refuted before gets the refutation at once.
     fn refute(&mut self, version: MemberVersion, out: &mut Vec<MemberEffect>) {
-        let own = self.slots[&self.own].version;
+        let own = self.entries[&self.own].version;
         if version.incarnation > own.incarnation {
             self.conflicts += 1;
             return;
         }
         let accused = version.state != MemberState::Alive;
-        if self.left() || (version <= own && !accused) {
+        if self.has_left() || (version <= own && !accused) {
             return;
         }
         if version > own {
-            if let Some(slot) = self.slots.get_mut(&self.own) {
-                slot.version.revision = version.revision;
+            if let Some(entry) = self.entries.get_mut(&self.own) {
+                entry.version.revision = version.revision;
             }
-            self.restate(MemberState::Alive, |_| (), out);
+            self.update_own(MemberState::Alive, |_| (), out);
         }
         if accused {
-            out.push(MemberEffect::Reply(self.own));
+            out.push(MemberEffect::SendRecord(self.own));
         }
         if accused && version > own {
             self.adjust_health(true);
@@ -86,7 +86,7 @@
     }
 
     /// Adds an instance that was unknown.
-    fn learn(
+    fn insert_new(
         &mut self,
         now: Time,
         version: MemberVersion,
@@ -95,17 +95,17 @@
         out: &mut Vec<MemberEffect>,
     ) {
         let id = InstanceId(record.id);
-        let ended = version.state >= MemberState::Dead && since.age(now) >= RETENTION;
-        if ended || id.0 == 0 || !self.has_room(now) {
+        let ended = version.state >= MemberState::Dead && since.age(now) >= DEAD_RETENTION;
+        if ended || id.0 == 0 || !self.make_room(now) {
             return;
         }
         let Some(member) = record.member() else {
-            out.push(MemberEffect::Want(id));
+            out.push(MemberEffect::RequestRecord(id));
             return;
         };
-        self.put(now, version, member, since);
-        self.enter_round(id);
-        out.push(MemberEffect::Spread(id));
+        self.insert(now, version, member, since);
+        self.insert_into_round(id);
+        out.push(MemberEffect::Broadcast(id));
     }
 
     /// Takes a record above the one known.
@@ -122,60 +122,62 @@
         since: Since,
         out: &mut Vec<MemberEffect>,
     ) {
-        let slot = &self.slots[&id];
-        let (known, present) = (slot.version, slot.present());
+        let entry = &self.entries[&id];
+        let (known, present) = (entry.version, entry.present());
         if version.state == MemberState::Dead && present {
             version.state = MemberState::Suspect;
         }
         if version <= known {
             return;
         }
-        let stale = known.incarnation != version.incarnation;
+        let other_incarnation = known.incarnation != version.incarnation;
         let member = match record.member() {
             Some(member) => member,
-            None if stale || !present => return out.push(MemberEffect::Want(id)),
-            None => Member::clone(&slot.member),
+            None if other_incarnation || !present => {
+                return out.push(MemberEffect::RequestRecord(id));
+            }
+            None => Member::clone(&entry.member),
         };
-        self.put(now, version, member, since);
+        self.insert(now, version, member, since);
         if !present {
-            self.enter_round(id);
+            self.insert_into_round(id);
         }
-        out.push(MemberEffect::Spread(id));
+        out.push(MemberEffect::Broadcast(id));
     }
 
-    fn put(&mut self, now: Time, version: MemberVersion, mut member: Member, since: Since) {
+    fn insert(&mut self, now: Time, version: MemberVersion, mut member: Member, since: Since) {
         member.state = version.state;
         let suspected = version.state == MemberState::Suspect;
-        let deadline = suspected.then(|| now + self.suspicion());
-        let slot = Slot {
+        let deadline = suspected.then(|| now + self.suspicion_timeout());
+        let entry = MemberEntry {
             version,
             since: if suspected { Since::now(now) } else { since },
             deadline,
             member: Arc::new(member),
         };
-        self.slots.insert(slot.member.id, slot);
+        self.entries.insert(entry.member.id, entry);
         self.dirty = true;
     }
 
     /// Puts a newcomer at a random place of the current round.
-    fn enter_round(&mut self, id: InstanceId) {
+    fn insert_into_round(&mut self, id: InstanceId) {
         use rand::RngExt;
-        let place = self.rng.random_range(0..=self.round.len());
-        self.round.insert(place, id);
+        let place = self.rng.random_range(0..=self.probe_round.len());
+        self.probe_round.insert(place, id);
     }
 
     /// Whether another instance fits, after the one that ended first made room
     /// if need be.
-    fn has_room(&mut self, now: Time) -> bool {
-        if self.slots.len() < MAX_MEMBERS {
+    fn make_room(&mut self, now: Time) -> bool {
+        if self.entries.len() < MAX_MEMBERS {
             return true;
         }
-        let ended = self.slots.iter().filter(|(_, s)| !s.present());
-        let oldest = ended.max_by_key(|(id, s)| (s.since.age(now), **id));
+        let ended = self.entries.iter().filter(|(_, e)| !e.present());
+        let oldest = ended.max_by_key(|(id, e)| (e.since.age(now), **id));
         let Some(id) = oldest.map(|(id, _)| *id) else {
             return false;
         };
-        self.slots.remove(&id);
+        self.entries.remove(&id);
         true
     }
 }
--- a/src/membership/probe.rs
+++ b/src/membership/probe.rs
@@ -11,13 +11,13 @@
 use crate::membership::member::MemberState;
 
 /// Helpers asked when a direct probe gets no answer.
-const HELPERS: usize = 3;
+const HELPER_COUNT: usize = 3;
 
 /// Most probes that an instance makes for others at a time.
-const MAX_RELAYS: usize = 64;
+const MAX_RELAYED_PROBES: usize = 64;
 
 /// Part of the period in which a probe is answered.
-const PATIENCE: f64 = 0.3;
+const ACK_TIMEOUT_RATIO: f64 = 0.3;
 
 /// A probe that this instance waits for.
 #[derive(Debug)]
@@ -25,21 +25,21 @@
     target: InstanceId,
     sequence: u64,
     /// When helpers are asked.
-    ask_at: Time,
+    indirect_at: Time,
     /// When the probe fails.
-    end_at: Time,
+    deadline: Time,
     /// Helpers asked, or `None` before that.
-    asked: Option<usize>,
+    helpers_asked: Option<usize>,
     /// Whether a helper answered, be it in vain.
-    helped: bool,
+    nack_received: bool,
 }
 
 /// A probe made for another instance.
 #[derive(Debug)]
-pub(crate) struct Relay {
-    origin: SocketAddr,
+pub(crate) struct RelayedProbe {
+    requester: SocketAddr,
     sequence: u64,
-    end_at: Time,
+    deadline: Time,
 }
 
 /// A message of the failure detector.
@@ -52,7 +52,7 @@
     /// A helper got no answer.
     Nack { sequence: u64 },
     /// Another instance asks for a probe.
-    Request {
+    PingRequest {
         target: InstanceId,
         address: SocketAddr,
         sequence: u64,
@@ -69,36 +69,38 @@
         out: &mut Vec<MemberEffect>,
     ) {
         match event {
-            ProbeEvent::Ping { target, sequence } => self.answer(from, target, sequence, out),
-            ProbeEvent::Ack { sequence } => self.acked(now, sequence, out),
-            ProbeEvent::Nack { sequence } => self.nacked(sequence),
-            ProbeEvent::Request {
+            ProbeEvent::Ping { target, sequence } => self.on_ping(from, target, sequence, out),
+            ProbeEvent::Ack { sequence } => self.on_ack(now, sequence, out),
+            ProbeEvent::Nack { sequence } => self.on_nack(sequence),
+            ProbeEvent::PingRequest {
                 target,
                 address,
                 sequence,
-            } => self.relay(now, from, target, address, sequence, out),
+            } => self.on_ping_request(now, from, target, address, sequence, out),
         }
     }
 
     /// Moves the current probe on, and starts the next one.
-    pub(super) fn drive_probe(&mut self, now: Time, out: &mut Vec<MemberEffect>) {
+    pub(super) fn advance_probe(&mut self, now: Time, out: &mut Vec<MemberEffect>) {
         if let Some(probe) = &self.probe {
-            if now >= probe.end_at {
+            if now >= probe.deadline {
                 self.fail_probe(now, out);
-            } else if now >= probe.ask_at && probe.asked.is_none() {
-                self.ask_helpers(out);
+            } else if now >= probe.indirect_at && probe.helpers_asked.is_none() {
+                self.request_indirect_probes(out);
             }
         }
-        if self.probe.is_none() && now >= self.next_probe && !self.left() {
+        if self.probe.is_none() && now >= self.next_probe && !self.has_left() {
             self.start_probe(now, out);
         }
     }
 
     /// Reports helpers' probes that got no answer.
-    pub(super) fn end_relays(&mut self, now: Time, out: &mut Vec<MemberEffect>) {
-        let ended = self.relays.extract_if(|_, relay| relay.end_at <= now);
+    pub(super) fn expire_relayed_probes(&mut self, now: Time, out: &mut Vec<MemberEffect>) {
+        let ended = self
+            .relayed_probes
+            .extract_if(|_, relay| relay.deadline <= now);
         let nacks = ended.map(|(_, relay)| MemberEffect::Nack {
-            to: relay.origin,
+            to: relay.requester,
             sequence: relay.sequence,
         });
         out.extend(nacks);
@@ -109,16 +111,16 @@
         let Some((target, to)) = self.next_target() else {
             return;
         };
-        self.sequence += 1;
-        let sequence = self.sequence;
-        let stretch = 1 + self.health;
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        let timeout_scale = 1 + self.health;
         self.probe = Some(Probe {
             target,
             sequence,
-            ask_at: now + self.patience() * stretch,
-            end_at: now + self.probe_period * stretch,
-            asked: None,
-            helped: false,
+            indirect_at: now + self.ack_timeout() * timeout_scale,
+            deadline: now + self.probe_period * timeout_scale,
+            helpers_asked: None,
+            nack_received: false,
         });
         out.push(MemberEffect::Ping {
             to,
@@ -130,37 +132,37 @@
     /// The next instance of the round. A round holds each instance once in
     /// random order, so that none waits longer than two rounds for a probe.
     fn next_target(&mut self) -> Option<(InstanceId, SocketAddr)> {
-        if self.round.is_empty() {
+        if self.probe_round.is_empty() {
             let own = self.own;
             let present = self
-                .slots
+                .entries
                 .iter()
-                .filter(|(id, s)| **id != own && s.present());
-            self.round = present.map(|(id, _)| *id).collect();
-            self.round.sort_unstable();
-            self.round.shuffle(&mut self.rng);
+                .filter(|(id, e)| **id != own && e.present());
+            self.probe_round = present.map(|(id, _)| *id).collect();
+            self.probe_round.sort_unstable();
+            self.probe_round.shuffle(&mut self.rng);
         }
-        while let Some(id) = self.round.pop() {
-            let slot = self.slots.get(&id).filter(|s| s.present());
-            if let Some(slot) = slot {
-                return Some((id, slot.member.gossip));
+        while let Some(id) = self.probe_round.pop() {
+            let entry = self.entries.get(&id).filter(|e| e.present());
+            if let Some(entry) = entry {
+                return Some((id, entry.member.gossip));
             }
         }
         None
     }
 
-    fn ask_helpers(&mut self, out: &mut Vec<MemberEffect>) {
+    fn request_indirect_probes(&mut self, out: &mut Vec<MemberEffect>) {
         let Some((target, sequence)) = self.probe.as_ref().map(|p| (p.target, p.sequence)) else {
             return;
         };
         let Some(address) = self.address(target) else {
             return;
         };
-        let helpers = self.helpers(target);
+        let helpers = self.pick_helpers(target);
         if let Some(probe) = &mut self.probe {
-            probe.asked = Some(helpers.len());
+            probe.helpers_asked = Some(helpers.len());
         }
-        let requests = helpers.into_iter().map(|to| MemberEffect::Request {
+        let requests = helpers.into_iter().map(|to| MemberEffect::PingRequest {
             to,
             target,
             address,
@@ -171,28 +173,28 @@
 
     /// Helpers at random, of as many failure domains as there are. A switch
     /// that drops datagrams of one domain then doesn't silence them all.
-    fn helpers(&mut self, target: InstanceId) -> Vec<SocketAddr> {
+    fn pick_helpers(&mut self, target: InstanceId) -> Vec<SocketAddr> {
         let own = self.own;
         let alive = |id: InstanceId| self.state(id) == Some(MemberState::Alive);
-        let others = self.slots.keys().copied();
+        let others = self.entries.keys().copied();
         let mut others: Vec<_> = others
             .filter(|id| *id != own && *id != target && alive(*id))
             .collect();
         others.sort_unstable();
         others.shuffle(&mut self.rng);
         let mut chosen: Vec<InstanceId> = Vec::new();
-        let domain = |id: &InstanceId| self.slots[id].member.domain.as_str();
+        let domain = |id: &InstanceId| self.entries[id].member.domain.as_str();
         for id in &others {
-            if chosen.len() < HELPERS && chosen.iter().all(|c| domain(c) != domain(id)) {
+            if chosen.len() < HELPER_COUNT && chosen.iter().all(|c| domain(c) != domain(id)) {
                 chosen.push(*id);
             }
         }
         let spare = others.iter().filter(|id| !chosen.contains(id));
-        let spare: Vec<_> = spare.take(HELPERS - chosen.len()).copied().collect();
+        let spare: Vec<_> = spare.take(HELPER_COUNT - chosen.len()).copied().collect();
         chosen.extend(spare);
         chosen
             .iter()
-            .map(|id| self.slots[id].member.gossip)
+            .map(|id| self.entries[id].member.gossip)
             .collect()
     }
 
@@ -202,78 +204,78 @@
         let Some(probe) = self.probe.take() else {
             return;
         };
-        self.failures += 1;
-        if probe.asked.is_some_and(|asked| asked > 0) && !probe.helped {
+        self.consecutive_failures += 1;
+        if probe.helpers_asked.is_some_and(|count| count > 0) && !probe.nack_received {
             self.adjust_health(true);
         }
         if self.state(probe.target) == Some(MemberState::Alive) {
-            self.set(now, probe.target, MemberState::Suspect, out);
+            self.set_state(now, probe.target, MemberState::Suspect, out);
         }
     }
 
     /// Answers a probe, if it is meant for this instance and not for one that
     /// had the address before.
-    fn answer(
+    fn on_ping(
         &mut self,
         from: SocketAddr,
         target: InstanceId,
         sequence: u64,
         out: &mut Vec<MemberEffect>,
     ) {
-        if target == self.own && !self.left() {
+        if target == self.own && !self.has_left() {
             out.push(MemberEffect::Ack { to: from, sequence });
         }
     }
 
-    fn acked(&mut self, now: Time, sequence: u64, out: &mut Vec<MemberEffect>) {
-        if let Some(relay) = self.relays.remove(&sequence) {
+    fn on_ack(&mut self, now: Time, sequence: u64, out: &mut Vec<MemberEffect>) {
+        if let Some(relay) = self.relayed_probes.remove(&sequence) {
             out.push(MemberEffect::Ack {
-                to: relay.origin,
+                to: relay.requester,
                 sequence: relay.sequence,
             });
             return;
         }
-        if let Some((_, to)) = self.retried.take_if(|(number, _)| *number == sequence) {
+        if let Some((_, to)) = self.dead_probe.take_if(|(number, _)| *number == sequence) {
             out.push(MemberEffect::Sync(to));
             return;
         }
         let current = self.probe.take_if(|p| p.sequence == sequence);
         if current.is_some() {
-            self.failures = 0;
+            self.consecutive_failures = 0;
         }
-        if current.is_some_and(|p| now < p.end_at) {
+        if current.is_some_and(|p| now < p.deadline) {
             self.adjust_health(false);
         }
     }
 
-    fn nacked(&mut self, sequence: u64) {
+    fn on_nack(&mut self, sequence: u64) {
         if let Some(probe) = &mut self.probe
             && probe.sequence == sequence
         {
-            probe.helped = true;
+            probe.nack_received = true;
         }
     }
 
-    fn relay(
+    fn on_ping_request(
         &mut self,
         now: Time,
         from: SocketAddr,
         target: InstanceId,
         to: SocketAddr,
-        number: u64,
+        requested_sequence: u64,
         out: &mut Vec<MemberEffect>,
     ) {
-        if self.relays.len() >= MAX_RELAYS || self.left() {
+        if self.relayed_probes.len() >= MAX_RELAYED_PROBES || self.has_left() {
             return;
         }
-        self.sequence += 1;
-        let sequence = self.sequence;
-        let relay = Relay {
-            origin: from,
-            sequence: number,
-            end_at: now + self.patience(),
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        let relay = RelayedProbe {
+            requester: from,
+            sequence: requested_sequence,
+            deadline: now + self.ack_timeout(),
         };
-        self.relays.insert(sequence, relay);
+        self.relayed_probes.insert(sequence, relay);
         out.push(MemberEffect::Ping {
             to,
             target,
@@ -281,7 +283,7 @@
         });
     }
 
-    fn patience(&self) -> Duration {
-        self.probe_period.mul_f64(PATIENCE)
+    fn ack_timeout(&self) -> Duration {
+        self.probe_period.mul_f64(ACK_TIMEOUT_RATIO)
     }
 }
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -59,15 +59,15 @@
         Some(MemberVersion {
             incarnation: Incarnation(self.incarnation),
             revision: self.revision,
-            state: state_of(self.state)?,
+            state: state_from_code(self.state)?,
         })
     }
 
     /// The member, or `None` when `info` is missing or wrong.
     pub(crate) fn member(&self) -> Option<Member> {
         let info = self.info.as_ref()?;
-        let sized = (1..=MAX_NAME).contains(&info.domain.len());
-        if !sized {
+        let valid_len = (1..=MAX_NAME).contains(&info.domain.len());
+        if !valid_len {
             return None;
         }
         Some(Member {
@@ -79,7 +79,7 @@
             control: decode_address(&info.control)?,
             voter: info.voter,
             draining: info.draining,
-            state: state_of(self.state)?,
+            state: state_from_code(self.state)?,
         })
     }
 }
@@ -127,7 +127,7 @@
     }
 }
 
-fn state_of(code: u32) -> Option<MemberState> {
+fn state_from_code(code: u32) -> Option<MemberState> {
     match code {
         0 => Some(MemberState::Alive),
         1 => Some(MemberState::Suspect),
--- a/tests/fleet_random.rs
+++ b/tests/fleet_random.rs
@@ -206,7 +206,7 @@
         let dump = host.node.as_ref().unwrap().dump(sim.now);
         let (hosts, upstreams) = (sim.hosts.len(), sim.upstreams.len());
         assert!(dump.members.len() <= hosts && dump.upstreams.len() <= upstreams);
-        let [members, records, loads] = dump.rumours;
+        let [members, records, loads] = dump.queued;
         assert!(members <= hosts && records <= upstreams && loads <= upstreams);
         assert_eq!(dump.traffic.bad, 0);
     }
