--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,8 +1,8 @@
-//! Which instances are alive: a SWIM-style failure detector.
+//! SWIM-style membership and failure detection.
 //!
-//! Every period an instance probes one other, so that its cost doesn't grow
-//! with the fleet. A probe that fails, also through helpers, makes the target
-//! suspect; a suspect that doesn't refute in time is dead.
+//! Each instance probes one other per period, so its cost doesn't grow with
+//! the fleet. A target that answers neither a direct nor an indirect probe
+//! becomes suspect; a suspect that doesn't refute in time is declared dead.
 
 mod detector;
 mod member;
--- a/src/membership/detector.rs
+++ b/src/membership/detector.rs
@@ -1,4 +1,4 @@
-//! The table of instances and its life over time.
+//! The membership table and the timers of the failure detector.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,35 +16,37 @@
 use crate::membership::probe::{Probe, RelayedProbe};
 use crate::upstream::{Since, Vouchers};
 
-/// Most instances, dead ones included.
+/// Maximum number of instances in the table, dead ones included.
 pub(crate) const MAX_MEMBERS: usize = 1_024;
 
-/// How long a dead instance is remembered and retried. Regions lose each other
-/// for an hour now and then; six hours outlast that.
+/// How long a dead instance is kept and probed. Regions are occasionally
+/// partitioned for an hour; six hours outlast that.
 pub(crate) const DEAD_RETENTION: Duration = Duration::from_secs(21_600);
 
-/// Records this close to their end are no longer told of, so that instances
-/// which drop them at different times don't hand them back to each other.
+/// Dead records this close to the end of their retention are left out of
+/// syncs, so that instances which drop them at different times don't send them
+/// back to each other.
 const RETENTION_MARGIN: Duration = Duration::from_secs(60);
 
-/// Periods of suspicion for each power of ten in the size of the fleet.
+/// Probe periods of suspicion for each power of ten in the fleet size.
 const SUSPICION_PERIODS: u32 = 3;
 
-/// Worst state of the local health, which stretches all timeouts.
+/// Worst local health score. The score lengthens the probe and suspicion
+/// timeouts.
 pub(super) const MAX_HEALTH: u32 = 2;
 
-/// Probes without answer in a row after which this instance is cut off.
+/// Consecutive failed probes after which this instance counts as isolated.
 const ISOLATION_FAILURES: u32 = 5;
 
-/// A pause between two ticks after which this process was suspended.
+/// Minimum gap between two ticks that counts as a suspension of the process.
 pub(crate) const SUSPEND_GAP: Duration = Duration::from_secs(2);
 
-/// Periods between two probes of a dead instance.
+/// Probe periods between two probes of dead instances.
 pub(super) const DEAD_PROBE_PERIODS: u32 = 10;
 
-/// Least periods between two comparisons with a seed, while others are alive.
-/// In a large fleet it is half as many as there are instances, so that the
-/// seeds get the same number of them.
+/// Minimum probe periods between two syncs with a seed while other instances
+/// are present. A large fleet uses half its number of instances instead, so
+/// that the load on the seeds doesn't grow with the fleet.
 pub(super) const SEED_SYNC_PERIODS: u32 = 5;
 
 /// Settings of the detector.
@@ -52,13 +54,13 @@
 pub(crate) struct DetectorSettings {
     /// This instance.
     pub(crate) own: Member,
-    /// Addresses to join through.
+    /// Datagram addresses of instances to join through.
     pub(crate) seeds: Vec<SocketAddr>,
     /// Time between two probes.
     pub(crate) probe_period: Duration,
 }
 
-/// What the owner of the detector must do.
+/// An action that the failure detector requests from its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum MemberEffect {
     /// Probe `target`.
@@ -67,42 +69,43 @@
         target: InstanceId,
         sequence: u64,
     },
-    /// Answer a probe.
+    /// Acknowledge a probe.
     Ack { to: SocketAddr, sequence: u64 },
-    /// Answer a request for a probe that got no answer.
+    /// Report to the requester that an indirect probe got no answer.
     Nack { to: SocketAddr, sequence: u64 },
-    /// Ask a helper to probe `target`.
+    /// Ask a helper to probe `target` on behalf of this instance.
     PingRequest {
         to: SocketAddr,
         target: InstanceId,
         address: SocketAddr,
         sequence: u64,
     },
-    /// Tell the fleet of this instance.
+    /// Broadcast the record of this instance.
     Broadcast(InstanceId),
-    /// Ask the sender for its record of this instance.
+    /// Ask the sender for its full record of this instance.
     RequestRecord(InstanceId),
-    /// Send the record of this instance to the sender.
+    /// Send the full record of this instance to the sender.
     SendRecord(InstanceId),
-    /// Compare tables with the instance at this address.
+    /// Start an anti-entropy sync with the instance at this address.
     Sync(SocketAddr),
 }
 
-/// The failure detector.
+/// The membership table and failure detector of one instance.
 pub(crate) struct Membership {
     pub(super) own: InstanceId,
     pub(super) entries: HashMap<InstanceId, MemberEntry>,
-    /// Order of probes: each instance once a round, in random order.
+    /// Instances still to be probed in this round. A round probes each instance
+    /// once, in random order.
     pub(super) probe_round: Vec<InstanceId>,
     pub(super) probe: Option<Probe>,
     pub(super) next_probe: Time,
     pub(super) relayed_probes: HashMap<u64, RelayedProbe>,
-    /// Dead instance that is being retried, by the number of its probe.
+    /// Pending probe of a dead instance: its sequence number and the address.
     pub(super) dead_probe: Option<(u64, SocketAddr)>,
     pub(super) last_sequence: u64,
-    /// Zero is healthy. Grows when this instance is the likely cause.
+    /// Local health score. Zero is healthy; it rises when failures are likely
+    /// caused by this instance.
     pub(super) health: u32,
-    /// Probes in a row that got no answer.
     pub(super) consecutive_failures: u32,
     pub(super) probe_period: Duration,
     pub(super) rng: ChaCha8Rng,
@@ -112,12 +115,12 @@
     pub(super) next_dead_probe: Time,
     pub(super) next_seed_sync: Time,
     version: u64,
-    /// Records of another process that uses this instance's number.
+    /// Records received of another process that uses this instance's id.
     pub(super) conflicts: u64,
 }
 
 impl Membership {
-    /// A table that knows this instance alone.
+    /// A table that contains only this instance.
     pub(crate) fn new(now: Time, settings: DetectorSettings, rng: ChaCha8Rng) -> Self {
         let DetectorSettings {
             own,
@@ -160,8 +163,8 @@
         }
     }
 
-    /// Lets time pass. To be called a few times a period, before other events
-    /// of the same time.
+    /// Runs the timers. Must be called several times per period, and before
+    /// other events of the same time.
     pub(crate) fn tick(&mut self, now: Time, out: &mut Vec<MemberEffect>) {
         let gap = self
             .last_tick
@@ -177,42 +180,42 @@
         self.sync_with_seeds(now, out);
     }
 
-    /// Says that this instance takes no new requests.
+    /// Announces that this instance takes no new requests.
     pub(crate) fn drain(&mut self, out: &mut Vec<MemberEffect>) {
         self.update_own(MemberState::Alive, |own| own.draining = true, out);
     }
 
-    /// Says that this instance leaves.
+    /// Announces that this instance leaves.
     pub(crate) fn leave(&mut self, out: &mut Vec<MemberEffect>) {
         self.update_own(MemberState::Left, |own| own.draining = true, out);
     }
 
-    /// Whether this instance has left.
     pub(crate) fn has_left(&self) -> bool {
         self.entries[&self.own].version.state == MemberState::Left
     }
 
-    /// Number and incarnation of this instance.
+    /// Id and incarnation of this instance.
     pub(crate) fn identity(&self) -> (InstanceId, Incarnation) {
         (self.own, self.entries[&self.own].version.incarnation)
     }
 
-    /// What this instance holds `id` for.
+    /// State of `id` in this instance's view.
     pub(crate) fn state(&self, id: InstanceId) -> Option<MemberState> {
         self.entries.get(&id).map(|entry| entry.version.state)
     }
 
-    /// Where to send datagrams for `id`.
+    /// Datagram address of `id`.
     pub(crate) fn address(&self, id: InstanceId) -> Option<SocketAddr> {
         self.entries.get(&id).map(|entry| entry.member.gossip)
     }
 
-    /// Instances that are alive or suspect, this one included.
+    /// Number of alive or suspect instances, this one included.
     pub(crate) fn present(&self) -> usize {
         self.entries.values().filter(|e| e.present()).count()
     }
 
-    /// Up to `count` other instances that are present, at random.
+    /// Datagram addresses of up to `count` randomly chosen other instances that
+    /// are alive or suspect.
     pub(crate) fn random_peers(&mut self, count: usize) -> Vec<SocketAddr> {
         let own = self.own;
         let others = self
@@ -225,17 +228,18 @@
         chosen.map(|(_, address)| *address).collect()
     }
 
-    /// Local health: zero is healthy.
+    /// Local health score; zero is healthy.
     pub(crate) fn health(&self) -> u32 {
         self.health
     }
 
-    /// Records of another process that uses this instance's number.
+    /// Number of records received of another process that uses this instance's
+    /// id.
     pub(crate) fn conflicts(&self) -> u64 {
         self.conflicts
     }
 
-    /// The view if it changed since the last call.
+    /// The member view, if it changed since the last call.
     pub(crate) fn changed_view(&mut self) -> Option<MemberView> {
         if !std::mem::take(&mut self.dirty) {
             return None;
@@ -253,14 +257,14 @@
         })
     }
 
-    /// All members, sorted by number.
+    /// All members, sorted by id.
     pub(crate) fn dump(&self, now: Time) -> Vec<MemberDump> {
         let mut dumps: Vec<_> = self.entries.values().map(|e| e.dump(now)).collect();
         dumps.sort_unstable_by_key(|d| d.member.id);
         dumps
     }
 
-    /// Number and hash of each member that is told of.
+    /// Id and record hash of each member that takes part in syncs.
     pub(crate) fn hashes(&self, now: Time) -> impl Iterator<Item = (u64, u64)> + '_ {
         use std::hash::{Hash, Hasher};
         let shared = move |e: &MemberEntry| {
@@ -274,7 +278,7 @@
         })
     }
 
-    /// Makes this instance less or more sure of itself.
+    /// Raises or lowers the local health score by one step.
     pub(super) fn adjust_health(&mut self, worse: bool) {
         self.health = match worse {
             true => (self.health + 1).min(MAX_HEALTH),
@@ -282,7 +286,7 @@
         };
     }
 
-    /// Marks a member and reports it.
+    /// Changes the state of a member and broadcasts it.
     pub(super) fn set_state(
         &mut self,
         now: Time,
@@ -303,14 +307,15 @@
     }
 
     /// Time that a suspect has to refute. It grows with the logarithm of the
-    /// fleet, as the time that a rumour takes does.
+    /// fleet size, as does the time that a broadcast takes to spread.
     pub(super) fn suspicion_timeout(&self) -> Duration {
         let size = f64::from(u32::try_from(self.present()).unwrap_or(u32::MAX));
         let scale = size.log10().max(1.0);
         (self.probe_period * SUSPICION_PERIODS * (1 + self.health)).mul_f64(scale)
     }
 
-    /// Raises the own revision with a change.
+    /// Changes this instance's own record under a new revision and broadcasts
+    /// it.
     pub(super) fn update_own(
         &mut self,
         state: MemberState,
@@ -331,11 +336,11 @@
     }
 }
 
-/// Nobody vouches while this instance is cut off.
+/// No instance counts as alive while this one is isolated.
 ///
-/// Guards against an instance alone behind a silent partition. It finds out
-/// about one other instance a period, which takes minutes in a large fleet;
-/// all that time it would give work to upstreams that left.
+/// An instance that is alone behind a partition detects one other instance as
+/// failed per period, which takes minutes in a large fleet. Until then it would
+/// send requests to upstreams that have left.
 impl Vouchers for Membership {
     fn alive(&self, id: InstanceId, boot: Incarnation) -> bool {
         let alive = |entry: &MemberEntry| {
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! One instance as the others see it.
+//! Records of instances, and the view of all members.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,110 +9,110 @@
 use crate::id::{Incarnation, InstanceId};
 use crate::upstream::Since;
 
-/// What an instance holds another one for.
+/// State of an instance in the view of another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It answers.
+    /// Answers probes.
     Alive,
-    /// A probe failed, and it has time to refute.
+    /// Failed a probe, and has time to refute.
     Suspect,
-    /// It didn't refute. It is retried at a slow rate.
+    /// Didn't refute in time. It is still probed, at a low rate.
     Dead,
-    /// It left by itself and isn't retried.
+    /// Left voluntarily, and isn't probed any more.
     Left,
 }
 
-/// What an instance says about itself.
+/// The data an instance publishes about itself, and its state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Member {
-    /// Number of the instance.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// Start of the process that this is.
+    /// Incarnation of the process; a restart has a higher one.
     pub incarnation: Incarnation,
     /// Failure domain.
     pub domain: String,
-    /// Where it takes connections of other instances (TCP).
+    /// TCP address for connections from other instances.
     pub peer: SocketAddr,
-    /// Where it takes datagrams (UDP).
+    /// UDP address for datagrams.
     pub gossip: SocketAddr,
-    /// Where it takes orders and announcements (HTTP).
+    /// HTTP address of its control interface, which also takes announcements.
     pub control: SocketAddr,
-    /// Whether it votes on the catalogue.
+    /// Whether it is a voter of the catalogue.
     pub voter: bool,
     /// Whether it takes no new requests.
     pub draining: bool,
-    /// What this instance holds it for.
+    /// Its state in this instance's view.
     pub state: MemberState,
 }
 
-/// All instances that are known, this one included.
+/// Snapshot of all known instances, this one included.
 #[derive(Clone, Debug, Default)]
 pub struct MemberView {
-    /// Grows with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// The instances, sorted by `id`.
+    /// Members sorted by `id`.
     pub members: Vec<Arc<Member>>,
 }
 
 impl MemberView {
-    /// The instance of that number.
+    /// The member with this id.
     #[must_use]
     pub fn get(&self, id: InstanceId) -> Option<&Arc<Member>> {
         let found = self.members.binary_search_by(|m| m.id.cmp(&id));
         found.ok().map(|i| &self.members[i])
     }
 
-    /// Whether that start of the instance is alive or only suspect.
+    /// Whether this incarnation of the instance is alive or suspect.
     #[must_use]
     pub fn alive(&self, id: InstanceId, incarnation: Incarnation) -> bool {
         self.get(id)
             .is_some_and(|m| m.incarnation == incarnation && m.state < MemberState::Dead)
     }
 
-    /// Instances that are alive or only suspect.
+    /// Members that are alive or suspect.
     pub fn present(&self) -> impl Iterator<Item = &Arc<Member>> {
         self.members.iter().filter(|m| m.state < MemberState::Dead)
     }
 }
 
-/// One member in a dump.
+/// A member in the state dump.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberDump {
     /// The member.
     #[serde(flatten)]
     pub member: Arc<Member>,
-    /// Times that it refuted a suspicion or told of a change.
+    /// Times that it refuted a suspicion or published a change.
     pub revision: u64,
     /// Milliseconds since its state changed.
     pub since: u64,
 }
 
-/// Place of a record in the total order of one instance's records. The higher
-/// one wins wherever they meet. Only the instance itself raises the first two,
-/// so that a rumour which comes late neither kills nor revives it.
+/// Version of a record in the total order of one instance's records; the higher
+/// one wins in a merge. Only the instance itself raises the first two fields, so
+/// a delayed record can't change its state back to dead or to alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct MemberVersion {
     pub(crate) incarnation: Incarnation,
-    /// Raised to refute a suspicion and to tell of a change.
+    /// Raised to refute a suspicion and to publish a change.
     pub(crate) revision: u64,
     pub(crate) state: MemberState,
 }
 
-/// A member with its local state.
+/// A member with the local bookkeeping about it.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberEntry {
-    /// Its `state` is that of `version`.
+    /// Invariant: its `state` equals that of `version`.
     pub(crate) member: Arc<Member>,
     pub(crate) version: MemberVersion,
-    /// Last change of state.
+    /// Time of the last change of state.
     pub(crate) since: Since,
-    /// When a suspect is dead. Set exactly while the state is `Suspect`.
+    /// When a suspect is declared dead. Set exactly while the state is `Suspect`.
     pub(crate) deadline: Option<Time>,
 }
 
 impl MemberEntry {
-    /// Whether it may still answer.
+    /// Whether the member is alive or suspect.
     pub(crate) fn present(&self) -> bool {
         self.version.state < MemberState::Dead
     }
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -1,4 +1,4 @@
-//! Records that other instances tell of.
+//! Merging of records received from other instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,17 +10,17 @@
 use crate::membership::wire::MemberRecord;
 use crate::upstream::Since;
 
-/// How a record came.
+/// How a record was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecordSource {
-    /// As news, to be told on.
+    /// By broadcast; it is broadcast further.
     Broadcast,
-    /// From a comparison of tables, which reaches all by itself.
+    /// By an anti-entropy sync, which reaches all instances without broadcasts.
     Sync,
 }
 
 impl Membership {
-    /// Merges a record.
+    /// Merges a received record.
     pub(crate) fn merge(&mut self, now: Time, record: &MemberRecord, out: &mut Vec<MemberEffect>) {
         let Some(version) = record.version() else {
             return;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The record of `id`, with everything if `full`.
+    /// The record of `id`, always with `info` if `full`.
     pub(crate) fn record(&self, now: Time, id: InstanceId, full: bool) -> Option<MemberRecord> {
         let entry = self.entries.get(&id)?;
         let final_state = !entry.present();
@@ -55,12 +55,13 @@
         Some(record)
     }
 
-    /// Answers a record about this instance that isn't its own word.
+    /// Overrides a record about this instance that it didn't publish itself, such
+    /// as a suspicion.
     ///
-    /// Guards against an instance that is alive and stays dead for the others
-    /// after a lost datagram or a partition: only a higher revision of its own
-    /// outranks the accusation everywhere. One who holds an accusation that
-    /// was refuted before gets the refutation at once.
+    /// After a lost datagram or a partition, others could keep a live instance
+    /// as dead; only a higher revision of its own outranks that record
+    /// everywhere. A sender with an outdated, already refuted record gets the
+    /// current one at once.
     fn refute(&mut self, version: MemberVersion, out: &mut Vec<MemberEffect>) {
         let own = self.entries[&self.own].version;
         if version.incarnation > own.incarnation {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Adds an instance that was unknown.
+    /// Adds an unknown instance.
     fn insert_new(
         &mut self,
         now: Time,
@@ -108,11 +109,12 @@
         out.push(MemberEffect::Broadcast(id));
     }
 
-    /// Takes a record above the one known.
+    /// Replaces the known record by a newer one.
     ///
-    /// Guards against one side of a partition that kills the other when they
-    /// meet: word of a death makes an instance that is present here suspect
-    /// at most. If it lives, it refutes; if not, the own timer decides.
+    /// A received `Dead` only makes a present instance suspect: otherwise, when
+    /// a partition heals, each side would take over the other's verdict that
+    /// its own members are dead. A live instance refutes; a dead one is
+    /// declared dead when the local timer expires.
     fn update(
         &mut self,
         now: Time,
@@ -159,15 +161,15 @@
         self.dirty = true;
     }
 
-    /// Puts a newcomer at a random place of the current round.
+    /// Inserts a new instance at a random position of the current probe round.
     fn insert_into_round(&mut self, id: InstanceId) {
         use rand::RngExt;
-        let place = self.rng.random_range(0..=self.probe_round.len());
-        self.probe_round.insert(place, id);
+        let position = self.rng.random_range(0..=self.probe_round.len());
+        self.probe_round.insert(position, id);
     }
 
-    /// Whether another instance fits, after the one that ended first made room
-    /// if need be.
+    /// Whether another instance fits. A full table evicts the instance that has
+    /// been dead or left for the longest time.
     fn make_room(&mut self, now: Time) -> bool {
         if self.entries.len() < MAX_MEMBERS {
             return true;
--- a/src/membership/probe.rs
+++ b/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: direct, then through helpers in other failure domains.
+//! Direct probes, and indirect ones through helpers in other failure domains.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,31 +10,31 @@
 use crate::membership::detector::{MemberEffect, Membership};
 use crate::membership::member::MemberState;
 
-/// Helpers asked when a direct probe gets no answer.
+/// Helpers asked to probe a target that doesn't answer directly.
 const HELPER_COUNT: usize = 3;
 
-/// Most probes that an instance makes for others at a time.
+/// Maximum number of concurrent probes on behalf of other instances.
 const MAX_RELAYED_PROBES: usize = 64;
 
-/// Part of the period in which a probe is answered.
+/// Timeout of a direct probe as a fraction of the probe period.
 const ACK_TIMEOUT_RATIO: f64 = 0.3;
 
-/// A probe that this instance waits for.
+/// The probe in progress.
 #[derive(Debug)]
 pub(crate) struct Probe {
     target: InstanceId,
     sequence: u64,
-    /// When helpers are asked.
+    /// When helpers are asked for indirect probes.
     indirect_at: Time,
     /// When the probe fails.
     deadline: Time,
-    /// Helpers asked, or `None` before that.
+    /// Number of helpers asked, or `None` before `indirect_at`.
     helpers_asked: Option<usize>,
-    /// Whether a helper answered, be it in vain.
+    /// Whether a helper reported that the target didn't answer it either.
     nack_received: bool,
 }
 
-/// A probe made for another instance.
+/// A probe on behalf of another instance.
 #[derive(Debug)]
 pub(crate) struct RelayedProbe {
     requester: SocketAddr,
@@ -47,11 +47,11 @@
 pub(crate) enum ProbeEvent {
     /// Another instance probes `target`.
     Ping { target: InstanceId, sequence: u64 },
-    /// A probe was answered.
+    /// A probe was acknowledged.
     Ack { sequence: u64 },
-    /// A helper got no answer.
+    /// A helper got no answer from the target.
     Nack { sequence: u64 },
-    /// Another instance asks for a probe.
+    /// Another instance asks this one to probe `target`.
     PingRequest {
         target: InstanceId,
         address: SocketAddr,
@@ -60,7 +60,7 @@
 }
 
 impl Membership {
-    /// Takes a message from the instance at `from`.
+    /// Handles a message from the instance at `from`.
     pub(crate) fn receive(
         &mut self,
         now: Time,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Moves the current probe on, and starts the next one.
+    /// Advances the probe in progress, and starts the next one when due.
     pub(super) fn advance_probe(&mut self, now: Time, out: &mut Vec<MemberEffect>) {
         if let Some(probe) = &self.probe {
             if now >= probe.deadline {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Reports helpers' probes that got no answer.
+    /// Sends a nack for each relayed probe that timed out.
     pub(super) fn expire_relayed_probes(&mut self, now: Time, out: &mut Vec<MemberEffect>) {
         let ended = self
             .relayed_probes
@@ -129,7 +129,7 @@
         });
     }
 
-    /// The next instance of the round. A round holds each instance once in
+    /// The next instance of the round. A round contains each instance once in
     /// random order, so that none waits longer than two rounds for a probe.
     fn next_target(&mut self) -> Option<(InstanceId, SocketAddr)> {
         if self.probe_round.is_empty() {
@@ -171,8 +171,8 @@
         out.extend(requests);
     }
 
-    /// Helpers at random, of as many failure domains as there are. A switch
-    /// that drops datagrams of one domain then doesn't silence them all.
+    /// Random helpers, spread over as many failure domains as possible, so that
+    /// a switch which drops the datagrams of one domain doesn't affect them all.
     fn pick_helpers(&mut self, target: InstanceId) -> Vec<SocketAddr> {
         let own = self.own;
         let alive = |id: InstanceId| self.state(id) == Some(MemberState::Alive);
@@ -198,8 +198,8 @@
             .collect()
     }
 
-    /// Ends a probe without answer. When no helper answered either, the fault
-    /// may lie on this side.
+    /// Ends an unanswered probe. If helpers were asked and none sent a nack, the
+    /// fault may be local.
     fn fail_probe(&mut self, now: Time, out: &mut Vec<MemberEffect>) {
         let Some(probe) = self.probe.take() else {
             return;
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Answers a probe, if it is meant for this instance and not for one that
-    /// had the address before.
+    /// Acknowledges a probe, unless it is meant for an instance that had this
+    /// address before.
     fn on_ping(
         &mut self,
         from: SocketAddr,
@@ -235,7 +235,7 @@
             });
             return;
         }
-        if let Some((_, to)) = self.dead_probe.take_if(|(number, _)| *number == sequence) {
+        if let Some((_, to)) = self.dead_probe.take_if(|(pending, _)| *pending == sequence) {
             out.push(MemberEffect::Sync(to));
             return;
         }
--- a/src/membership/upkeep.rs
+++ b/src/membership/upkeep.rs
@@ -1,4 +1,4 @@
-//! What the detector does by itself as time passes, other than probes.
+//! Timers of the detector other than those of probes.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 use crate::membership::member::{MemberEntry, MemberState};
 
 impl Membership {
-    /// Goes on after a suspension of this process.
+    /// Resets timers after a suspension of this process.
     ///
-    /// Guards against a process that was stopped for a minute and declares
-    /// the whole fleet dead when it runs again: the answers to its probe came
-    /// while it slept, and all its timers have run out. So it forgets the
-    /// probe, gives each suspect its remaining time again, and is wary.
+    /// After a suspension of a minute, all timers have expired though the answers
+    /// may have arrived meanwhile, and the whole fleet would be declared dead.
+    /// Pending probes are therefore dropped, suspects get their remaining time
+    /// again, and the health score is set to its worst, for longer timeouts.
     pub(super) fn recover_from_suspension(
         &mut self,
         now: Time,
@@ -36,8 +36,8 @@
     }
 
     pub(super) fn expire_suspects(&mut self, now: Time, out: &mut Vec<MemberEffect>) {
-        let over = |entry: &MemberEntry| entry.deadline.is_some_and(|at| at <= now);
-        let ended = self.entries.iter().filter(|(_, e)| over(e));
+        let expired = |entry: &MemberEntry| entry.deadline.is_some_and(|at| at <= now);
+        let ended = self.entries.iter().filter(|(_, e)| expired(e));
         let mut ended: Vec<_> = ended.map(|(id, _)| *id).collect();
         ended.sort_unstable();
         for id in ended {
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Probes one dead instance now and then, so that the two sides of a
-    /// partition find each other again, and forgets those dead for too long.
+    /// Periodically probes one dead instance, so that the sides of a healed
+    /// partition rejoin, and removes instances whose retention has expired.
     pub(super) fn probe_dead(&mut self, now: Time, out: &mut Vec<MemberEffect>) {
         if now < self.next_dead_probe {
             return;
@@ -80,24 +80,24 @@
         self.dirty |= self.entries.len() != before;
     }
 
-    /// Compares tables with all seeds each period while alone, and else with
-    /// one now and then, in case the fleet began as two halves that don't know
-    /// each other.
+    /// Syncs with all seeds each period while no other instance is present, and
+    /// otherwise with one seed at longer intervals, in case the fleet started as
+    /// two halves that don't know each other.
     pub(super) fn sync_with_seeds(&mut self, now: Time, out: &mut Vec<MemberEffect>) {
         if now < self.next_seed_sync || self.seeds.is_empty() || self.has_left() {
             return;
         }
         let present = u32::try_from(self.present()).unwrap_or(u32::MAX);
         let alone = present <= 1;
-        let pause = if alone {
+        let periods = if alone {
             1
         } else {
             SEED_SYNC_PERIODS.max(present / 2)
         };
         let jitter = self.rng.random_range(0.5..1.5);
-        self.next_seed_sync = now + (self.probe_period * pause).mul_f64(jitter);
+        self.next_seed_sync = now + (self.probe_period * periods).mul_f64(jitter);
         let count = if alone { self.seeds.len() } else { 1 };
-        let visited = self.seeds.sample(&mut self.rng, count);
-        out.extend(visited.copied().map(MemberEffect::Sync));
+        let chosen = self.seeds.sample(&mut self.rng, count);
+        out.extend(chosen.copied().map(MemberEffect::Sync));
     }
 }
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -1,4 +1,4 @@
-//! Records of instances as datagrams carry them.
+//! Encoding of member records in datagrams.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -6,7 +6,7 @@
 use crate::membership::member::{Member, MemberState, MemberVersion};
 use crate::upstream::MAX_NAME;
 
-/// A record. One about a suspect or dead instance may lack `info`.
+/// A member record. One of an instance that isn't alive may lack `info`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct MemberRecord {
     #[prost(uint64, tag = "1")]
@@ -17,14 +17,15 @@
     pub(crate) revision: u64,
     #[prost(uint32, tag = "4")]
     pub(crate) state: u32,
-    /// Milliseconds in a final state, so that it is forgotten in time.
+    /// Milliseconds since the instance died or left, zero before; receivers
+    /// count it towards the retention.
     #[prost(uint32, tag = "5")]
     pub(crate) age: u32,
     #[prost(message, optional, tag = "6")]
     pub(crate) info: Option<InfoRecord>,
 }
 
-/// What an instance says about itself.
+/// The data an instance publishes about itself.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct InfoRecord {
     #[prost(string, tag = "1")]
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Its place in the order, or `None` when the state is unknown.
+    /// Version of the record, or `None` if the state code is unknown.
     pub(crate) fn version(&self) -> Option<MemberVersion> {
         Some(MemberVersion {
             incarnation: Incarnation(self.incarnation),
@@ -63,7 +64,7 @@
         })
     }
 
-    /// The member, or `None` when `info` is missing or wrong.
+    /// The member, or `None` if `info` is missing or malformed.
     pub(crate) fn member(&self) -> Option<Member> {
         let info = self.info.as_ref()?;
         let valid_len = (1..=MAX_NAME).contains(&info.domain.len());
@@ -97,7 +98,7 @@
     }
 }
 
-/// An address as 4 or 16 bytes and the port, 2 bytes, the highest first.
+/// Encodes an address as 4 or 16 bytes of IP and a big-endian 16-bit port.
 pub(crate) fn encode_address(address: SocketAddr) -> Vec<u8> {
     let mut bytes = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
@@ -107,7 +108,7 @@
     bytes
 }
 
-/// The reverse of [`encode_address`].
+/// Decodes the format of [`encode_address`].
 pub(crate) fn decode_address(bytes: &[u8]) -> Option<SocketAddr> {
     let (ip, port) = bytes.split_last_chunk::<2>()?;
     let ip = match ip.len() {
