--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Datagrams between instances: the failure detector's probes, rumours that
-//! ride on them, and comparisons of tables that mend what was lost.
+//! Gossip protocol between instances over UDP: the failure detector's probes,
+//! records piggybacked on them, and anti-entropy syncs that repair lost updates.
 
 mod broadcast;
 mod driver;
--- a/src/gossip/broadcast.rs
+++ b/src/gossip/broadcast.rs
@@ -1,43 +1,43 @@
-//! Rumours that wait to be told, each a bounded number of times.
+//! Queue of broadcasts, each of which is sent a bounded number of times.
 
 use std::collections::BTreeMap;
 use std::hash::Hash;
 
 use crate::collections::HashMap;
 
-/// What became of a rumour that was to be written into a datagram.
+/// Result of writing a broadcast into a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteOutcome {
-    /// It was written.
+    /// The broadcast was written.
     Sent,
-    /// It no longer means anything.
+    /// There is nothing left to send about the subject.
     Obsolete,
     /// The datagram is full.
     Full,
 }
 
-/// Subjects of rumours. What is told about a subject is written at the time
-/// of sending, so that the newest word goes out and the queue stays small.
+/// Queue of subjects to broadcast. The record of a subject is looked up when it is
+/// sent, so that the newest version is sent and the queue stays small.
 #[derive(Debug)]
 pub(crate) struct BroadcastQueue<K> {
-    /// Subjects by times told, the newest first among equals.
+    /// Subjects ordered by the number of times sent, the newest first among equals.
     queue: BTreeMap<(u32, u64), K>,
     positions: HashMap<K, (u32, u64)>,
-    /// Counts down, so that newer ones sort first.
-    next_order: u64,
+    /// Counts down, so that newer subjects sort first.
+    last_order: u64,
 }
 
 impl<K: Copy + Eq + Hash> BroadcastQueue<K> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub(crate) fn new() -> Self {
         Self {
             queue: BTreeMap::new(),
             positions: HashMap::default(),
-            next_order: u64::MAX,
+            last_order: u64::MAX,
         }
     }
 
-    /// Starts to tell of a subject, anew if it was being told of.
+    /// Queues a subject. If it is already queued, its count starts again at zero.
     pub(crate) fn add(&mut self, subject: K) {
         if let Some(position) = self.positions.remove(&subject) {
             self.queue.remove(&position);
@@ -45,13 +45,14 @@
         self.enqueue(subject, 0);
     }
 
-    /// Subjects that wait.
+    /// Number of queued subjects.
     pub(crate) fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Offers subjects to `put`, those told least first, each once. A subject
-    /// told `limit` times is dropped.
+    /// Passes subjects to `write`, those sent least often first, each once, until it
+    /// returns [`WriteOutcome::Full`]. A subject that was sent `limit` times is
+    /// dropped.
     pub(crate) fn transmit(&mut self, limit: u32, mut write: impl FnMut(K) -> WriteOutcome) {
         let mut sent = Vec::new();
         while let Some((position, subject)) = self.queue.first_key_value().map(|(p, s)| (*p, *s)) {
@@ -71,8 +72,8 @@
     }
 
     fn enqueue(&mut self, subject: K, transmits: u32) {
-        self.next_order -= 1;
-        let position = (transmits, self.next_order);
+        self.last_order -= 1;
+        let position = (transmits, self.last_order);
         self.queue.insert(position, subject);
         self.positions.insert(subject, position);
     }
--- a/src/gossip/driver.rs
+++ b/src/gossip/driver.rs
@@ -1,4 +1,5 @@
-//! The threads that run a node: one reads the socket, one does the rest.
+//! The threads that run a node: one reads the socket, the other runs the state
+//! machine and sends.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, UdpSocket};
@@ -19,25 +20,25 @@
 use crate::membership::{Member, MemberState, SUSPEND_GAP};
 use crate::upstream::{AnnounceError, AnnounceOutcome, Announcement};
 
-/// Datagrams that may wait for the driver. More are dropped, as a full socket
-/// would do.
+/// Capacity of the queue of received datagrams. More are dropped, as with a full
+/// socket buffer.
 const DATAGRAM_QUEUE: usize = 1_024;
 
-/// Commands that may wait for the driver.
+/// Capacity of the command queue.
 const COMMAND_QUEUE: usize = 256;
 
-/// Turns of the driver in a period.
+/// Driver ticks per probe period.
 const TICKS_PER_PERIOD: u32 = 20;
 
-/// Rounds of rumours after leaving.
+/// Broadcast rounds sent after leaving.
 const LEAVE_ROUNDS: u32 = 4;
 
-/// Longest wait of the reading thread before it looks whether to end.
+/// Read timeout of the reader thread, after which it checks whether to stop.
 const READ_TIMEOUT: Duration = Duration::from_millis(200);
 
 type AnnounceResult = Result<AnnounceOutcome, AnnounceError>;
 
-/// What the handle asks of the driver.
+/// A command from a [`Fleet`](fleet::Fleet) handle to the driver.
 pub(crate) enum Command {
     Announce(Box<Announcement>, Sender<AnnounceResult>),
     Dump(Sender<FleetDump>),
@@ -45,7 +46,7 @@
     Stop,
 }
 
-/// What [`start`] gives back.
+/// Result of [`start`].
 pub(crate) struct Started {
     pub(crate) commands: Sender<Command>,
     pub(crate) address: SocketAddr,
@@ -108,7 +109,7 @@
         driver.run(&command_queue, &datagram_queue);
         stopped.store(true, Ordering::Release);
         if reading.join().is_err() {
-            tracing::error!("the thread that reads datagrams panicked");
+            tracing::error!("the datagram reader thread panicked");
         }
     })?;
     Ok(Started {
@@ -139,14 +140,14 @@
     }
 }
 
-/// Reads datagrams until told to end.
+/// Reads datagrams until `stopped` is set.
 fn read(
     socket: &UdpSocket,
     datagrams: &Sender<Incoming>,
     overflow: &std::sync::atomic::AtomicU64,
     stopped: &AtomicBool,
 ) {
-    // One byte more than the longest, so that a longer one shows.
+    // One byte more than the maximum, so that an oversized datagram is detected.
     let mut buffer = [0; MAX_DATAGRAM + 1];
     while !stopped.load(Ordering::Acquire) {
         match socket.recv_from(&mut buffer) {
@@ -156,10 +157,10 @@
                 }
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            // A refused datagram shows as an error of the next read.
+            // An ICMP port-unreachable reply to a sent datagram is reported by the next read.
             Err(e) if e.kind() == ErrorKind::ConnectionRefused => {}
             Err(error) => {
-                tracing::warn!(event = event::DATAGRAMS_LOST.id, %error, "can't read datagrams");
+                tracing::warn!(event = event::DATAGRAMS_LOST.id, %error, "can't receive datagrams");
                 std::thread::sleep(READ_TIMEOUT);
             }
         }
@@ -186,7 +187,7 @@
         self.announce_leave();
     }
 
-    /// Says whether to go on.
+    /// Returns whether the driver keeps running.
     fn on_command(&mut self, command: Option<Command>) -> bool {
         let now = self.tick();
         match command {
@@ -196,7 +197,7 @@
         true
     }
 
-    /// Says whether to go on.
+    /// Returns whether the driver keeps running.
     fn on_datagram(&mut self, datagram: Option<Incoming>) -> bool {
         let now = self.tick();
         let Some((from, bytes)) = datagram else {
@@ -207,8 +208,8 @@
         true
     }
 
-    /// Notes the time, and lets it pass for the node when a turn is due. Goes
-    /// before whatever came, so that a suspension is seen first.
+    /// Ticks the node when due, and returns the current time. Must run before any
+    /// other event is handled, so that a suspension is detected first.
     fn tick(&mut self) -> Time {
         let now = self.clock.now();
         let gap = now.since(self.last_tick);
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Tells the fleet that this instance leaves, a few times.
+    /// Broadcasts over several rounds that this instance leaves.
     fn announce_leave(&mut self) {
         self.node
             .step(self.clock.now(), NodeEvent::Leave, &mut self.out);
--- a/src/gossip/dump.rs
+++ b/src/gossip/dump.rs
@@ -1,4 +1,4 @@
-//! The state of the fleet as one instance sees it, for the state dump.
+//! The fleet as one instance sees it, for the state dump.
 
 use std::net::SocketAddr;
 
@@ -8,25 +8,25 @@
 use crate::membership::MemberDump;
 use crate::upstream::{RegistryCounts, UpstreamDump};
 
-/// Datagrams that an instance sent and got.
+/// Counts of an instance's datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TrafficCounts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Bytes sent, without headers.
+    /// Bytes sent, without IP and UDP headers.
     pub written: u64,
-    /// Datagrams taken.
+    /// Datagrams received.
     pub received: u64,
-    /// Bytes taken, without headers.
+    /// Bytes received, without IP and UDP headers.
     pub read: u64,
-    /// Datagrams dropped: not of this fleet, or malformed.
+    /// Datagrams dropped because they are malformed or from another fleet.
     pub bad: u64,
-    /// Datagrams dropped because they may have waited while the process was
+    /// Datagrams dropped because they may have been queued while the process was
     /// suspended.
     pub stale: u64,
-    /// Datagrams dropped because too many waited.
+    /// Datagrams dropped because the queue was full.
     pub overflow: u64,
-    /// Datagrams that the system refused to send.
+    /// Datagrams that the operating system failed to send.
     pub failed: u64,
 }
 
@@ -35,20 +35,22 @@
 pub struct FleetDump {
     /// This instance.
     pub id: InstanceId,
-    /// Its start.
+    /// Incarnation of this instance.
     pub incarnation: Incarnation,
-    /// Where it takes datagrams.
+    /// Address at which it receives datagrams.
     pub address: Option<SocketAddr>,
-    /// Zero when healthy; higher after failures that are likely its own.
+    /// Local health score: zero when healthy, higher after failures that this
+    /// instance likely caused.
     pub health: u32,
-    /// Records of another process that uses this instance's number.
+    /// Number of records received of another process that uses this instance's
+    /// id.
     pub conflicts: u64,
-    /// Rumours that wait: of members, upstreams and loads.
+    /// Queued broadcasts: of members, upstreams and loads.
     #[serde(rename = "rumours")]
     pub queued: [usize; 3],
     /// Counts of upstreams.
     pub counts: RegistryCounts,
-    /// Datagrams.
+    /// Counts of datagrams.
     pub traffic: TrafficCounts,
     /// All members.
     pub members: Vec<MemberDump>,
--- a/src/gossip/fleet.rs
+++ b/src/gossip/fleet.rs
@@ -1,4 +1,4 @@
-//! The handle of the fleet for the other parts of an instance.
+//! The handle through which other parts of an instance use the fleet.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,48 +18,47 @@
 use crate::membership::MemberView;
 use crate::upstream::{AnnounceError, AnnounceOutcome, Announcement, UpstreamView};
 
-/// Time without a turn of the driver after which its views are out of date.
+/// Time without a driver tick after which the published upstreams are stale.
 const MAX_VIEW_AGE: Duration = Duration::from_secs(5);
 
-/// Longest wait for the driver to answer a call.
+/// Maximum wait for the driver's reply to a command.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Settings of an instance's part in the fleet.
+/// Settings of an instance's membership in the fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Number of this instance, not zero, unique in the fleet.
+    /// Id of this instance, not zero and unique in the fleet.
     pub id: InstanceId,
-    /// Start of this process. It must be above that of every earlier start,
-    /// or the others keep holding this instance for dead.
+    /// Incarnation of this process. It must be higher than that of every earlier
+    /// start, or the others keep treating this instance as dead.
     pub incarnation: Incarnation,
     /// Failure domain, 1 to 64 printable ASCII characters.
     pub domain: String,
-    /// Where to take datagrams, by IP number.
+    /// Local address to bind the UDP socket to.
     pub bind: SocketAddr,
-    /// Where others reach this instance's datagrams. Port 0 stands for the
-    /// port that was bound.
+    /// UDP address advertised to others. Port 0 stands for the bound port.
     pub gossip: SocketAddr,
-    /// Where others reach it over TCP.
+    /// TCP address advertised to others.
     pub peer: SocketAddr,
-    /// Where its control interface is.
+    /// Address of the control interface.
     pub control: SocketAddr,
-    /// Whether it votes on the catalogue.
+    /// Whether this instance is a voter of the catalogue.
     pub voter: bool,
     /// Datagram addresses of instances to join through.
     pub seeds: Vec<SocketAddr>,
-    /// Secret of the fleet.
+    /// Key that authenticates the fleet's datagrams.
     pub key: FleetKey,
-    /// Time between two probes. One second suits a fleet in service.
+    /// Time between two probes. One second suits a production fleet.
     pub probe_period: Duration,
-    /// Seed of random choices. Each instance takes another one.
+    /// Seed of random choices, different for each instance.
     pub rng_seed: u64,
 }
 
-/// Why an instance can't take part in the fleet.
+/// Error from starting an instance's membership in the fleet.
 #[derive(Debug, Snafu)]
 #[non_exhaustive]
 pub enum FleetError {
-    /// A setting is out of its bounds.
+    /// A setting is out of bounds.
     #[snafu(display("setting {name} is out of bounds: {remedy}"))]
     Setting {
         /// Name of the setting.
@@ -68,9 +67,11 @@
         remedy: &'static str,
     },
     /// The socket couldn't be bound.
-    #[snafu(display("can't take datagrams at {address}: choose a free address of this machine"))]
+    #[snafu(display(
+        "can't bind the UDP socket at {address}: choose a free address of this machine"
+    ))]
     Bind {
-        /// Address asked for.
+        /// Requested address.
         address: SocketAddr,
         /// Cause.
         source: std::io::Error,
@@ -83,15 +84,15 @@
     },
 }
 
-/// What the driver publishes.
+/// State that the driver shares with the handles.
 pub(crate) struct Shared {
     pub(crate) upstreams: ArcSwap<UpstreamView>,
     pub(crate) members: ArcSwap<MemberView>,
-    /// Last turn of the driver, in microseconds of the local clock.
+    /// Time of the last driver tick, in microseconds of the local clock.
     pub(crate) last_tick: AtomicU64,
 }
 
-/// Handle of this instance's part in the fleet. Clones share it.
+/// Handle of this instance's membership in the fleet. Clones share it.
 #[derive(Clone)]
 pub struct Fleet {
     shared: Arc<Shared>,
@@ -101,13 +102,13 @@
 }
 
 impl Fleet {
-    /// Binds the socket and starts the threads. The handle that comes back
-    /// ends after [`Fleet::stop`], or when all clones are dropped.
+    /// Binds the socket and starts the threads. The returned thread ends after
+    /// [`Fleet::stop`], or when all clones of the handle are dropped.
     ///
     /// # Errors
     ///
-    /// When a setting is out of bounds, the address is taken, or no thread
-    /// can be had.
+    /// Returns an error if a setting is out of bounds, the address can't be bound,
+    /// or a thread can't be started.
     pub fn spawn(
         settings: FleetSettings,
         clock: Arc<dyn Clock>,
@@ -128,18 +129,18 @@
         Ok((fleet, started.thread))
     }
 
-    /// Where this instance takes datagrams.
+    /// Address at which this instance receives datagrams.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes an announcement that an upstream made to this instance.
+    /// Handles an announcement that an upstream made to this instance.
     ///
     /// # Errors
     ///
-    /// When the announcement is out of bounds, the table is full, or this
-    /// instance can't tell how old the announcement is.
+    /// Returns an error if the announcement is out of bounds, the table is full, or
+    /// this instance can't tell how old the announcement is.
     pub fn announce(&self, announcement: Announcement) -> Result<AnnounceOutcome, AnnounceError> {
         let (reply, answer) = bounded(1);
         let command = Command::Announce(Box::new(announcement), reply);
@@ -148,11 +149,11 @@
         answer.recv_timeout(REPLY_TIMEOUT).map_err(|_| stalled())?
     }
 
-    /// Upstreams that may be given work.
+    /// Upstreams that can be given work.
     ///
-    /// The view is empty while the driver stands still. Guards against a
-    /// process that was stopped, runs again and picks an upstream that left
-    /// meanwhile, before its driver had a turn to drop it.
+    /// The view is empty while the driver doesn't tick. Otherwise a process that
+    /// resumes after a suspension could pick an upstream that has left meanwhile,
+    /// before the driver drops it.
     #[must_use]
     pub fn upstreams(&self) -> Arc<UpstreamView> {
         let last_tick = Time(self.shared.last_tick.load(Ordering::Acquire));
@@ -168,17 +169,18 @@
         self.shared.members.load_full()
     }
 
-    /// Tells the fleet that this instance takes no new requests.
+    /// Announces to the fleet that this instance takes no new requests.
     pub fn drain(&self) {
         let _ = self.commands.send(Command::Drain);
     }
 
-    /// Leaves the fleet and ends the threads after a few rounds of rumours.
+    /// Leaves the fleet, and ends the threads after a few broadcast rounds.
     pub fn stop(&self) {
         let _ = self.commands.send(Command::Stop);
     }
 
-    /// The state for the state dump. Empty when the driver doesn't answer.
+    /// The fleet's part of the state dump; empty if the driver doesn't reply in
+    /// time.
     #[must_use]
     pub fn dump(&self) -> FleetDump {
         let (reply, answer) = bounded(1);
@@ -193,7 +195,7 @@
     fn validate(&self) -> Result<(), FleetError> {
         let id = SettingSnafu {
             name: "id",
-            remedy: "give the instance a number above zero",
+            remedy: "give the instance an id above zero",
         };
         ensure!(self.id.0 != 0, id);
         let domain = SettingSnafu {
@@ -234,7 +236,7 @@
     socket.local_addr().context(BindSnafu { address })
 }
 
-/// A second handle of the socket, whose reads end after `timeout`.
+/// Clones the socket handle, with a read timeout.
 pub(crate) fn reader(
     socket: &std::net::UdpSocket,
     address: SocketAddr,
--- a/src/gossip/node.rs
+++ b/src/gossip/node.rs
@@ -1,5 +1,5 @@
-//! One instance's part of the fleet: detector, upstreams and rumours. A state
-//! machine without I/O.
+//! The gossip state machine of one instance: failure detector, upstreams and
+//! broadcasts, without I/O.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,29 +24,29 @@
 mod receive;
 mod send;
 
-/// Instances that get urgent rumours at a time.
+/// Instances that a broadcast round sends to.
 const FANOUT: usize = 3;
 
-/// Rounds of urgent rumours in one period.
+/// Broadcast rounds of members and upstreams per probe period.
 const ROUNDS_PER_PERIOD: u32 = 5;
 
-/// Datagrams in one period that carry loads alone.
+/// Broadcast rounds of loads per probe period, of one datagram each.
 const LOAD_ROUNDS_PER_PERIOD: u32 = 2;
 
-/// Periods between two comparisons of tables.
+/// Mean time between two anti-entropy syncs, in probe periods.
 const SYNC_PERIODS: u32 = 2;
 
-/// Most datagrams that answer comparisons in one round. When a whole fleet
-/// starts at once, all come to the seeds; whoever gets no answer asks again.
+/// Maximum number of sync replies per broadcast round. When a whole fleet starts
+/// at once, all instances sync with the seeds; those that get no reply retry.
 const MAX_SYNC_REPLIES: u32 = 16;
 
-/// Time between two passes over the upstreams.
+/// Time between two ticks of the upstream registry.
 const REGISTRY_TICK: Duration = Duration::from_secs(1);
 
-/// Time after a suspension in which datagrams are dropped.
+/// Time after a suspension during which datagrams are dropped.
 const DATAGRAM_DROP_TIME: Duration = Duration::from_millis(100);
 
-/// Time after a suspension in which announcements are refused.
+/// Time after a suspension during which announcements are refused.
 const ANNOUNCE_REFUSE_TIME: Duration = Duration::from_secs(1);
 
 /// Settings of a node.
@@ -54,9 +54,9 @@
 pub struct NodeSettings {
     /// This instance.
     pub own: Member,
-    /// Addresses to join through.
+    /// Datagram addresses of instances to join through.
     pub seeds: Vec<SocketAddr>,
-    /// Secret of the fleet.
+    /// Key that authenticates the fleet's datagrams.
     pub key: FleetKey,
     /// Time between two probes.
     pub probe_period: Duration,
@@ -64,20 +64,20 @@
     pub rng_seed: u64,
 }
 
-/// What happens to a node.
+/// An event that a node handles.
 #[derive(Clone, Copy, Debug)]
 pub enum NodeEvent<'a> {
-    /// Time passes.
+    /// Time has passed.
     Tick,
-    /// A datagram came from an address.
+    /// A datagram was received from this address.
     Datagram(SocketAddr, &'a [u8]),
-    /// The instance takes no new requests.
+    /// The instance starts to drain: it takes no new requests.
     Drain,
-    /// The instance leaves.
+    /// The instance leaves the fleet.
     Leave,
 }
 
-/// A sealed datagram for an address.
+/// A sealed datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// Receiver.
@@ -86,21 +86,21 @@
     pub bytes: Vec<u8>,
 }
 
-/// The instance that an event came from.
+/// An instance and its datagram address.
 #[derive(Clone, Copy, Debug)]
 struct PeerAddress {
     id: InstanceId,
     address: SocketAddr,
 }
 
-/// A packet that is still to be sealed.
+/// A packet to seal and send.
 struct Outgoing {
     to: SocketAddr,
     packet: Packet,
 }
 
-/// The state machine of one instance: no I/O, no clock, no entropy but what
-/// comes in. [`crate::Fleet`] runs it over a socket.
+/// The gossip state machine of one instance. It does no I/O, and takes time and
+/// the seed of randomness as input. [`crate::Fleet`] runs it over a socket.
 pub struct Node {
     pub(super) members: Membership,
     pub(super) registry: Registry,
@@ -111,11 +111,11 @@
     traffic: TrafficCounts,
     probe_period: Duration,
     last_tick: Time,
-    /// End of the last suspension of this process.
+    /// When the last suspension of this process was detected.
     resumed_at: Option<Time>,
     next_round: Time,
     next_load_round: Time,
-    /// Datagrams left to answer comparisons with, until the next round.
+    /// Sync replies that may still be sent before the next broadcast round.
     sync_replies_left: u32,
     next_sync: Time,
     next_registry_tick: Time,
@@ -124,7 +124,7 @@
 }
 
 impl Node {
-    /// A node that knows itself alone.
+    /// Creates a node that knows only itself.
     #[must_use]
     pub fn new(now: Time, settings: NodeSettings) -> Self {
         let NodeSettings {
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Takes an event; datagrams to send are added to `out`. Time is to pass
-    /// by [`NodeEvent::Tick`] at least five times a period.
+    /// Handles an event, and adds datagrams to send to `out`. [`NodeEvent::Tick`]
+    /// must come at least five times per probe period.
     pub fn step(&mut self, now: Time, event: NodeEvent<'_>, out: &mut Vec<Datagram>) {
         self.detect_suspension(now);
         match event {
@@ -176,16 +176,16 @@
         self.seal(out);
     }
 
-    /// Takes an announcement that an upstream made to this instance.
+    /// Handles an announcement that an upstream made to this instance.
     ///
-    /// Guards against one that waited in a connection while this process was
-    /// suspended: it would count as heard now, and bring back an upstream
-    /// that left meanwhile.
+    /// Announcements are refused just after a suspension of this process: one that
+    /// was buffered in a connection meanwhile would count as new, and bring back
+    /// an upstream that has left.
     ///
     /// # Errors
     ///
-    /// When the announcement is out of bounds, the table is full, or this
-    /// process has just been suspended.
+    /// Returns an error if the announcement is out of bounds, the table is full, or
+    /// this process has just been suspended.
     pub fn announce(
         &mut self,
         now: Time,
@@ -206,22 +206,22 @@
         outcome
     }
 
-    /// Upstreams that may be given work.
+    /// Upstreams that can be given work.
     pub fn upstreams(&mut self, now: Time) -> Arc<UpstreamView> {
         self.registry.snapshot(now)
     }
 
-    /// The members, if they changed since the last call.
+    /// The member view, if it changed since the last call.
     pub fn changed_members(&mut self) -> Option<MemberView> {
         self.members.changed_view()
     }
 
-    /// Datagrams so far.
+    /// Counts of datagrams so far.
     pub(super) fn traffic(&self) -> TrafficCounts {
         self.traffic
     }
 
-    /// The whole state.
+    /// The state for the state dump.
     #[must_use]
     pub fn dump(&self, now: Time) -> FleetDump {
         let (id, incarnation) = self.members.identity();
@@ -239,13 +239,13 @@
         }
     }
 
-    /// Sends the rumours that wait once more, after leaving.
+    /// Sends one more round of queued broadcasts, after leaving.
     pub(super) fn send_remaining(&mut self, now: Time, out: &mut Vec<Datagram>) {
         self.send_broadcasts(now);
         self.seal(out);
     }
 
-    /// Rumours that wait: of members, upstreams and loads.
+    /// Numbers of queued broadcasts: of members, upstreams and loads.
     fn queued(&self) -> [usize; 3] {
         [
             self.member_broadcasts.len(),
@@ -254,8 +254,8 @@
         ]
     }
 
-    /// Lets time pass first when this process was suspended, so that whatever
-    /// came meets expired records and not those of before.
+    /// Ticks first if this process was suspended, so that records which expired
+    /// meanwhile are gone before the event is handled.
     fn detect_suspension(&mut self, now: Time) {
         if now.since(self.last_tick) < SUSPEND_GAP {
             return;
@@ -269,9 +269,9 @@
         self.resumed_at.is_some_and(|at| now.since(at) < pause)
     }
 
-    /// Takes a datagram, unless it may have waited in the socket while this
-    /// process was suspended. The ages in it would then be too low, and an
-    /// upstream that left an hour ago would come back.
+    /// Handles a datagram, unless it may have been buffered in the socket while
+    /// this process was suspended. The ages in it would then be too low, and an
+    /// upstream that left an hour ago could come back.
     fn receive_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         if self.resumed_within(now, DATAGRAM_DROP_TIME) {
             self.traffic.stale += 1;
@@ -295,8 +295,8 @@
         }
     }
 
-    /// Expiry goes first, so that after a suspension nothing that has run out
-    /// is renewed or told of.
+    /// The registry ticks first, so that after a suspension no expired record is
+    /// renewed or broadcast.
     fn tick(&mut self, now: Time) {
         self.last_tick = now;
         if now >= self.next_registry_tick {
@@ -336,7 +336,7 @@
         self.send_broadcasts(now);
     }
 
-    /// Starts a comparison of tables.
+    /// Starts an anti-entropy sync with the instance at `to`.
     pub(super) fn start_sync(&mut self, now: Time, to: SocketAddr) {
         let roots = sync::root_hashes(now, &self.members, &self.registry);
         self.out.push(self.datagram(to, Body::RootHashes(roots)));
--- a/src/gossip/node/effects.rs
+++ b/src/gossip/node/effects.rs
@@ -1,4 +1,4 @@
-//! What a node does for its detector and its table of upstreams.
+//! Actions requested by the failure detector and the upstream registry.
 
 use crate::clock::Time;
 use crate::gossip::node::{Node, PeerAddress};
@@ -28,8 +28,8 @@
                     self.send_probe(now, to, body, Some(target));
                 }
                 MemberEffect::Ack { to, sequence } => {
-                    let sender = sender.map(|o| o.id);
-                    self.send_probe(now, to, Body::Ack(sequence), sender);
+                    let target = sender.map(|s| s.id);
+                    self.send_probe(now, to, Body::Ack(sequence), target);
                 }
                 MemberEffect::Nack { to, sequence } => {
                     self.send_probe(now, to, Body::Nack(sequence), None);
@@ -53,7 +53,7 @@
                 }
                 MemberEffect::SendRecord(id) => {
                     let record = self.members.record(now, id, true);
-                    let to = sender.map(|o| o.address);
+                    let to = sender.map(|s| s.address);
                     if let (Some(record), Some(to)) = (record, to) {
                         self.send_records(to, RecordSource::Broadcast, vec![record], Vec::new());
                     }
@@ -94,7 +94,7 @@
         self.send_to(sender, Body::RecordRequest(request));
     }
 
-    /// Sends a body without rumours to an instance, if there is one.
+    /// Sends a body without broadcasts to an instance, if there is one.
     fn send_to(&mut self, to: Option<PeerAddress>, body: Body) {
         let outgoing = to.map(|to| self.datagram(to.address, body));
         self.out.extend(outgoing);
--- a/src/gossip/node/receive.rs
+++ b/src/gossip/node/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams that a node gets.
+//! Handling of received packets.
 
 use std::net::SocketAddr;
 
@@ -18,8 +18,8 @@
 use crate::upstream::{Loads, RegistryEffect, UpstreamRecord};
 
 impl Node {
-    /// Takes a packet. Records go first, so that an answer to a probe that
-    /// came with an accusation carries the refutation.
+    /// Handles a packet. Records are merged first, so that the ack of a probe that
+    /// carries a suspicion carries the refutation.
     pub(super) fn handle_packet(&mut self, now: Time, from: SocketAddr, packet: Packet) {
         let sender = InstanceId(packet.from);
         if sender == self.members.identity().0 {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Takes a message of the detector. A sender that is unknown here, or held
-    /// for dead or suspect, hears of it.
+    /// Handles a message of the failure detector. An unknown sender is asked for its
+    /// record; the reply to a suspect or dead one carries that state, for it to refute.
     fn on_probe(&mut self, now: Time, sender: PeerAddress, event: ProbeEvent) {
         let mut effects = Vec::new();
         self.members
@@ -87,14 +87,15 @@
             self.members.merge(now, record, &mut effects);
         }
         if source == RecordSource::Sync {
-            effects.retain(|effect| self.must_broadcast(effect));
+            effects.retain(|effect| self.must_apply(effect));
         }
         self.apply_member_effects(now, effects, Some(sender));
     }
 
-    /// Whether an effect of a comparison is more than learning what others
-    /// know. A suspect has to hear of it in time to refute.
-    fn must_broadcast(&self, effect: &MemberEffect) -> bool {
+    /// Whether an effect of a sync must still be carried out. Broadcasts of records
+    /// learnt in a sync are dropped, except of this instance's own record and of
+    /// suspicions, which must reach the suspect in time to refute.
+    fn must_apply(&self, effect: &MemberEffect) -> bool {
         let MemberEffect::Broadcast(id) = effect else {
             return true;
         };
@@ -131,13 +132,13 @@
         }
         let buckets = sync::differing_buckets(now, roots, &self.members, &self.registry);
         if let Some(buckets) = buckets {
-            let mut answer = self.datagram(from, Body::BucketHashes(buckets));
-            answer.packet.sync = true;
-            self.send_reply(from, answer.packet);
+            let mut reply = self.datagram(from, Body::BucketHashes(buckets));
+            reply.packet.sync = true;
+            self.send_reply(from, reply.packet);
         }
     }
 
-    /// Goes into the buckets that differ, and compares again soon.
+    /// Sends listings of the buckets that differ, and schedules another sync soon.
     fn on_bucket_hashes(&mut self, now: Time, from: SocketAddr, buckets: &BucketHashes) {
         let offset = self.rng.random_range(0..1_024);
         let listings = sync::listings(now, buckets, offset, &self.members, &self.registry);
@@ -190,19 +191,18 @@
         self.request_records(from, request);
     }
 
-    /// Asks for records that a comparison found to differ.
+    /// Requests records that differ according to a sync.
     fn request_records(&mut self, to: SocketAddr, request: RecordRequest) {
         let mut outgoing = self.datagram(to, Body::RecordRequest(request));
         outgoing.packet.sync = true;
         self.out.push(outgoing);
     }
 
-    /// Sends what was asked for, as news or as part of a comparison, whichever
-    /// the request was.
+    /// Sends the requested records, as broadcasts or as part of a sync, like the
+    /// request.
     ///
-    /// Guards against two instances that both lack the facts of an upstream
-    /// and ask each other for them without end: a record that can't answer the
-    /// request isn't sent.
+    /// Incomplete upstream records are left out: two instances that both lack the
+    /// facts of an upstream would otherwise request them from each other forever.
     fn on_record_request(
         &mut self,
         now: Time,
--- a/src/gossip/node/send.rs
+++ b/src/gossip/node/send.rs
@@ -1,4 +1,4 @@
-//! Datagrams that a node sends, filled with rumours.
+//! Packets that a node sends, filled with queued broadcasts.
 
 use std::net::SocketAddr;
 
@@ -13,26 +13,26 @@
 use crate::membership::{MemberRecord, MemberState, RecordSource};
 use crate::upstream::{Loads, UpstreamRecord};
 
-/// Times that a rumour is told by each instance, for each digit of the size of
-/// the fleet and one more.
+/// Each instance sends a record this many times for each decimal digit of the
+/// fleet size, and for one digit more.
 const TRANSMIT_FACTOR: u32 = 4;
 
-/// The same for a report of load. One that is missed does little harm.
+/// The same for a load report. A lost one does little harm.
 const LOAD_TRANSMIT_FACTOR: u32 = 1;
 
-/// Bytes of load reports in one datagram. Together with the fixed
-/// number of datagrams this bounds what load reports cost, however many
-/// upstreams change their load.
+/// Maximum bytes of load reports in one datagram. As the number of datagrams is
+/// fixed, this bounds the cost of load reports, however many upstreams change
+/// their load.
 const MAX_LOAD_BYTES: usize = 560;
 
-/// Most bytes of one load report: key, incarnation, sequence, level.
+/// Maximum bytes of one load report: key, incarnation, sequence, level.
 const LOAD_ROW_BYTES: usize = 4 + 1 + 10 + 1;
 
-/// Overhead of a record in a packet: its tag and length.
+/// Bytes that a record in a packet takes for its tag and length.
 const RECORD_OVERHEAD: usize = 3;
 
 impl Node {
-    /// A datagram with a body and no rumours.
+    /// A packet with a body and no broadcasts.
     pub(super) fn datagram(&self, to: SocketAddr, body: Body) -> Outgoing {
         let packet = Packet {
             from: self.members.identity().0.0,
@@ -42,8 +42,9 @@
         Outgoing { to, packet }
     }
 
-    /// Sends a message of the detector, filled with rumours. A target that is
-    /// held for dead or suspect is told so, and can refute in its answer.
+    /// Sends a message of the failure detector, filled with queued broadcasts. It
+    /// also carries the record of a target that isn't alive, which the target can
+    /// refute in its reply.
     pub(super) fn send_probe(
         &mut self,
         now: Time,
@@ -60,7 +61,7 @@
         self.out.push(Outgoing { to, packet });
     }
 
-    /// Sends urgent rumours to a few instances.
+    /// Sends queued broadcasts of members and upstreams to [`FANOUT`] instances.
     pub(super) fn send_broadcasts(&mut self, now: Time) {
         if self.member_broadcasts.len() + self.upstream_broadcasts.len() == 0 {
             return;
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Sends loads that are news to one instance.
+    /// Sends queued load reports to one instance.
     pub(super) fn send_load_broadcasts(&mut self) {
         if self.load_broadcasts.len() == 0 {
             return;
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Sends records that were asked for, in as many datagrams as needed.
+    /// Sends requested records, in as many datagrams as needed.
     pub(super) fn send_records(
         &mut self,
         to: SocketAddr,
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Sends an answer; one to a comparison only while there are some left.
+    /// Sends a reply. One in a sync counts against `sync_replies_left`, and is
+    /// dropped if none are left.
     pub(super) fn send_reply(&mut self, to: SocketAddr, packet: Packet) {
         if packet.sync && self.sync_replies_left == 0 {
             return;
@@ -143,7 +145,7 @@
         }
     }
 
-    /// What this instance holds against `id`, if anything.
+    /// The record of `id`, if it isn't alive.
     fn suspicion_record(&self, now: Time, id: InstanceId) -> Option<MemberRecord> {
         let not_alive = self.members.state(id)? != MemberState::Alive;
         not_alive
@@ -189,7 +191,7 @@
         packet.loads = (!loads.keys.is_empty()).then_some(loads);
     }
 
-    /// Times that a rumour is told: grows with the logarithm of the fleet.
+    /// Number of times to send a record: grows with the logarithm of the fleet size.
     fn transmit_limit(&self) -> u32 {
         let size = u32::try_from(self.members.present()).unwrap_or(u32::MAX);
         let digits = size.checked_ilog10().unwrap_or(0) + 1;
@@ -197,7 +199,7 @@
     }
 }
 
-/// Bytes left in a packet.
+/// Bytes left in a packet for records.
 struct RemainingBytes(usize);
 
 impl RemainingBytes {
--- a/src/gossip/report.rs
+++ b/src/gossip/report.rs
@@ -1,11 +1,11 @@
-//! Log lines and metrics about the fleet.
+//! Logging and metrics of the fleet.
 
 use crate::event;
 use crate::gossip::node::Node;
 use crate::membership::{MemberState, MemberView};
 use crate::upstream::UpstreamView;
 
-/// Remembers what was reported last.
+/// Reports changes of the fleet; keeps what was last reported.
 #[derive(Debug, Default)]
 pub(crate) struct FleetReporter {
     members: Vec<(u64, MemberState)>,
@@ -13,7 +13,7 @@
 }
 
 impl FleetReporter {
-    /// Reports members whose state is another than before.
+    /// Logs members whose state changed, and updates their gauge.
     pub(crate) fn members(&mut self, view: &MemberView) {
         let present = view.present().count();
         metrics::gauge!("members_present").set(present as f64);
@@ -28,19 +28,19 @@
                     instance = id,
                     ?state,
                     ?before,
-                    "instance is held for something else"
+                    "member state changed"
                 );
             }
         }
         self.members = current;
     }
 
-    /// Reports the upstreams that may be given work.
+    /// Updates the gauge of usable upstreams.
     pub(crate) fn upstreams(&self, view: &UpstreamView) {
         metrics::gauge!("upstreams_usable").set(view.upstreams.len() as f64);
     }
 
-    /// Reports datagrams, health and conflicts.
+    /// Updates the metrics of datagrams and health, and logs id conflicts.
     pub(crate) fn node(&mut self, node: &Node) {
         let traffic = node.traffic();
         metrics::counter!("gossip_sent_bytes_total").absolute(traffic.written);
@@ -51,8 +51,8 @@
         if conflicts > self.conflicts {
             tracing::error!(
                 event = event::ID_CONFLICT.id,
-                "another process uses this instance's number, or a higher incarnation was known: \
-                 give each instance a number of its own and a growing incarnation"
+                "another process uses this instance's id, or a higher incarnation of it is known: \
+                 give each instance a unique id and an increasing incarnation"
             );
         }
         self.conflicts = conflicts;
--- a/src/gossip/sync.rs
+++ b/src/gossip/sync.rs
@@ -1,6 +1,6 @@
-//! Comparison of two tables in steps: a hash over all, hashes over buckets,
-//! then the keys of a few buckets that differ. Tables that are the same cost
-//! one short datagram.
+//! Anti-entropy sync of two tables in steps: a hash over all entries, hashes over
+//! buckets, then the keys of a few differing buckets. Equal tables cost one short
+//! datagram.
 
 use std::collections::BTreeMap;
 
@@ -10,17 +10,17 @@
 use crate::membership::Membership;
 use crate::upstream::Registry;
 
-/// Buckets of each table.
+/// Number of buckets per table.
 const BUCKET_COUNT: usize = 64;
 
-/// Most buckets that one comparison goes into. The rest waits for the next,
-/// so that a newcomer doesn't get all at once.
+/// Maximum number of differing buckets listed per table in one sync. The rest is
+/// left to the next, so that a new instance doesn't receive everything at once.
 const MAX_LISTED_BUCKETS: usize = 8;
 
-/// Most keys listed of one bucket; they fit in a datagram.
+/// Maximum number of keys in the listing of a bucket; they fit in a datagram.
 const MAX_LISTED_KEYS: usize = 80;
 
-/// Hash over all entries.
+/// Hashes over all entries of each table.
 pub(crate) fn root_hashes(now: Time, members: &Membership, registry: &Registry) -> RootHashes {
     let root = |hashes: &mut dyn Iterator<Item = (u64, u64)>| hashes.fold(0, |all, (_, h)| all ^ h);
     RootHashes {
@@ -29,8 +29,8 @@
     }
 }
 
-/// Hashes over the buckets of the tables whose root is another here, or
-/// `None` when both are the same.
+/// Bucket hashes of the tables whose root hash differs, or `None` if both are
+/// equal.
 pub(crate) fn differing_buckets(
     now: Time,
     theirs: &RootHashes,
@@ -48,7 +48,7 @@
     (buckets != BucketHashes::default()).then_some(buckets)
 }
 
-/// Listings of some buckets that differ, from one at `offset` on.
+/// Listings of some differing buckets, searched from bucket `offset` on.
 pub(crate) fn listings(
     now: Time,
     theirs: &BucketHashes,
@@ -64,19 +64,20 @@
         let found = rotated.filter(|i| own[*i] != theirs[*i]);
         found.take(MAX_LISTED_BUCKETS).collect()
     };
-    let in_members = different(&bucket_hashes(members.hashes(now)), &theirs.members);
-    let in_upstreams = different(&bucket_hashes(registry.hashes(now)), &theirs.upstreams);
-    let of_members = in_members
+    let member_buckets = different(&bucket_hashes(members.hashes(now)), &theirs.members);
+    let upstream_buckets = different(&bucket_hashes(registry.hashes(now)), &theirs.upstreams);
+    let member_listings = member_buckets
         .into_iter()
         .map(|i| listing(false, i, members.hashes(now)));
-    let of_upstreams = in_upstreams
+    let upstream_listings = upstream_buckets
         .into_iter()
         .map(|i| listing(true, i, registry.hashes(now)));
-    of_members.chain(of_upstreams).collect()
+    member_listings.chain(upstream_listings).collect()
 }
 
-/// What differs from a listing: keys to send in full, keys to send without
-/// what seldom changes, and keys to ask for.
+/// Difference between a received listing and the local table: keys to send with
+/// full records, keys whose upstream records may omit the facts, and keys to
+/// request.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct Difference {
     pub(crate) missing: Vec<u64>,
@@ -84,7 +85,7 @@
     pub(crate) wanted: Vec<u64>,
 }
 
-/// Compares a listing with the entries here.
+/// Compares a received listing with the local entries.
 pub(crate) fn difference(
     theirs: &BucketListing,
     own: impl Iterator<Item = (u64, u64)>,
@@ -92,7 +93,7 @@
     let bucket = theirs.bucket as usize;
     let own: BTreeMap<u64, u32> = own
         .filter(|(key, _)| bucket_of(*key) == bucket)
-        .map(|(key, hash)| (key, truncate(hash)))
+        .map(|(key, hash)| (key, short_hash(hash)))
         .collect();
     let listed: HashMap<u64, u32> = theirs
         .keys
@@ -127,24 +128,24 @@
         upstreams,
         bucket: u32::try_from(bucket).unwrap_or(0),
         keys: entries.iter().map(|(key, _)| *key).collect(),
-        hashes: entries.iter().map(|(_, hash)| truncate(*hash)).collect(),
+        hashes: entries.iter().map(|(_, hash)| short_hash(*hash)).collect(),
     }
 }
 
 fn bucket_hashes(hashes: impl Iterator<Item = (u64, u64)>) -> Vec<u32> {
     let mut buckets = vec![0; BUCKET_COUNT];
     for (key, hash) in hashes {
-        buckets[bucket_of(key)] ^= truncate(hash);
+        buckets[bucket_of(key)] ^= short_hash(hash);
     }
     buckets
 }
 
-/// Keys are digests or small numbers; the multiplication spreads both.
+/// Keys are digests or small integers; the multiplication distributes both evenly.
 fn bucket_of(key: u64) -> usize {
     let spread = key.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
     usize::try_from(spread).unwrap_or(0) % BUCKET_COUNT
 }
 
-fn truncate(hash: u64) -> u32 {
+fn short_hash(hash: u64) -> u32 {
     (hash >> 32) as u32
 }
--- a/src/gossip/wire.rs
+++ b/src/gossip/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams and their encoding.
+//! Encoding of datagrams.
 
 use prost::Message;
 
@@ -6,23 +6,25 @@
 use crate::membership::MemberRecord;
 use crate::upstream::{Loads, Renewal, UpstreamRecord};
 
-/// Longest datagram in bytes. It passes every common link in one piece.
+/// Maximum length of a datagram in bytes. It passes common links without
+/// fragmentation.
 pub(crate) const MAX_DATAGRAM: usize = 1_200;
 
-/// First byte of each datagram. It keeps a frame of another protocol under
-/// the same key from being taken for a datagram, and names the version.
+/// First byte of each packet. It identifies the protocol version, and distinguishes
+/// datagrams from frames of another protocol under the same key.
 const MAGIC: u8 = 0xb1;
 
-/// Longest packet in bytes, before the tag and the first byte.
+/// Maximum length of a packet in bytes, without the authentication tag and the
+/// first byte.
 pub(crate) const MAX_PACKET: usize = MAX_DATAGRAM - TAG_LEN - 1;
 
-/// One datagram's content.
+/// Content of a datagram.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Packet {
-    /// Sender.
+    /// Id of the sender.
     #[prost(uint64, tag = "1")]
     pub(crate) from: u64,
-    /// Whether the records answer a comparison of tables.
+    /// Whether the packet is part of an anti-entropy sync.
     #[prost(bool, tag = "2")]
     pub(crate) sync: bool,
     #[prost(oneof = "Body", tags = "3, 4, 5, 6, 7, 8, 9, 10, 11")]
@@ -35,7 +37,7 @@
     pub(crate) loads: Option<Loads>,
 }
 
-/// What a datagram is for. One that only carries records has no body.
+/// Message of a packet. A packet that only carries records has none.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub(crate) enum Body {
     #[prost(message, tag = "3")]
@@ -78,7 +80,7 @@
     pub(crate) address: Vec<u8>,
 }
 
-/// First step of a comparison: one hash over each table.
+/// First step of a sync: one hash over each table.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub(crate) struct RootHashes {
     #[prost(fixed64, tag = "1")]
@@ -87,7 +89,7 @@
     pub(crate) upstreams: u64,
 }
 
-/// Second step: a hash over each bucket of the tables that differ.
+/// Second step of a sync: hashes over the buckets of the tables that differ.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct BucketHashes {
     #[prost(fixed32, repeated, tag = "1")]
@@ -96,10 +98,10 @@
     pub(crate) upstreams: Vec<u32>,
 }
 
-/// Third step: keys and hashes in one bucket that differs.
+/// Third step of a sync: keys and hashes of a bucket that differs.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct BucketListing {
-    /// Whether it is a bucket of upstreams, not of members.
+    /// Whether the bucket is one of upstreams rather than members.
     #[prost(bool, tag = "1")]
     pub(crate) upstreams: bool,
     #[prost(uint32, tag = "2")]
@@ -110,7 +112,7 @@
     pub(crate) hashes: Vec<u32>,
 }
 
-/// A request for records.
+/// A request for full records.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct RecordRequest {
     #[prost(uint64, repeated, tag = "1")]
@@ -119,7 +121,7 @@
     pub(crate) upstreams: Vec<u64>,
 }
 
-/// The sealed datagram of a packet.
+/// Encodes and seals a packet.
 pub(crate) fn encode(packet: &Packet, key: &FleetKey) -> Vec<u8> {
     let mut body = Vec::with_capacity(packet.encoded_len() + 1);
     body.push(MAGIC);
@@ -129,7 +131,8 @@
     key.seal(&body)
 }
 
-/// The packet of a datagram, or `None` when it isn't of this fleet.
+/// Opens and decodes a datagram. Returns `None` if it is malformed, oversized or
+/// from another fleet.
 pub(crate) fn decode(datagram: &[u8], key: &FleetKey) -> Option<Packet> {
     if datagram.len() > MAX_DATAGRAM {
         return None;
