--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -68,8 +68,8 @@
             self.conflicts += 1;
             return;
         }
-        let accused = version.state != MemberState::Alive;
-        if self.has_left() || (version <= own && !accused) {
+        let not_alive = version.state != MemberState::Alive;
+        if self.has_left() || (version <= own && !not_alive) {
             return;
         }
         if version > own {
@@ -78,10 +78,10 @@
             }
             self.update_own(MemberState::Alive, |_| (), out);
         }
-        if accused {
+        if not_alive {
             out.push(MemberEffect::SendRecord(self.own));
         }
-        if accused && version > own {
+        if not_alive && version > own {
             self.adjust_health(true);
         }
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances of a fleet over real sockets of the loopback address.
+//! A fleet of instances over real sockets on the loopback interface.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -10,8 +10,9 @@
     Load, MemberState, Serves, Service, SystemClock, Time, UpstreamId, UpstreamState,
 };
 
-/// Longest wait for something that takes a few periods; never a verdict.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum wait for a condition that normally takes a few probe periods. It only
+/// ends a hanging test; no test checks a latency with it.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn spawn(id: u64, seeds: &[&Fleet], clock: Arc<dyn Clock>) -> (Fleet, JoinHandle<()>) {
     let any = "127.0.0.1:0".parse().unwrap();
@@ -49,10 +50,10 @@
     }
 }
 
-fn wait_until(mut met: impl FnMut() -> bool) {
+fn wait_until(mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !met() {
-        assert!(start.elapsed() < PATIENCE, "not met in {PATIENCE:?}");
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "not met in {TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
@@ -93,15 +94,15 @@
     b_thread.join().unwrap();
 }
 
-/// A clock that is moved by hand. While the gate is held, the fleet's thread
-/// waits for the time, as if the system didn't run it.
+/// A clock that is set manually. While `gate` is locked, the fleet's thread blocks
+/// when it reads the time, as if it weren't scheduled.
 #[derive(Default)]
-struct Manual {
+struct ManualClock {
     micros: AtomicU64,
     gate: Mutex<()>,
 }
 
-impl Clock for Manual {
+impl Clock for ManualClock {
     fn now(&self) -> Time {
         if std::thread::current().name() == Some("gossip") {
             drop(self.gate.lock());
@@ -110,11 +111,11 @@
     }
 }
 
-/// A request goes to an upstream that left an hour ago: the process was
-/// suspended, runs again, and the thread that routes is first to run.
+/// A request is routed to an upstream that left an hour ago: the process resumes
+/// from a suspension, and the routing thread runs before the fleet's thread.
 #[test]
 fn upstreams_after_suspension() {
-    let clock = Arc::new(Manual::default());
+    let clock = Arc::new(ManualClock::default());
     let (fleet, thread) = spawn(1, &[], Arc::clone(&clock) as _);
     let outcome = fleet.announce(announcement(1, UpstreamState::Up));
     assert_eq!(outcome, Ok(AnnounceOutcome::Accepted));
--- a/tests/fleet_faults.rs
+++ b/tests/fleet_faults.rs
@@ -1,4 +1,4 @@
-//! One fault at a time in a simulated fleet.
+//! Single faults in a simulated fleet.
 
 mod simulation;
 
@@ -30,20 +30,25 @@
     (0..count).filter(|u| sim.uses(host, *u)).count()
 }
 
-/// Asserts that no host holds one of `live` for dead.
+/// Asserts that no observer considers one of `live` dead.
 fn assert_none_dead(sim: &Simulation, observers: &[usize], live: &[usize]) {
     for (o, s) in observers
         .iter()
         .flat_map(|o| live.iter().map(move |s| (*o, *s)))
     {
-        let held = sim.state(o, s);
-        assert_ne!(held, Some(MemberState::Dead), "{o} of {s} at {:?}", sim.now);
+        let state = sim.state(o, s);
+        assert_ne!(
+            state,
+            Some(MemberState::Dead),
+            "{o} of {s} at {:?}",
+            sim.now
+        );
     }
 }
 
-/// A host is stopped for a minute, as a debugger or a busy hypervisor does.
-/// When it runs again, all its timers have run out at once. It must not tell
-/// the fleet that everyone died, or every route would change.
+/// A host is suspended for a minute, for example by a debugger or an overloaded
+/// hypervisor. When it resumes, all its timers have expired at once. It must not
+/// declare every other instance dead, or every route would change.
 #[test]
 fn fleet_frozen_minute() {
     let mut sim = fleet(9, 4);
@@ -58,9 +63,9 @@
     }
 }
 
-/// A host suspects four others that were stopped for a moment, and is then
-/// stopped itself. They refute meanwhile. When it runs again, the time that it
-/// gave them has run out, though their answers wait in its socket.
+/// A host suspects some of four briefly suspended others, and is then suspended
+/// itself. They refute meanwhile. When it resumes, their suspicion timeouts have
+/// expired, although the refutations are queued in its socket.
 #[test]
 fn fleet_frozen_suspicious() {
     let mut sim = fleet(9, 4);
@@ -81,9 +86,9 @@
     sim.run(20 * SECOND, |sim| assert_none_dead(sim, &[0], &others));
 }
 
-/// While a host is stopped, an upstream starts and ends. Word of its start
-/// waits in the host's socket. When the host runs again, a request must not go
-/// to the upstream that ended.
+/// While a host is suspended, an upstream starts and ends, and the datagrams about
+/// its start stay queued in the host's socket. When the host resumes, it must not
+/// route requests to that upstream.
 #[test]
 fn fleet_frozen_datagrams() {
     let mut sim = fleet(9, 4);
@@ -99,9 +104,9 @@
     sim.run(20 * SECOND, |sim| assert!(!sim.uses(5, 0)));
 }
 
-/// While a host is stopped, announcements wait in its connections. When it
-/// runs again it reads them, and must not count the upstreams as heard now:
-/// they were gone a minute ago.
+/// While a host is suspended, announcements are buffered in its connections. When
+/// it resumes and reads them, it must not take them for current: the upstreams were
+/// gone a minute ago.
 #[test]
 fn fleet_frozen_announcements() {
     let mut sim = fleet(9, 40);
@@ -114,8 +119,9 @@
     sim.run(20 * SECOND, |sim| assert_eq!(uses_any(sim, 5), 0));
 }
 
-/// One host of thirty is cut off without a sign. It finds out about one other
-/// a period, and would give work to upstreams that left for a minute and more.
+/// One host of thirty is silently partitioned. It detects one unreachable instance
+/// per period, and could route requests to upstreams that have left for a minute
+/// or more.
 #[test]
 fn fleet_cut_off() {
     let mut sim = fleet(30, 60);
@@ -127,9 +133,10 @@
     sim.run(30 * SECOND, |sim| assert_eq!(uses_any(sim, 7), 0));
 }
 
-/// Two halves of a fleet lose each other, and each holds the other for dead.
-/// When they meet, each hears that its own half is dead. Nobody must believe
-/// that of a host that it can reach, or every upstream is dropped for a while.
+/// Two halves of a fleet are partitioned, and each declares the other dead. When
+/// the partition heals, each half receives records that its own hosts are dead. No
+/// host may accept that about a reachable one, or every upstream would be dropped
+/// for a while.
 #[test]
 fn fleet_halves_meet() {
     let mut sim = fleet(30, 12);
@@ -147,8 +154,8 @@
     (0..30).for_each(|h| assert_eq!(uses_any(&mut sim, h), 12, "host {h}"));
 }
 
-/// Regions lose each other for an hour, and the instances to join through are
-/// gone for good. Only the slow probes of the dead bring them together again.
+/// Regions are partitioned for an hour, and all seeds have crashed for good. Only
+/// the low-rate probes of dead instances can rejoin the regions.
 #[test]
 fn fleet_hour_apart() {
     let mut sim = fleet(9, 6);
@@ -157,13 +164,13 @@
     sim.run(3_600 * SECOND, |_| ());
     sim.partition(|_| 0);
     sim.run(60 * SECOND, |_| ());
-    let left: Vec<_> = (3..9).collect();
-    assert_none_dead(&sim, &left, &left);
+    let survivors: Vec<_> = (3..9).collect();
+    assert_none_dead(&sim, &survivors, &survivors);
     (3..9).for_each(|h| assert_eq!(uses_any(&mut sim, h), 6, "host {h}"));
 }
 
-/// A failure domain goes silent at once. The rest finds out soon, and takes
-/// none of its own for dead though a third of all probes fail.
+/// All hosts of a failure domain crash at once. The others detect it soon, and
+/// declare none of the remaining hosts dead although a third of all probes fail.
 #[test]
 fn fleet_domain_lost() {
     let mut sim = fleet(30, 12);
@@ -177,9 +184,9 @@
         .for_each(|h| assert_eq!(uses_any(&mut sim, *h), 12, "host {h}"));
 }
 
-/// A whole fleet starts at once, after a power cut. All instances join through
-/// the same three, which must not spend their link on answers; yet soon every
-/// instance knows every other.
+/// A whole fleet starts at once, after a power cut. All instances join through the
+/// same three seeds, which must limit the traffic of their replies; still, every
+/// instance must soon know every other.
 #[test]
 fn fleet_cold_start() {
     let mut sim = Simulation::new(SimulationSettings {
@@ -215,8 +222,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Datagrams of others, and malformed ones under the right key, are
-    /// dropped; none ends the process.
+    /// Datagrams under another key, and malformed ones under the right key, are
+    /// dropped, and none causes a panic.
     #[test]
     fn node_any_bytes(sealed: bool, mut bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut sim = small();
@@ -230,7 +237,7 @@
         prop_assert!(sealed || counts.bad == 1);
     }
 
-    /// A datagram with one byte changed is dropped, whichever byte it is.
+    /// A datagram with any single byte changed is dropped.
     #[test]
     fn node_changed_byte(place: prop::sample::Index, flip in 1..=255_u8) {
         let mut sim = small();
--- a/tests/fleet_random.rs
+++ b/tests/fleet_random.rs
@@ -1,5 +1,5 @@
-//! Random runs of a simulated fleet with faults. Every run replays from its
-//! seed; `FLEET_CASES` and `FLEET_SEED` make a longer run of other seeds.
+//! Random faults in a simulated fleet. Each run is reproducible from its seed;
+//! `FLEET_CASES` and `FLEET_SEED` set the number of runs and the seed.
 
 mod simulation;
 
@@ -11,31 +11,33 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use simulation::{Simulation, SimulationSettings};
 
-/// Longest that an instance is held for alive after its end, or for dead
-/// while it is within reach. Both with up to 30% loss.
+/// Maximum time that a host considers an ended instance alive, or a reachable
+/// instance dead, with up to 30% datagram loss.
 const MEMBER_BOUND: Duration = Duration::from_secs(40);
 
-/// Added for each instance out of reach that one has to probe by itself,
-/// because few others are on its side: three stretched periods.
+/// Added for each further unreachable instance that a host must probe itself
+/// because few others are on its side: three probe periods, the length of a probe
+/// at the worst health score.
 const PROBE_BOUND: Duration = Duration::from_secs(3);
 
-/// Longest that an upstream which left is used, by an instance of an
-/// undisturbed fleet.
+/// Maximum time that an instance of a fleet without recent faults uses an upstream
+/// that has left.
 const LEAVE_BOUND: Duration = Duration::from_secs(6);
 
-/// The same for one that fell silent, perhaps with the instance that vouched
-/// for it: the detector's time to suspect that, and ten seconds.
+/// The same for an upstream that stopped announcing itself, possibly along with
+/// the instance it announced itself to: the time to suspect that instance, and ten
+/// seconds until expiry.
 const EXPIRY_BOUND: Duration = Duration::from_secs(30);
 
-/// Longest that an ended upstream is used whatever happens: the detector's
-/// bound and the expiry.
-const ANY_BOUND: Duration = Duration::from_secs(50);
+/// Maximum time that an ended upstream is used under any faults: the detector's
+/// bound plus the expiry.
+const OVERALL_BOUND: Duration = Duration::from_secs(50);
 
-/// Most datagrams of one host in half a second.
+/// Maximum number of datagrams that one host sends in half a second.
 const MAX_BURST: u64 = 400;
 
-/// Time without faults after which all views are right.
-const CALM: Duration = Duration::from_secs(75);
+/// Time without faults after which all views must be correct.
+const SETTLE_TIME: Duration = Duration::from_secs(75);
 
 #[derive(Clone, Debug)]
 enum Fault {
@@ -92,28 +94,28 @@
     }
 }
 
-/// Watches the invariants during a run.
+/// Checks the invariants during a run.
 #[derive(Default)]
 struct Monitor {
-    /// Since when one host is wrong about another.
+    /// Since when a host's view of another is wrong, by observer and subject.
     wrong: HashMap<(usize, usize), Time>,
-    /// Since when a host runs on, on the same side.
+    /// Whether each host runs, its side, and since when neither has changed.
     sides: Vec<(bool, usize, Time)>,
-    /// Datagrams sent by each host at the last check.
+    /// Number of datagrams sent by each host up to the last check.
     sent: Vec<u64>,
 }
 
 impl Monitor {
     fn check(&mut self, sim: &mut Simulation) {
-        self.note_sides(sim);
+        self.track_sides(sim);
         self.check_members(sim);
         self.check_upstreams(sim);
         self.check_traffic(sim);
         check_memory(sim);
     }
 
-    /// No exchange feeds itself: in half a second a host sends no more than a
-    /// comparison of all tables takes.
+    /// No exchange of messages amplifies itself: in half a second, a host sends no
+    /// more datagrams than a full sync takes.
     fn check_traffic(&mut self, sim: &Simulation) {
         self.sent.resize(sim.hosts.len(), 0);
         for (host, sent) in sim.hosts.iter().zip(&mut self.sent) {
@@ -123,7 +125,7 @@
         }
     }
 
-    fn note_sides(&mut self, sim: &Simulation) {
+    fn track_sides(&mut self, sim: &Simulation) {
         self.sides.resize(sim.hosts.len(), (false, 0, sim.now));
         for (index, noted) in self.sides.iter_mut().enumerate() {
             let current = (sim.runs(index), sim.hosts[index].side);
@@ -133,16 +135,16 @@
         }
     }
 
-    /// A reachable instance isn't held for dead, nor one out of reach for
-    /// alive, beyond the bound.
+    /// No reachable instance is considered dead, and no unreachable one alive, for
+    /// longer than the bound.
     fn check_members(&mut self, sim: &Simulation) {
         let count = sim.hosts.len();
         for (o, s) in (0..count).flat_map(|o| (0..count).map(move |s| (o, s))) {
             let reachable = sim.runs(s) && sim.hosts[o].side == sim.hosts[s].side;
-            let held = sim
+            let present = sim
                 .state(o, s)
                 .is_some_and(|state| state < MemberState::Dead);
-            if o == s || !sim.runs(o) || held == reachable {
+            if o == s || !sim.runs(o) || present == reachable {
                 self.wrong.remove(&(o, s));
                 continue;
             }
@@ -153,12 +155,12 @@
             let share = u32::try_from(count / reach(sim, o)).unwrap();
             assert!(
                 wrong <= MEMBER_BOUND + PROBE_BOUND * (share - 1),
-                "{o} is wrong about {s} for {wrong:?}: held {held}, reachable {reachable}"
+                "{o} is wrong about {s} for {wrong:?}: present {present}, reachable {reachable}"
             );
         }
     }
 
-    /// An ended upstream isn't used beyond the bound.
+    /// No ended upstream is used for longer than the bound.
     fn check_upstreams(&mut self, sim: &mut Simulation) {
         for u in 0..sim.upstreams.len() {
             let Some(ended) = sim.upstreams[u].ended_at else {
@@ -173,34 +175,35 @@
     }
 }
 
-/// Hosts that run on the side of one, that included.
+/// Number of running hosts on the side of `host`, which is included.
 fn reach(sim: &Simulation, host: usize) -> usize {
     let side = sim.hosts[host].side;
     let near = (0..sim.hosts.len()).filter(|h| sim.runs(*h) && sim.hosts[*h].side == side);
     near.count()
 }
 
-/// An upstream that left is known on its side of a partition at once, if the
-/// detector has found out about earlier faults and no other follows. Where the
-/// word doesn't come, its record expires.
+/// The end of an upstream is known on its side of a partition within
+/// [`LEAVE_BOUND`], if earlier faults have been detected and no other follows.
+/// Elsewhere, its record expires.
 fn check_use(sim: &Simulation, host: usize, index: usize, ended: Time) {
     let upstream = &sim.upstreams[index];
     let near = upstream.side == sim.hosts[host].side;
-    let calm = |told: &Time| sim.last_fault + MEMBER_BOUND <= *told;
-    let (since, bound) = match upstream.acked_at.filter(|told| near && calm(told)) {
-        Some(told) => (told, LEAVE_BOUND),
+    let undisturbed = |acked: &Time| sim.last_fault + MEMBER_BOUND <= *acked;
+    let (since, bound) = match upstream.acked_at.filter(|acked| near && undisturbed(acked)) {
+        Some(acked) => (acked, LEAVE_BOUND),
         None => (ended, EXPIRY_BOUND),
     };
-    let calm = sim.now.since(since.max(sim.last_fault));
-    let past = sim.now.since(ended);
+    let elapsed = sim.now.since(since.max(sim.last_fault));
+    let since_end = sim.now.since(ended);
     assert!(
-        calm <= bound && past <= ANY_BOUND,
-        "{host} uses {index}, ended {past:?} ago, told {:?}, calm for {calm:?}",
+        elapsed <= bound && since_end <= OVERALL_BOUND,
+        "{host} uses {index}, ended {since_end:?} ago, acknowledged at {:?}, \
+         {elapsed:?} since its end and the last fault",
         upstream.acked_at
     );
 }
 
-/// Tables and queues never outgrow what there is to know.
+/// Tables and queues never exceed the number of hosts and upstreams.
 fn check_memory(sim: &Simulation) {
     for host in sim.hosts.iter().filter(|h| h.node.is_some()) {
         let dump = host.node.as_ref().unwrap().dump(sim.now);
@@ -212,7 +215,7 @@
     }
 }
 
-/// Ends all faults; afterwards every instance holds the truth.
+/// Repairs all faults; afterwards every view must become correct.
 fn settle(sim: &mut Simulation, monitor: &mut Monitor) {
     for host in 0..sim.hosts.len() {
         sim.thaw(host);
@@ -221,7 +224,7 @@
         }
     }
     sim.partition(|_| 0);
-    sim.run(CALM, |sim| monitor.check(sim));
+    sim.run(SETTLE_TIME, |sim| monitor.check(sim));
     for h in 0..sim.hosts.len() {
         for s in 0..sim.hosts.len() {
             let state = sim.state(h, s);
@@ -289,16 +292,16 @@
     }
 }
 
-/// What users would see: requests fail or wait because an instance routes to
-/// an upstream that left, or takes a live instance for dead. Hosts crash,
-/// freeze and restart, sides part, datagrams are lost, doubled and late, and
-/// old announcements come again.
+/// Requests fail or wait because an instance routes to an upstream that has left,
+/// or considers a live instance dead. Hosts crash, freeze and restart, the network
+/// is partitioned, datagrams are lost, duplicated and delayed, and old announcements
+/// are replayed.
 #[test]
 fn fleet_random_nine() {
     run_cases(24, 9, 12);
 }
 
-/// The same at the size that `FLEET_HOSTS` and `FLEET_UPSTREAMS` give.
+/// The same for the fleet size in `FLEET_HOSTS` and `FLEET_UPSTREAMS`.
 #[test]
 #[ignore = "takes minutes: run it by name, with --ignored"]
 fn fleet_random_large() {
@@ -307,9 +310,8 @@
     run_cases(4, hosts, upstreams);
 }
 
-/// What users would see: a request goes to an upstream that is being shut
-/// down. It announces that it leaves to one instance, and the datagrams that
-/// tell the others are lost.
+/// A request is routed to an upstream that is shutting down: the upstream announces
+/// this to one instance, and the datagrams to the others are lost.
 #[rstest::rstest]
 #[case(0.0, 2)]
 #[case(0.1, 3)]
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet of nodes on a simulated network, replayed from a seed.
+//! A fleet of nodes on a simulated network, reproducible from a seed.
 //!
-//! Each host has a clock of its own, so that no point in time of one means
-//! anything to another.
+//! Each host's clock has its own offset, so that timestamps of different hosts
+//! aren't comparable.
 
 #![allow(
     dead_code,
@@ -23,27 +23,27 @@
 use rand_chacha::ChaCha8Rng;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Headers of IPv4 and UDP, in bytes.
+/// Bytes of IPv4 and UDP headers per datagram.
 pub const HEADER_BYTES: u64 = 28;
 
 const TICK: Duration = Duration::from_millis(100);
 const PERIOD: Duration = Duration::from_secs(1);
 const FIRST_PORT: u16 = 10_000;
 
-/// Settings of a run.
+/// Settings of a simulation run.
 #[derive(Clone, Debug)]
 pub struct SimulationSettings {
     pub seed: u64,
     pub hosts: usize,
     pub domains: usize,
     pub upstreams: usize,
-    /// Part of the datagrams that is lost.
+    /// Probability that a datagram is lost.
     pub loss: f64,
-    /// Part that comes twice.
+    /// Probability that it is delivered twice.
     pub duplicate: f64,
-    /// Part that comes up to two seconds late.
+    /// Probability that it is delayed by up to two seconds.
     pub late: f64,
-    /// Chance a second that the load of an upstream changes.
+    /// Probability per second that the load of an upstream changes.
     pub load_churn: f64,
 }
 
@@ -55,9 +55,9 @@
     pub side: usize,
     pub domain: usize,
     pub frozen: bool,
-    /// What came while the host was frozen.
+    /// Inputs received while the host is frozen.
     inbox: Vec<Input>,
-    /// Start of this host's clock.
+    /// Offset of this host's clock, in microseconds.
     clock_offset: u64,
     pub bytes_sent: u64,
     pub bytes_received: u64,
@@ -70,9 +70,10 @@
     pub side: usize,
     /// Whether it announces itself.
     pub running: bool,
-    /// When it left, was gone or fell silent.
+    /// When it left, terminated or stopped announcing.
     pub ended_at: Option<Time>,
-    /// When a host that ran on for a second heard that it left or is gone.
+    /// When a host accepted the announcement of its end. Cleared if a fault
+    /// follows within a second.
     pub acked_at: Option<Time>,
 }
 
@@ -92,9 +93,9 @@
     pub settings: SimulationSettings,
     pub hosts: Vec<Host>,
     pub upstreams: Vec<Upstream>,
-    /// Last fault or repair.
+    /// Time of the last fault or repair.
     pub last_fault: Time,
-    /// Announcements that were once made, for late repeats.
+    /// Past announcements, for replays.
     pub history: Vec<Announcement>,
     pub last_datagram: Vec<u8>,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
@@ -151,13 +152,13 @@
         sim
     }
 
-    /// Lets `span` pass and calls `check` twice a second.
+    /// Runs for `span` of simulated time, and calls `check` twice a second.
     pub fn run(&mut self, span: Duration, mut check: impl FnMut(&mut Self)) {
         let end = self.now + span;
         while self.now < end {
-            let pause = (self.now + Duration::from_millis(500)).min(end);
+            let next_check = (self.now + Duration::from_millis(500)).min(end);
             while let Some(Reverse((at, order))) = self.queue.peek().copied() {
-                if at > pause {
+                if at > next_check {
                     break;
                 }
                 self.queue.pop();
@@ -165,12 +166,12 @@
                 let action = self.actions.remove(&order).unwrap();
                 self.perform(action);
             }
-            self.now = pause;
+            self.now = next_check;
             check(self);
         }
     }
 
-    /// Starts a host, with a higher incarnation and no memory.
+    /// Starts or restarts a host, with a higher incarnation and no state.
     pub fn start(&mut self, index: usize) {
         let rng_seed = self.rng.random();
         let host = &mut self.hosts[index];
@@ -198,10 +199,10 @@
         };
         let now = Time(self.now.0 + host.clock_offset);
         host.node = Some(Node::new(now, settings));
-        let boot = host.incarnation;
+        let incarnation = host.incarnation;
         self.note_fault();
         let at = self.now + Duration::from_micros(self.rng.random_range(0..100_000));
-        self.schedule(at, Action::Tick(index, boot));
+        self.schedule(at, Action::Tick(index, incarnation));
     }
 
     pub fn crash(&mut self, index: usize) {
@@ -215,17 +216,18 @@
         self.note_fault();
     }
 
-    /// Notes a fault. Word that was given just before it may be lost with the
-    /// host that heard it.
+    /// Records the time of a fault. The end of an upstream that was announced within
+    /// the last second may be lost with the host that accepted it.
     fn note_fault(&mut self) {
         self.last_fault = self.now;
         let recent = self.now - Duration::from_secs(1);
         for upstream in &mut self.upstreams {
-            upstream.acked_at = upstream.acked_at.filter(|told| *told < recent);
+            upstream.acked_at = upstream.acked_at.filter(|at| *at < recent);
         }
     }
 
-    /// Lets a host run on. What waited in its sockets comes before its timer.
+    /// Resumes a frozen host. Inputs queued in its sockets are handled before its
+    /// timer.
     pub fn thaw(&mut self, index: usize) {
         if !std::mem::take(&mut self.hosts[index].frozen) {
             return;
@@ -234,11 +236,11 @@
         for input in std::mem::take(&mut self.hosts[index].inbox) {
             self.deliver(index, input);
         }
-        let boot = self.hosts[index].incarnation;
-        self.schedule(self.now, Action::Tick(index, boot));
+        let incarnation = self.hosts[index].incarnation;
+        self.schedule(self.now, Action::Tick(index, incarnation));
     }
 
-    /// Puts hosts and upstreams on sides that don't reach each other.
+    /// Partitions hosts and upstreams into sides that can't reach each other.
     pub fn partition(&mut self, side: impl Fn(usize) -> usize) {
         for (index, host) in self.hosts.iter_mut().enumerate() {
             host.side = side(index);
@@ -249,7 +251,7 @@
         self.note_fault();
     }
 
-    /// Makes an upstream announce that it leaves or is gone.
+    /// Makes an upstream announce that it is leaving or gone.
     pub fn end_upstream(&mut self, index: usize, state: UpstreamState) {
         let now = self.now;
         let upstream = &mut self.upstreams[index];
@@ -259,7 +261,7 @@
         self.upstreams[index].running &= state != UpstreamState::Gone;
     }
 
-    /// Makes an upstream fall silent.
+    /// Makes an upstream stop announcing itself without notice.
     pub fn silence_upstream(&mut self, index: usize) {
         let now = self.now;
         let upstream = &mut self.upstreams[index];
@@ -267,7 +269,7 @@
         upstream.ended_at.get_or_insert(now);
     }
 
-    /// Starts an upstream again, with a higher incarnation.
+    /// Restarts an upstream, with a higher incarnation.
     pub fn restart_upstream(&mut self, index: usize) {
         let upstream = &mut self.upstreams[index];
         upstream.announcement.incarnation.0 += 1;
@@ -278,9 +280,9 @@
         upstream.acked_at = None;
     }
 
-    /// Gives an announcement of the past to a host that runs. A host on the
-    /// other side of a partition can't know that the upstream ended; for the
-    /// invariants it ends anew.
+    /// Replays a past announcement to a running host. A host on the other side of a
+    /// partition can't know that the upstream has ended; if it accepts the
+    /// announcement, the upstream's end is counted from now.
     pub fn replay(&mut self, index: usize, past: usize) {
         if self.history.is_empty() || !self.runs(index) {
             return;
@@ -295,17 +297,18 @@
         }
     }
 
-    /// Hands a host a datagram that no host sent.
+    /// Delivers a datagram that no host sent.
     pub fn inject(&mut self, index: usize, bytes: &[u8]) {
         self.step(index, NodeEvent::Datagram(address(99), bytes));
     }
 
-    /// Whether a host has a process that isn't frozen.
+    /// Whether a host is up and not frozen.
     pub fn runs(&self, index: usize) -> bool {
         self.hosts[index].node.is_some() && !self.hosts[index].frozen
     }
 
-    /// What one host holds another for.
+    /// State of `subject` in the view of `observer`. `None` if unknown, or if the
+    /// view only knows that an earlier incarnation ended.
     pub fn state(&self, observer: usize, subject: usize) -> Option<MemberState> {
         let id = InstanceId(subject as u64 + 1);
         let member = self.hosts[observer].view.get(id)?;
@@ -314,7 +317,7 @@
         (current || !ended).then_some(member.state)
     }
 
-    /// Whether a host would give work to an upstream.
+    /// Whether a host would route requests to an upstream.
     pub fn uses(&mut self, host: usize, upstream: usize) -> bool {
         let id = self.upstreams[upstream].announcement.id.clone();
         let now = self.clock(host);
@@ -322,7 +325,7 @@
         node.is_some_and(|n| n.upstreams(now).get(&id).is_some())
     }
 
-    /// Time on the clock of a host.
+    /// Current time on the clock of a host.
     pub fn clock(&self, host: usize) -> Time {
         Time(self.now.0 + self.hosts[host].clock_offset)
     }
@@ -335,12 +338,12 @@
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Tick(index, boot) => {
-                if !self.runs(index) || self.hosts[index].incarnation != boot {
+            Action::Tick(index, incarnation) => {
+                if !self.runs(index) || self.hosts[index].incarnation != incarnation {
                     return;
                 }
                 self.step(index, NodeEvent::Tick);
-                self.schedule(self.now + TICK, Action::Tick(index, boot));
+                self.schedule(self.now + TICK, Action::Tick(index, incarnation));
             }
             Action::Deliver(index, input) => self.deliver(index, input),
             Action::Announce(index) => {
@@ -353,8 +356,8 @@
         }
     }
 
-    /// Announces an upstream to one host of its side, as a balancer chooses:
-    /// it doesn't know which hosts are frozen.
+    /// Announces an upstream to a random host of its side. As with a load balancer,
+    /// the host may be frozen.
     fn announce(&mut self, index: usize) {
         let side = self.upstreams[index].side;
         let hosts = self.hosts.iter().enumerate();
@@ -418,20 +421,20 @@
         outcome
     }
 
-    fn upstream_mut(&mut self, given: &Announcement) -> &mut Upstream {
-        let named = |u: &&mut Upstream| u.announcement.id == given.id;
+    fn upstream_mut(&mut self, announcement: &Announcement) -> &mut Upstream {
+        let named = |u: &&mut Upstream| u.announcement.id == announcement.id;
         self.upstreams.iter_mut().find(named).unwrap()
     }
 
     fn note_end_ack(
         &mut self,
-        given: &Announcement,
+        announcement: &Announcement,
         outcome: &Result<AnnounceOutcome, AnnounceError>,
     ) {
         let now = self.now;
-        let upstream = self.upstream_mut(given);
-        let current = upstream.announcement.incarnation == given.incarnation;
-        if current && given.state != UpstreamState::Up && outcome.is_ok() {
+        let upstream = self.upstream_mut(announcement);
+        let current = upstream.announcement.incarnation == announcement.incarnation;
+        if current && announcement.state != UpstreamState::Up && outcome.is_ok() {
             upstream.acked_at.get_or_insert(now);
         }
     }
@@ -486,8 +489,8 @@
     }
 }
 
-/// Processor time of this thread. Unlike the time of day it doesn't grow while
-/// other programs use the processor.
+/// CPU time of this thread. Unlike wall-clock time, it doesn't advance while other
+/// programs use the CPU.
 fn thread_cpu_time() -> Duration {
     let ts = clock_gettime(ClockId::ThreadCPUTime);
     let secs = u64::try_from(ts.tv_sec).unwrap_or(0);
@@ -499,7 +502,7 @@
 }
 
 fn announcement(index: usize) -> Announcement {
-    let half = index as u32 % 2;
+    let stage = index as u32 % 2;
     Announcement {
         id: UpstreamId::from(format!("engine-{index}").as_str()),
         incarnation: Incarnation(1),
@@ -511,8 +514,8 @@
         serves: Serves::Engine(Engine {
             model: "quote-7b".into(),
             version: "1".into(),
-            first: 16 * half,
-            end: 16 * half + 16,
+            first: 16 * stage,
+            end: 16 * stage + 16,
             total: 32,
             accelerator: "a".into(),
             rate: 400,
