--- /dev/null
+++ b/src/controller/leader.rs
@@ -0,0 +1,535 @@
+//! State that the leading controller keeps in memory, besides the replicated register.
+//! Does no I/O.
+//!
+//! It is empty at the start of each term and is rebuilt within a heartbeat period, as all
+//! upstreams and entry instances report again.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+use std::time::Duration;
+
+use super::reports::Reports;
+use crate::clock::{Time, micros};
+use crate::collections::{HashMap, HashSet};
+use crate::configuration::{Configuration, Model};
+use crate::decide::load::unit_hash;
+use crate::decide::pace::Rotation;
+use crate::decide::placement::{self, Worker};
+use crate::decide::quarantine::{Crashes, CrashingRequest};
+use crate::decide::rate::RateLimiter;
+use crate::decide::run_history::EngineStart;
+use crate::fingerprint::Fingerprint;
+use crate::register::{Quarantined, Register, VersionedConfiguration};
+use crate::relay::HeartbeatDigest;
+use crate::roster::{
+    AnnounceOutcome, Announcement, LOST_HEARTBEATS, LayerRange, Roster, RosterEntry,
+};
+use crate::sync::{LimitRecord, RosterDelta, SyncReply, SyncRequest, UpstreamRecord, address_key};
+
+/// Heartbeat periods after which a new leader has received a heartbeat of every live
+/// upstream: an upstream whose call fails tries the next instance within a second.
+const COMPLETE_HEARTBEATS: f64 = 2.5;
+
+/// Time after which every entry instance has sent a sync request to a new leader: an
+/// instance that knows no leader asks the controllers in turn, a few per second.
+const ENTRIES_KNOWN_AFTER: Duration = Duration::from_millis(300);
+
+/// Time after which an order counts as lost and may be sent again. Loading a usual range
+/// of layers takes one to four seconds.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(6);
+
+/// Pause before an engine that refused an order gets another.
+const REFUSED_PAUSE: Duration = Duration::from_millis(700);
+
+/// Pause before an engine that did not answer an order gets another.
+const UNANSWERED_PAUSE: Duration = Duration::from_secs(2);
+
+/// Maximum number of departures sent to an entry instance: those of the last minutes.
+const MAX_DEPARTED: usize = 64;
+
+/// Maximum number of upstreams in one sync reply, at about 75 bytes each. 300 instances
+/// that all resync four times a second receive 11 MB a second, half of a controller's link.
+/// The fleets in use today fit into one reply.
+const PAGE_UPSTREAMS: usize = 128;
+
+/// An order to an engine to hold a range of layers.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct PlacementOrder {
+    pub(crate) engine: Arc<str>,
+    pub(crate) born: u64,
+    pub(crate) address: SocketAddrV4,
+    pub(crate) range: LayerRange,
+    /// Term of the leader that issued the order.
+    pub(crate) fence: u64,
+}
+
+/// An engine to query for its pace.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct PaceQuery {
+    pub(crate) engine: Arc<str>,
+    pub(crate) born: u64,
+    pub(crate) address: SocketAddrV4,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct PendingOrder {
+    born: u64,
+    range: LayerRange,
+    until: Time,
+    /// Whether the engine is expected to carry out the order.
+    expected: bool,
+}
+
+/// Figures for the controller's metrics.
+#[derive(Debug, Default)]
+pub(crate) struct LeaderCounts {
+    /// Number of upstreams by service and state.
+    pub(crate) upstreams: BTreeMap<(String, &'static str), u32>,
+    /// Number of pending orders.
+    pub(crate) pending: usize,
+    /// Number of entry instances that sent a sync request lately.
+    pub(crate) entries: usize,
+    /// Number of requests suspected of crashing engines.
+    pub(crate) suspects: usize,
+}
+
+/// State of the leader during one term.
+pub(crate) struct LeaderState {
+    heartbeat: Duration,
+    term: u64,
+    term_start: Time,
+    roster: Roster,
+    /// Number of the register's departures that are applied to the roster.
+    departures_seen: u64,
+    reports: Reports,
+    rotation: Rotation,
+    crashes: Crashes,
+    rate_limiter: RateLimiter,
+    /// Orders by engine. Each change marks the upstream as changed in the roster, since
+    /// instances see the layers that an engine retains, not those that it holds.
+    pending: HashMap<Arc<str>, PendingOrder>,
+}
+
+impl LeaderState {
+    /// Creates an empty state. `heartbeat` is the heartbeat period of the upstreams.
+    pub(crate) fn new(heartbeat: Duration) -> Self {
+        Self {
+            heartbeat,
+            term: 0,
+            term_start: Time::default(),
+            roster: Roster::new(heartbeat),
+            departures_seen: 0,
+            reports: Reports::default(),
+            rotation: Rotation::default(),
+            crashes: Crashes::default(),
+            rate_limiter: RateLimiter::default(),
+            pending: HashMap::default(),
+        }
+    }
+
+    /// Clears the state if `term` is a new one, and applies the register's latest
+    /// departures.
+    pub(crate) fn enter_term(&mut self, now: Time, term: u64, register: &Register) {
+        if self.term != term {
+            *self = Self::new(self.heartbeat);
+            self.term = term;
+            self.term_start = now;
+        }
+        let (departed, count) = register.departed_after(self.departures_seen);
+        for start in departed {
+            self.roster.retire(&start.id.as_str().into(), start.born);
+        }
+        self.departures_seen = count;
+    }
+
+    /// Applies an announcement of an upstream that is not leaving.
+    pub(crate) fn announce(&mut self, now: Time, announcement: Announcement) -> AnnounceOutcome {
+        let pending = self.pending.get(&announcement.id);
+        let done =
+            |p: &PendingOrder| p.born != announcement.born || announcement.layers == Some(p.range);
+        if pending.is_some_and(done) {
+            self.pending.remove(&announcement.id);
+            self.roster.touch(&announcement.id);
+        }
+        self.roster.announce(now, announcement)
+    }
+
+    /// Applies a heartbeat digest; see [`Roster::refresh`].
+    pub(crate) fn refresh(&mut self, now: Time, digest: &HeartbeatDigest) -> bool {
+        self.roster.refresh(now, digest)
+    }
+
+    /// Returns the upstream with this id.
+    pub(crate) fn upstream(&self, id: &str) -> Option<&RosterEntry> {
+        self.roster.get(id)
+    }
+
+    /// Whether this incarnation has left.
+    pub(crate) fn has_left(&self, id: &str, born: u64) -> bool {
+        self.roster.is_retired(id, born)
+    }
+
+    /// Advances time. Returns the upstreams that were removed for their silence.
+    pub(crate) fn tick(&mut self, now: Time) -> Vec<Arc<str>> {
+        self.reports.tick(now);
+        let expired = self.pending.iter().filter(|(_, p)| now >= p.until);
+        let expired: Vec<Arc<str>> = expired.map(|(id, _)| id.clone()).collect();
+        for id in expired {
+            self.pending.remove(&id);
+            self.roster.touch(&id);
+        }
+        self.roster.tick(now, &self.reports.suspects())
+    }
+
+    /// Whether every live upstream has sent a heartbeat in this term.
+    fn is_complete(&self, now: Time) -> bool {
+        now.since(self.term_start) >= self.heartbeat.mul_f64(COMPLETE_HEARTBEATS)
+    }
+
+    /// Answers a sync request of an entry instance. `age` is the time since a quorum
+    /// confirmed the register.
+    pub(crate) fn sync(
+        &mut self,
+        now: Time,
+        request: SyncRequest,
+        age: Duration,
+        current: Option<VersionedConfiguration>,
+        register: &Register,
+    ) -> SyncReply {
+        let current_version = current.as_ref().map_or(0, |c| c.version);
+        let other_version = current.filter(|c| c.version != request.version);
+        let up_to_date = request.term == self.term
+            && request.revision == self.roster.changes().revision()
+            && request.complete == self.is_complete(now);
+        let roster = (!up_to_date).then(|| self.roster_delta(now, &request, register));
+        let instance = request.instance;
+        self.record_runs(now, &request);
+        let instances = self.reports.len() as u32;
+        for limit in &request.limits {
+            let (address, update) = (limit.address, limit.update(now));
+            self.rate_limiter
+                .apply(now, address, update, instances, 0.0);
+        }
+        self.reports.record(now, request);
+        SyncReply {
+            age: micros(age),
+            version: current_version,
+            body: other_version.map(|c| c.body),
+            roster,
+            work: self.reports.others_load(now, instance),
+            entries: self.reports.len() as u32,
+            voters: Vec::new(),
+            entries_known: now.since(self.term_start) >= ENTRIES_KNOWN_AFTER,
+            term: self.term,
+            suspects: self.crashes.suspects().map(Fingerprint::bytes).collect(),
+            quarantine: None,
+            limits: self.limit_records(now, instance),
+        }
+    }
+
+    /// Returns a subset of the latest limit updates, for the reply to an instance.
+    fn limit_records(&self, now: Time, instance: u64) -> Vec<LimitRecord> {
+        let draw = unit_hash(now.0.wrapping_add(instance));
+        let updates = self.rate_limiter.message_updates(draw);
+        let record = |(address, update)| LimitRecord::new(now, address, update);
+        updates.map(record).collect()
+    }
+
+    /// Records the cut and harmless runs that an instance reports.
+    fn record_runs(&mut self, now: Time, request: &SyncRequest) {
+        let at = |age| now - Duration::from_micros(age);
+        for cut in &request.cut {
+            let Ok(fingerprint) = Fingerprint::try_from(&*cut.fingerprint) else {
+                continue;
+            };
+            let engine = EngineStart {
+                id: cut.engine.as_str().into(),
+                born: cut.born,
+            };
+            let organisation = cut.organisation.as_str().into();
+            self.crashes
+                .record_crash(at(cut.age), engine, fingerprint, organisation);
+        }
+        for run in &request.harmless {
+            if let Ok(fingerprint) = Fingerprint::try_from(&*run.fingerprint) {
+                self.crashes.record_harmless(at(run.age), fingerprint);
+            }
+        }
+    }
+
+    /// Returns requests that crash engines and are not quarantined yet.
+    pub(crate) fn crashing_requests(
+        &mut self,
+        now: Time,
+        register: &Register,
+    ) -> Vec<CrashingRequest> {
+        let quarantined = register.quarantined();
+        let quarantined: HashSet<Fingerprint> = quarantined
+            .iter()
+            .filter_map(Quarantined::fingerprint)
+            .collect();
+        self.crashes.tick(now, |f| quarantined.contains(f))
+    }
+
+    /// Removes a request from all recorded crashes.
+    pub(crate) fn forget_crashes(&mut self, fingerprint: &Fingerprint) {
+        self.crashes.forget(fingerprint);
+    }
+
+    /// Returns the next page of roster changes that the sender of `request` lacks.
+    fn roster_delta(&self, now: Time, request: &SyncRequest, register: &Register) -> RosterDelta {
+        let changes = self.roster.changes();
+        let known = if request.term == self.term {
+            request.revision
+        } else {
+            0
+        };
+        let since = changes.resume_point(known);
+        let page = changes.after(since).take(PAGE_UPSTREAMS);
+        let (mut upstreams, mut removed) = (Vec::new(), Vec::new());
+        let mut revision = since;
+        for (changed, id) in page {
+            revision = changed;
+            match self.roster.get(id) {
+                Some(e) => upstreams.push(UpstreamRecord::new(
+                    e,
+                    self.retained_layers(&e.announcement),
+                )),
+                None => removed.push(id.to_string()),
+            }
+        }
+        let more = changes.after(revision).next().is_some();
+        let complete = !more && self.is_complete(now);
+        let departed = if complete { 0 } else { MAX_DEPARTED };
+        RosterDelta {
+            term: self.term,
+            since,
+            // Changes that were superseded by later ones are no longer listed.
+            revision: if more { revision } else { changes.revision() },
+            complete,
+            upstreams,
+            removed,
+            more,
+            departed: register.latest_departed(departed),
+        }
+    }
+
+    /// Returns the layers of an upstream without those that it was ordered to release:
+    /// it accepts no new requests for them.
+    fn retained_layers(&self, announcement: &Announcement) -> Option<LayerRange> {
+        match self.pending_of(announcement) {
+            Some(pending) => announcement.layers?.intersection(pending.range),
+            None => announcement.layers,
+        }
+    }
+
+    /// Returns the pending order of an upstream.
+    fn pending_of(&self, announcement: &Announcement) -> Option<&PendingOrder> {
+        let pending = self.pending.get(&announcement.id);
+        pending.filter(|p| p.born == announcement.born)
+    }
+
+    /// Whether enough upstreams are known to issue orders.
+    ///
+    /// Until all have sent a heartbeat, layers that are held seem to be missing. After that,
+    /// orders don't wait for engines that join: while an operator replaced one engine per
+    /// second, there was always one that had just joined, and gaps stayed open for 5.5 s.
+    fn may_order(&self, now: Time) -> bool {
+        // By then, silent upstreams have been removed.
+        let heard = now.since(self.term_start) >= self.heartbeat.mul_f64(LOST_HEARTBEATS);
+        self.is_complete(now) && (heard || self.roster.is_settled(now))
+    }
+
+    /// Returns the orders that are due now for the models of the configuration.
+    pub(crate) fn orders(
+        &mut self,
+        now: Time,
+        configuration: &Configuration,
+    ) -> Vec<PlacementOrder> {
+        if !self.may_order(now) {
+            return Vec::new();
+        }
+        let settled = self.roster.is_settled(now);
+        // While no engine holds layers, the first to announce itself would get the layers
+        // that belong on the fastest one.
+        let models = configuration.models();
+        let models = models.filter(|(s, _)| settled || self.holds_layers(s));
+        let orders: Vec<PlacementOrder> =
+            models.flat_map(|(s, m)| self.plan_orders(s, m)).collect();
+        for order in &orders {
+            let pending = PendingOrder {
+                born: order.born,
+                range: order.range,
+                until: now + ORDER_TIMEOUT,
+                expected: true,
+            };
+            self.pending.insert(order.engine.clone(), pending);
+            self.roster.touch(&order.engine);
+        }
+        orders
+    }
+
+    /// Returns the upstreams of a service, ordered by id.
+    fn members(&self, service: &str) -> impl Iterator<Item = &RosterEntry> {
+        let list = self.roster.list().into_iter();
+        list.filter(move |e| e.announcement.service == service)
+    }
+
+    fn holds_layers(&self, service: &str) -> bool {
+        self.members(service)
+            .any(|e| e.announcement.layers.is_some())
+    }
+
+    fn plan_orders(&self, service: &str, model: &Model) -> Vec<PlacementOrder> {
+        let (entries, workers): (Vec<_>, Vec<_>) = self
+            .members(service)
+            .filter_map(|e| Some((e, self.worker(e, model)?)))
+            .unzip();
+        let moves = placement::plan(model, &workers);
+        let orders = moves.into_iter().map(|m| {
+            let announcement = &entries[m.worker].announcement;
+            PlacementOrder {
+                engine: announcement.id.clone(),
+                born: announcement.born,
+                address: announcement.address,
+                range: m.range,
+                fence: self.term,
+            }
+        });
+        orders.collect()
+    }
+
+    fn worker(&self, entry: &RosterEntry, model: &Model) -> Option<Worker> {
+        let announcement = &entry.announcement;
+        let accelerator = model.accelerator(announcement.kind.as_deref()?)?;
+        let pending = self.pending_of(announcement);
+        let used = self.reports.load_of(address_key(announcement.address));
+        Some(Worker {
+            domain: announcement.domain.clone(),
+            size_mb: accelerator.size_mb,
+            step_factor: accelerator.step_factor,
+            read_factor: accelerator.read_factor,
+            used_mb: f64::from(used.memory),
+            held: match pending {
+                Some(pending) if pending.expected => Some(pending.range),
+                _ => self.retained_layers(announcement),
+            },
+            loaded: announcement.layers,
+            busy: pending.is_some(),
+        })
+    }
+
+    /// Returns the model's layers that no engine holds, for each failure domain with engines
+    /// of `service`.
+    pub(crate) fn missing_layers(
+        &self,
+        service: &str,
+        model: &Model,
+    ) -> BTreeMap<String, Vec<LayerRange>> {
+        let mut held: BTreeMap<String, Vec<LayerRange>> = BTreeMap::new();
+        for entry in self.members(service) {
+            let ranges = held.entry(entry.announcement.domain.clone()).or_default();
+            ranges.extend(entry.announcement.layers);
+        }
+        let gaps = |ranges: Vec<LayerRange>| uncovered(model.layers, ranges);
+        held.into_iter().map(|(d, r)| (d, gaps(r))).collect()
+    }
+
+    /// Returns the engines to query for their pace now, in turn: those that process requests
+    /// or were slow.
+    pub(crate) fn next_pace_queries(&mut self) -> Vec<PaceQuery> {
+        let is_queried = |e: &&RosterEntry| {
+            let used = self.reports.load_of(address_key(e.announcement.address));
+            e.announcement.layers.is_some() && (used.requests > 0 || e.pace > 1.0)
+        };
+        let list = self.roster.list().into_iter();
+        let engines: Vec<&RosterEntry> = list.filter(is_queried).collect();
+        let selected = self.rotation.next_batch(&engines).into_iter();
+        selected
+            .map(|e| PaceQuery {
+                engine: e.announcement.id.clone(),
+                born: e.announcement.born,
+                address: e.announcement.address,
+            })
+            .collect()
+    }
+
+    /// Records the pace that an engine reported. Returns whether instances are notified.
+    pub(crate) fn set_pace(&mut self, query: &PaceQuery, reported: f64) -> bool {
+        self.roster.set_pace(&query.engine, query.born, reported)
+    }
+
+    /// Returns the figures for the metrics.
+    pub(crate) fn counts(&self) -> LeaderCounts {
+        let mut counts = LeaderCounts {
+            pending: self.pending.len(),
+            entries: self.reports.len(),
+            suspects: self.crashes.suspects().count(),
+            ..LeaderCounts::default()
+        };
+        for entry in self.roster.list() {
+            let state = match entry.late {
+                true => "late",
+                false if entry.pace > 1.0 => "slow",
+                false => "sound",
+            };
+            let key = (entry.announcement.service.clone(), state);
+            *counts.upstreams.entry(key).or_default() += 1;
+        }
+        counts
+    }
+
+    /// Records that an engine holds the layers that it was ordered to hold.
+    pub(crate) fn complete_order(&mut self, order: &PlacementOrder) {
+        if !self.is_pending(order) {
+            return;
+        }
+        self.pending.remove(&order.engine);
+        self.roster.touch(&order.engine);
+        self.roster
+            .set_layers(&order.engine, order.born, order.range);
+    }
+
+    /// Whether an order is still pending.
+    pub(crate) fn is_pending(&self, order: &PlacementOrder) -> bool {
+        let pending = self.pending.get(&order.engine);
+        pending.is_some_and(|p| p.born == order.born && p.range == order.range)
+    }
+
+    /// Records that an engine did not answer an order.
+    ///
+    /// It may still carry it out, so it gets no new requests for layers that it would release,
+    /// and no other order for a while. The layers that it was to load count as missing, so
+    /// another engine may load them.
+    pub(crate) fn record_unanswered(&mut self, now: Time, engine: &str) {
+        if let Some(pending) = self.pending.get_mut(engine) {
+            pending.expected = false;
+            pending.until = now + UNANSWERED_PAUSE;
+        }
+    }
+
+    /// Records that an engine refused an order. It may get another one soon.
+    pub(crate) fn record_refusal(&mut self, now: Time, engine: &str) {
+        if let Some(pending) = self.pending.get_mut(engine) {
+            pending.until = now + REFUSED_PAUSE;
+        }
+    }
+}
+
+/// Returns the contiguous ranges of layers that none of `ranges` covers.
+fn uncovered(layers: u32, mut ranges: Vec<LayerRange>) -> Vec<LayerRange> {
+    ranges.sort_unstable();
+    let mut gaps = Vec::new();
+    let mut at = 0;
+    for range in ranges {
+        if range.first > at {
+            gaps.push(LayerRange::new(at, range.first));
+        }
+        at = at.max(range.end);
+    }
+    if at < layers {
+        gaps.push(LayerRange::new(at, layers));
+    }
+    gaps
+}
--- a/src/controller/quarantine.rs
+++ b/src/controller/quarantine.rs
@@ -10,7 +10,7 @@
 use crate::event;
 use crate::fingerprint::Fingerprint;
 use crate::register::{self, Quarantined};
-use crate::sync::{QuarantineRecord, RefusedRecord};
+use crate::sync::{QuarantineRecord, QuarantinedRecord};
 
 /// Duration of a quarantine. It ends since the request may be harmless to a later engine
 /// release; otherwise it is quarantined again after a few more crashes.
@@ -18,12 +18,12 @@
 
 impl Controller {
     /// Proposes new quarantines, and lifts those that have expired.
-    pub(super) fn tend_quarantine(&self) {
-        let Some(mut board) = self.leading() else {
+    pub(super) fn maintain_quarantine(&self) {
+        let Some(mut state) = self.state_if_leading() else {
             return;
         };
-        let requests = board.crashing_requests(self.now(), &self.register);
-        drop(board);
+        let requests = state.crashing_requests(self.now(), &self.register);
+        drop(state);
         let now = wall_millis();
         for request in requests {
             let engines: Vec<&str> = request.engines.iter().map(|e| &*e.id).collect();
@@ -57,7 +57,7 @@
     }
 
     /// Proposes a command. Uncommitted commands are proposed again by a later
-    /// [`Self::tend_quarantine`].
+    /// [`Self::maintain_quarantine`].
     fn propose(&self, command: bytes::Bytes) {
         let done = |outcome: Result<Vec<u8>, _>| {
             if let Err(error) = outcome {
@@ -75,8 +75,8 @@
         }
         let now = wall_millis();
         let requests = self.register.quarantined().into_iter();
-        let requests = requests.map(|q| RefusedRecord {
-            left: q.until.saturating_sub(now),
+        let requests = requests.map(|q| QuarantinedRecord {
+            remaining_ms: q.until.saturating_sub(now),
             fingerprint: q.fingerprint,
         });
         Some(QuarantineRecord {
--- a/src/entry/reroute.rs
+++ b/src/entry/reroute.rs
@@ -15,14 +15,14 @@
 use super::attempt::{DEAD_PART, Run};
 use super::select::Chosen;
 use super::view::of_service;
-use crate::configuration::Repeat;
+use crate::configuration::RetryPolicy;
 use crate::decide::health::HealthStatus;
 use crate::decide::stall::{StallTimer, Step};
 use crate::engine::call;
 use crate::event;
 use crate::metric;
 use crate::platform::engine as order;
-use crate::sync::{address_key, key_address};
+use crate::sync::{address_from_key, address_key};
 
 /// Longest wait for a report or an order.
 const ANSWER: Duration = Duration::from_millis(300);
@@ -48,7 +48,7 @@
         let mut sign = pin!(sign);
         let since = self.entry.now();
         // What may not run again, or has one upstream only, can't be helped.
-        let helped = self.call.route.repeat != Repeat::Never && chosen.path.is_some();
+        let helped = self.call.route.retry_policy != RetryPolicy::Never && chosen.path.is_some();
         let mut patience = StallTimer::new(patience, helped);
         let mut wait = patience.next_wait(Duration::ZERO).unwrap_or_default();
         loop {
@@ -117,7 +117,7 @@
         tracing::info!(
             event = event::REQUEST_REROUTED.id,
             attempt = self.call.attempt,
-            around = ?engines.iter().map(|e| key_address(*e)).collect::<Vec<_>>(),
+            around = ?engines.iter().map(|e| address_from_key(*e)).collect::<Vec<_>>(),
             cause,
             path = path.text,
             status = status.map(|s| s.as_u16()),
--- a/src/tests/decide.rs
+++ b/src/tests/decide.rs
@@ -5,8 +5,8 @@
 use rstest::rstest;
 
 use super::platform::CONFIGURATION;
-use super::{at, board};
-use crate::configuration::{Model, Repeat};
+use super::{at, leader};
+use crate::configuration::{Model, RetryPolicy};
 use crate::decide::health::{Health, HealthStatus};
 use crate::decide::members::{self, VoterStatus};
 use crate::decide::pick::{self, Candidate};
@@ -36,16 +36,16 @@
 }
 
 #[rstest]
-#[case::idempotent(Repeat::Always, 1, 0, Failure::Unknown, NextStep::Again)]
-#[case::attempts_used(Repeat::Always, 2, 0, Failure::Unknown, NextStep::Fail)]
-#[case::stream(Repeat::Resume, 1, 0, Failure::Unknown, NextStep::Again)]
-#[case::once_may_have_run(Repeat::Never, 1, 0, Failure::Unknown, NextStep::Fail)]
-#[case::once_not_run(Repeat::Never, 0, 1, Failure::NotRun, NextStep::Again)]
-#[case::refused_often(Repeat::Always, 0, 4, Failure::NotRun, NextStep::Refuse)]
-#[case::error_passed_on(Repeat::Never, 1, 0, Failure::Answered, NextStep::Pass)]
-#[case::refused_after_run(Repeat::Always, 2, 1, Failure::NotRun, NextStep::Fail)]
+#[case::idempotent(RetryPolicy::Always, 1, 0, Failure::Unknown, NextStep::Again)]
+#[case::attempts_used(RetryPolicy::Always, 2, 0, Failure::Unknown, NextStep::Fail)]
+#[case::stream(RetryPolicy::Resume, 1, 0, Failure::Unknown, NextStep::Again)]
+#[case::once_may_have_run(RetryPolicy::Never, 1, 0, Failure::Unknown, NextStep::Fail)]
+#[case::once_not_run(RetryPolicy::Never, 0, 1, Failure::NotRun, NextStep::Again)]
+#[case::refused_often(RetryPolicy::Always, 0, 4, Failure::NotRun, NextStep::Refuse)]
+#[case::error_passed_on(RetryPolicy::Never, 1, 0, Failure::Answered, NextStep::Pass)]
+#[case::refused_after_run(RetryPolicy::Always, 2, 1, Failure::NotRun, NextStep::Fail)]
 fn next_step_after_failure(
-    #[case] repeat: Repeat,
+    #[case] repeat: RetryPolicy,
     #[case] may_have_run: u32,
     #[case] not_run: u32,
     #[case] failure: Failure,
@@ -66,7 +66,7 @@
         not_run: 0,
     };
     let left = Duration::from_millis(10);
-    let step = next_step(Repeat::Always, 2, counts, Failure::Unknown, left);
+    let step = next_step(RetryPolicy::Always, 2, counts, Failure::Unknown, left);
     assert_eq!(step, NextStep::Fail);
 }
 
@@ -181,9 +181,9 @@
 fn suspects_until_dropped() {
     let beat = Duration::from_millis(1200);
     let mut roster = Roster::new(beat);
-    let news = board::news(1, 1, Some((0, 9)));
+    let news = leader::announcement(1, 1, Some((0, 9)));
     let (id, address) = (news.id.clone(), news.address);
-    roster.hear(at(0), news);
+    roster.announce(at(0), news);
     let key = address_key(address);
     let mut health = Health::default();
     let mut lost = None;
--- a/src/tests/decide/overload.rs
+++ b/src/tests/decide/overload.rs
@@ -10,7 +10,7 @@
 use crate::decide::path::{Candidate, Hop, Start, Work, choose};
 use crate::decide::refusal::RefusalRates;
 use crate::decide::waiting::{self, QueueTiming};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 use crate::sync::Load;
 
 pub(super) const ENGINE: u64 = 77;
@@ -77,7 +77,7 @@
     let mut running: Vec<Running> = Vec::new();
     let hop = Hop {
         engine: 0,
-        range: Range::new(0, LAYERS),
+        range: LayerRange::new(0, LAYERS),
     };
     for now in 0..seconds * 1000 {
         for r in running.iter().filter(|r| r.ends == now) {
@@ -132,7 +132,7 @@
 /// Returns the engine with `room_mb` of free memory.
 pub(super) fn candidate(memory_mb: f64, room_mb: f64, has_quota: bool) -> Candidate {
     Candidate {
-        range: Range::new(0, LAYERS),
+        range: LayerRange::new(0, LAYERS),
         domain: 0,
         step_ms: 1.0,
         read_ms: 0.1,
@@ -191,7 +191,7 @@
         loads.update(&[], (i as f64 + 0.5) / INSTANCES as f64);
         let hop = Hop {
             engine: 0,
-            range: Range::new(0, LAYERS),
+            range: LayerRange::new(0, LAYERS),
         };
         for _ in 0..60 {
             let room = MEMORY - loads.at(ENGINE).memory;
--- a/src/tests/platform.rs
+++ b/src/tests/platform.rs
@@ -4,12 +4,12 @@
 
 use rstest::rstest;
 
-use crate::configuration::{Invalid, Repeat};
+use crate::configuration::{ConfigurationError, RetryPolicy};
 use crate::decide::path::Hop;
 use crate::platform::boot::Boot;
 use crate::platform::call::Call;
 use crate::platform::{configuration, engine, heartbeat};
-use crate::roster::Range;
+use crate::roster::LayerRange;
 
 const BOOT: &str = r#"
 node = "core-a-1"
@@ -76,9 +76,9 @@
     let decoded = configuration::decode(CONFIGURATION.as_bytes()).unwrap();
     assert_eq!(decoded.check(), Ok(()));
     assert_eq!(decoded.version, 7);
-    assert_eq!(decoded.routes[0].repeat, Repeat::Resume);
+    assert_eq!(decoded.routes[0].retry_policy, RetryPolicy::Resume);
     assert_eq!(decoded.routes[0].targets.len(), 2);
-    assert_eq!(decoded.routes[1].repeat, Repeat::Always);
+    assert_eq!(decoded.routes[1].retry_policy, RetryPolicy::Always);
     let model = decoded.services[0].model.as_ref().unwrap();
     assert_eq!(model.layers, 80);
     assert!((model.token_mb - 0.007_375).abs() < 1e-9);
@@ -116,7 +116,7 @@
 fn check_names_fault() {
     let text = CONFIGURATION.replace(r#"["k3"]"#, r#"["k1"]"#);
     let decoded = configuration::decode(text.as_bytes()).unwrap();
-    let fault: Invalid = decoded.check().unwrap_err();
+    let fault: ConfigurationError = decoded.check().unwrap_err();
     assert!(fault.to_string().contains("one and two"));
     assert!(!fault.to_string().contains("k1"));
 }
@@ -128,7 +128,7 @@
 #[test]
 fn decode_heartbeat() {
     let news = heartbeat::decode("i-1", HEARTBEAT.as_bytes()).unwrap();
-    assert_eq!(news.layers, Some(Range::new(20, 31)));
+    assert_eq!(news.layers, Some(LayerRange::new(20, 31)));
     assert_eq!((news.sequence, news.born, news.leaving), (3, 0, false));
 }
 
@@ -169,7 +169,7 @@
 fn encode_path_parts() {
     let hop = |first, end| Hop {
         engine: 0,
-        range: Range::new(first, end),
+        range: LayerRange::new(first, end),
     };
     let hops = [
         ("10.1.64.9:8080".parse().unwrap(), hop(0, 20)),
