--- a/src/gossip/driver.rs
+++ b/src/gossip/driver.rs
@@ -157,7 +157,7 @@
                 }
             }
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            // An ICMP port-unreachable reply to a sent datagram is reported by the next read.
+            // A datagram that the receiver refused is reported by the next read.
             Err(e) if e.kind() == ErrorKind::ConnectionRefused => {}
             Err(error) => {
                 tracing::warn!(event = event::DATAGRAMS_LOST.id, %error, "can't receive datagrams");
--- a/src/gossip/fleet.rs
+++ b/src/gossip/fleet.rs
@@ -202,9 +202,9 @@
             name: "domain",
             remedy: "use 1 to 64 printable ASCII characters",
         };
-        let sized = (1..=crate::upstream::MAX_NAME).contains(&self.domain.len());
+        let valid_len = (1..=crate::upstream::MAX_NAME).contains(&self.domain.len());
         ensure!(
-            sized && self.domain.bytes().all(|b| b.is_ascii_graphic()),
+            valid_len && self.domain.bytes().all(|b| b.is_ascii_graphic()),
             domain
         );
         let period = SettingSnafu {
--- a/src/membership/detector.rs
+++ b/src/membership/detector.rs
@@ -80,13 +80,13 @@
         address: SocketAddr,
         sequence: u64,
     },
-    /// Broadcast the record of this instance.
+    /// Broadcast the record of the given instance.
     Broadcast(InstanceId),
-    /// Ask the sender for its full record of this instance.
+    /// Ask the sender for its full record of the given instance.
     RequestRecord(InstanceId),
-    /// Send the full record of this instance to the sender.
+    /// Send the full record of the given instance to the sender.
     SendRecord(InstanceId),
-    /// Start an anti-entropy sync with the instance at this address.
+    /// Start an anti-entropy sync with the instance at the given address.
     Sync(SocketAddr),
 }
 
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -132,12 +132,10 @@
         if version <= known {
             return;
         }
-        let other_incarnation = known.incarnation != version.incarnation;
+        let restarted = known.incarnation != version.incarnation;
         let member = match record.member() {
             Some(member) => member,
-            None if other_incarnation || !present => {
-                return out.push(MemberEffect::RequestRecord(id));
-            }
+            None if restarted || !present => return out.push(MemberEffect::RequestRecord(id)),
             None => Member::clone(&entry.member),
         };
         self.insert(now, version, member, since);
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -157,13 +157,13 @@
         let end = self.now + span;
         while self.now < end {
             let next_check = (self.now + Duration::from_millis(500)).min(end);
-            while let Some(Reverse((at, order))) = self.queue.peek().copied() {
+            while let Some(Reverse((at, id))) = self.queue.peek().copied() {
                 if at > next_check {
                     break;
                 }
                 self.queue.pop();
                 self.now = at;
-                let action = self.actions.remove(&order).unwrap();
+                let action = self.actions.remove(&id).unwrap();
                 self.perform(action);
             }
             self.now = next_check;
