--- a/src/gossip/fleet.rs
+++ b/src/gossip/fleet.rs
@@ -202,7 +202,7 @@
             name: "domain",
             remedy: "use 1 to 64 printable ASCII characters",
         };
-        let valid_len = (1..=crate::upstream::MAX_NAME).contains(&self.domain.len());
+        let valid_len = (1..=crate::upstream::MAX_NAME_LEN).contains(&self.domain.len());
         ensure!(
             valid_len && self.domain.bytes().all(|b| b.is_ascii_graphic()),
             domain
--- a/src/gossip/node/effects.rs
+++ b/src/gossip/node/effects.rs
@@ -68,28 +68,28 @@
         effects: Vec<RegistryEffect>,
         sender: Option<PeerAddress>,
     ) {
-        let mut missing_facts = Vec::new();
+        let mut missing_metadata = Vec::new();
         for effect in effects {
             match effect {
-                RegistryEffect::Spread(key) => self.upstream_broadcasts.add(key),
-                RegistryEffect::SpreadLoad(key) => self.load_broadcasts.add(key),
-                RegistryEffect::Renew(voucher, renewal) => {
-                    let to = self.members.address(voucher);
+                RegistryEffect::Broadcast(key) => self.upstream_broadcasts.add(key),
+                RegistryEffect::BroadcastLoad(key) => self.load_broadcasts.add(key),
+                RegistryEffect::ForwardRenewal(registrar, renewal) => {
+                    let to = self.members.address(registrar);
                     let to = to.map(|address| PeerAddress {
-                        id: voucher,
+                        id: registrar,
                         address,
                     });
                     self.send_to(to, Body::Renewal(renewal));
                 }
-                RegistryEffect::Want(key) => missing_facts.push(key),
+                RegistryEffect::RequestMetadata(key) => missing_metadata.push(key),
             }
         }
-        if missing_facts.is_empty() {
+        if missing_metadata.is_empty() {
             return;
         }
         let request = RecordRequest {
             members: Vec::new(),
-            upstreams: missing_facts,
+            upstreams: missing_metadata,
         };
         self.send_to(sender, Body::RecordRequest(request));
     }
--- a/src/gossip/node/receive.rs
+++ b/src/gossip/node/receive.rs
@@ -15,7 +15,7 @@
     MemberEffect, MemberRecord, MemberState, ProbeEvent, RecordSource, decode_address,
     encode_address,
 };
-use crate::upstream::{Loads, RegistryEffect, UpstreamRecord};
+use crate::upstream::{LoadReports, RegistryEffect, UpstreamRecord};
 
 impl Node {
     /// Handles a packet. Records are merged first, so that the ack of a probe that
@@ -115,12 +115,12 @@
             self.registry.receive(now, record, &mut effects);
         }
         if source == RecordSource::Sync {
-            effects.retain(|e| !matches!(e, RegistryEffect::Spread(_)));
+            effects.retain(|e| !matches!(e, RegistryEffect::Broadcast(_)));
         }
         self.apply_registry_effects(effects, Some(sender));
     }
 
-    fn merge_loads(&mut self, loads: &Loads) {
+    fn merge_loads(&mut self, loads: &LoadReports) {
         let mut effects = Vec::new();
         self.registry.receive_loads(loads, &mut effects);
         self.apply_registry_effects(effects, None);
@@ -202,7 +202,7 @@
     /// request.
     ///
     /// Incomplete upstream records are left out: two instances that both lack the
-    /// facts of an upstream would otherwise request them from each other forever.
+    /// metadata of an upstream would otherwise request them from each other forever.
     fn on_record_request(
         &mut self,
         now: Time,
@@ -214,7 +214,7 @@
         let members = members.filter_map(|id| self.members.record(now, InstanceId(*id), true));
         let upstreams = request.upstreams.iter();
         let upstreams = upstreams
-            .filter(|key| self.registry.complete(**key))
+            .filter(|key| self.registry.is_complete(**key))
             .filter_map(|key| self.registry.record(now, *key, true));
         self.send_records(from, source, members.collect(), upstreams.collect());
     }
--- a/src/gossip/node/send.rs
+++ b/src/gossip/node/send.rs
@@ -11,7 +11,7 @@
 use crate::gossip::wire::{Body, MAX_PACKET, Packet};
 use crate::id::InstanceId;
 use crate::membership::{MemberRecord, MemberState, RecordSource};
-use crate::upstream::{Loads, UpstreamRecord};
+use crate::upstream::{LoadReports, UpstreamRecord};
 
 /// Each instance sends a record this many times for each decimal digit of the
 /// fleet size, and for one digit more.
@@ -172,10 +172,10 @@
         let mut remaining = MAX_PACKET
             .saturating_sub(packet.encoded_len() + 4 * RECORD_OVERHEAD)
             .min(MAX_LOAD_BYTES);
-        let mut loads = Loads::default();
+        let mut loads = LoadReports::default();
         let registry = &self.registry;
         self.load_broadcasts.transmit(limit, |key| {
-            let Some((short, incarnation, sequence, level)) = registry.load_row(key) else {
+            let Some((short, incarnation, sequence, level)) = registry.load_report(key) else {
                 return WriteOutcome::Obsolete;
             };
             if remaining < LOAD_ROW_BYTES {
--- a/src/gossip/sync.rs
+++ b/src/gossip/sync.rs
@@ -76,7 +76,7 @@
 }
 
 /// Difference between a received listing and the local table: keys to send with
-/// full records, keys whose upstream records may omit the facts, and keys to
+/// full records, keys whose upstream records may omit the metadata, and keys to
 /// request.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct Difference {
--- a/src/gossip/wire.rs
+++ b/src/gossip/wire.rs
@@ -4,7 +4,7 @@
 
 use crate::auth::{FleetKey, TAG_LEN};
 use crate::membership::MemberRecord;
-use crate::upstream::{Loads, Renewal, UpstreamRecord};
+use crate::upstream::{LoadReports, Renewal, UpstreamRecord};
 
 /// Maximum length of a datagram in bytes. It passes common links without
 /// fragmentation.
@@ -34,7 +34,7 @@
     #[prost(message, repeated, tag = "13")]
     pub(crate) upstreams: Vec<UpstreamRecord>,
     #[prost(message, optional, tag = "14")]
-    pub(crate) loads: Option<Loads>,
+    pub(crate) loads: Option<LoadReports>,
 }
 
 /// Message of a packet. A packet that only carries records has none.
--- a/src/membership/detector.rs
+++ b/src/membership/detector.rs
@@ -14,7 +14,7 @@
     Member, MemberDump, MemberEntry, MemberState, MemberVersion, MemberView,
 };
 use crate::membership::probe::{Probe, RelayedProbe};
-use crate::upstream::{Since, Vouchers};
+use crate::upstream::{InstanceLiveness, PastInstant};
 
 /// Maximum number of instances in the table, dead ones included.
 pub(crate) const MAX_MEMBERS: usize = 1_024;
@@ -137,7 +137,7 @@
         let entry = MemberEntry {
             member: Arc::new(own),
             version,
-            since: Since::now(now),
+            since: PastInstant::now(now),
             deadline: None,
         };
         Self {
@@ -299,7 +299,7 @@
             return;
         };
         entry.version.state = state;
-        entry.since = Since::now(now);
+        entry.since = PastInstant::now(now);
         entry.deadline = deadline;
         Arc::make_mut(&mut entry.member).state = state;
         self.dirty = true;
@@ -341,10 +341,10 @@
 /// An instance that is alone behind a partition detects one other instance as
 /// failed per period, which takes minutes in a large fleet. Until then it would
 /// send requests to upstreams that have left.
-impl Vouchers for Membership {
-    fn alive(&self, id: InstanceId, boot: Incarnation) -> bool {
+impl InstanceLiveness for Membership {
+    fn is_alive(&self, id: InstanceId, incarnation: Incarnation) -> bool {
         let alive = |entry: &MemberEntry| {
-            entry.version.state == MemberState::Alive && entry.version.incarnation == boot
+            entry.version.state == MemberState::Alive && entry.version.incarnation == incarnation
         };
         self.consecutive_failures < ISOLATION_FAILURES && self.entries.get(&id).is_some_and(alive)
     }
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -8,7 +8,7 @@
 use crate::membership::detector::{DEAD_RETENTION, MAX_MEMBERS, MemberEffect, Membership};
 use crate::membership::member::{Member, MemberEntry, MemberState, MemberVersion};
 use crate::membership::wire::MemberRecord;
-use crate::upstream::Since;
+use crate::upstream::PastInstant;
 
 /// How a record was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
             self.refute(version, out);
             return;
         }
-        let since = Since::aged(now, Duration::from_millis(record.age.into()));
+        let since = PastInstant::aged(now, Duration::from_millis(record.age.into()));
         match self.entries.get(&id).map(|entry| entry.version) {
             None => self.insert_new(now, version, record, since, out),
             Some(known) if version > known => self.update(now, id, version, record, since, out),
@@ -92,7 +92,7 @@
         now: Time,
         version: MemberVersion,
         record: &MemberRecord,
-        since: Since,
+        since: PastInstant,
         out: &mut Vec<MemberEffect>,
     ) {
         let id = InstanceId(record.id);
@@ -121,7 +121,7 @@
         id: InstanceId,
         mut version: MemberVersion,
         record: &MemberRecord,
-        since: Since,
+        since: PastInstant,
         out: &mut Vec<MemberEffect>,
     ) {
         let entry = &self.entries[&id];
@@ -145,13 +145,23 @@
         out.push(MemberEffect::Broadcast(id));
     }
 
-    fn insert(&mut self, now: Time, version: MemberVersion, mut member: Member, since: Since) {
+    fn insert(
+        &mut self,
+        now: Time,
+        version: MemberVersion,
+        mut member: Member,
+        since: PastInstant,
+    ) {
         member.state = version.state;
         let suspected = version.state == MemberState::Suspect;
         let deadline = suspected.then(|| now + self.suspicion_timeout());
         let entry = MemberEntry {
             version,
-            since: if suspected { Since::now(now) } else { since },
+            since: if suspected {
+                PastInstant::now(now)
+            } else {
+                since
+            },
             deadline,
             member: Arc::new(member),
         };
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -4,7 +4,7 @@
 
 use crate::id::{Incarnation, InstanceId};
 use crate::membership::member::{Member, MemberState, MemberVersion};
-use crate::upstream::MAX_NAME;
+use crate::upstream::MAX_NAME_LEN;
 
 /// A member record. One of an instance that isn't alive may lack `info`.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -67,7 +67,7 @@
     /// The member, or `None` if `info` is missing or malformed.
     pub(crate) fn member(&self) -> Option<Member> {
         let info = self.info.as_ref()?;
-        let valid_len = (1..=MAX_NAME).contains(&info.domain.len());
+        let valid_len = (1..=MAX_NAME_LEN).contains(&info.domain.len());
         if !valid_len {
             return None;
         }
