--- a/tests/common/caller.rs
+++ b/tests/common/caller.rs
@@ -6,13 +6,13 @@
 
 use serde_json::{Value, json};
 
-use super::LIMIT;
+use super::TIMEOUT;
 
 /// An HTTP agent that hands every status on and repeats nothing.
 pub(crate) fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_per_read(Some(LIMIT))
+        .timeout_per_read(Some(TIMEOUT))
         .max_idle_connections(0)
         .build()
         .into()
@@ -142,7 +142,7 @@
 pub(crate) fn connect(to: SocketAddr) -> TcpStream {
     let socket = TcpStream::connect_timeout(&to, Duration::from_secs(5)).expect("connect");
     socket
-        .set_read_timeout(Some(LIMIT))
+        .set_read_timeout(Some(TIMEOUT))
         .expect("bound the reads");
     socket
 }
--- a/tests/common/emulator.rs
+++ b/tests/common/emulator.rs
@@ -8,7 +8,7 @@
 
 use super::caller::agent;
 use super::process::Process;
-use super::until;
+use super::wait_for;
 
 /// How to start an emulator.
 pub(crate) struct Plan {
@@ -120,7 +120,7 @@
     /// Waits until a total has reached a value.
     pub(crate) fn reach(&self, name: &str, value: u64) {
         let what = format!("{name} = {value} at {}", self.id);
-        until(&what, || (self.total(name) >= value).then_some(()));
+        wait_for(&what, || (self.total(name) >= value).then_some(()));
     }
 
     /// Attempts that began with this prompt.
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -13,7 +13,7 @@
 use super::emulator::{Emulator, Plan};
 use super::process::Process;
 use super::shim::Shim;
-use super::{port, until};
+use super::{port, wait_for};
 
 /// Key of the organisation kouvertoura, which owns "quotations", "narrow" and
 /// the service "orders".
@@ -134,7 +134,7 @@
     fn begun(&mut self, at: usize) -> bool {
         let uri = format!("http://{}/readyz", self.caller(at));
         let process = &mut self.instances[at].process;
-        until("a ready instance", || {
+        wait_for("a ready instance", || {
             if !process.is_running() && process.log().contains("in use") {
                 return Some(false);
             }
@@ -179,7 +179,7 @@
     /// Waits until an instance is ready for work.
     pub(crate) fn ready(&self, at: usize) {
         let uri = format!("http://{}/readyz", self.caller(at));
-        until("a ready instance", || {
+        wait_for("a ready instance", || {
             let reply = agent().get(&uri).call().ok()?;
             (reply.status() == 200).then_some(())
         });
@@ -252,7 +252,7 @@
     pub(crate) fn serving(&self) {
         for at in 0..self.instances.len() {
             let engines = self.engines.lock().unwrap();
-            until("all engines in the view", || {
+            wait_for("all engines in the view", || {
                 let state = self.state(at);
                 let known = |id: &String| state.contains(&format!("\"{id}\""));
                 engines.iter().all(|(id, _)| known(id)).then_some(())
@@ -261,7 +261,7 @@
             let other = Ask::new(OTHER_KEY, "probe", 1).route("letters");
             for (ask, pool) in [(probe, POOL), (other, OTHER_POOL)] {
                 if engines.iter().any(|(_, p)| p == pool) {
-                    until("an answer to a probe", || {
+                    wait_for("an answer to a probe", || {
                         let reply = ask.send(self.caller(at)).ok()?;
                         (reply.status == 200).then_some(())
                     });
@@ -282,7 +282,7 @@
         let file = self.file("catalogue.toml");
         fs::write(&file, text).expect("write the catalogue");
         let file = file.display().to_string();
-        until("an accepted catalogue", || {
+        wait_for("an accepted catalogue", || {
             (0..self.instances.len()).find_map(|at| {
                 let target = self.control(at).to_string();
                 self.command(&["catalogue", "apply", "--target", &target, &file])
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,21 +14,21 @@
 use std::time::{Duration, Instant};
 
 /// A bound that only a fault reaches; no verdict hangs on how fast things are.
-pub(crate) const LIMIT: Duration = Duration::from_secs(30);
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Polls until there is a value.
 ///
 /// # Panics
-/// When there is none within [`LIMIT`]; the message names `what`.
-pub(crate) fn until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+/// When there is none within [`TIMEOUT`]; the message names `what`.
+pub(crate) fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let begin = Instant::now();
     loop {
         if let Some(value) = poll() {
             return value;
         }
-        assert!(begin.elapsed() < LIMIT, "no {what} within {LIMIT:?}");
-        thread::sleep(POLL);
+        assert!(begin.elapsed() < TIMEOUT, "no {what} within {TIMEOUT:?}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -9,7 +9,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tempfile::TempDir;
 
-use super::until;
+use super::wait_for;
 
 /// A running child; killed when dropped, its log shown when the test failed.
 pub(crate) struct Process {
@@ -93,7 +93,7 @@
     /// Waits for the end of the process.
     pub(crate) fn exit(&mut self) -> ExitStatus {
         let what = format!("end of {}", self.name);
-        until(&what, || self.child.try_wait().expect("look at the child"))
+        wait_for(&what, || self.child.try_wait().expect("look at the child"))
     }
 
     pub(crate) fn is_running(&mut self) -> bool {
--- a/tests/e2e/answers.rs
+++ b/tests/e2e/answers.rs
@@ -10,7 +10,7 @@
 use crate::common::caller::{Ask, Event, agent};
 use crate::common::emulator::example;
 use crate::common::fleet::{Fleet, KEY, OTHER_KEY};
-use crate::common::until;
+use crate::common::wait_for;
 
 /// A route over two stages answers exactly as the model does, whole and
 /// streamed, and each layer range runs once for each token.
@@ -170,7 +170,7 @@
     let fleet = Fleet::single();
     let service = fleet.service("ord-1", "orders");
     let uri = format!("http://{}/services/orders/orders/17", fleet.caller(0));
-    let value = until("an answer of the service", || {
+    let value = wait_for("an answer of the service", || {
         let mut reply = agent()
             .put(&uri)
             .header("authorization", format!("Bearer {KEY}"))
--- a/tests/e2e/bad_input.rs
+++ b/tests/e2e/bad_input.rs
@@ -7,7 +7,7 @@
 
 use crate::common::caller::{Ask, Event, connect, raw};
 use crate::common::fleet::{Fleet, KEY, OTHER_KEY};
-use crate::common::until;
+use crate::common::wait_for;
 
 fn post(head: &str, body: &str) -> Vec<u8> {
     let length = body.len();
@@ -141,7 +141,7 @@
     // The route "narrow" lets one request run and none wait.
     let reply = |prompt: &str| {
         let ask = Ask::new(KEY, prompt, 4).route("narrow");
-        until("a free place", || {
+        wait_for("a free place", || {
             let reply = ask.send(fleet.caller(0)).ok()?;
             (reply.status == 200).then(|| (reply.text().to_owned(), ask.expected(32)))
         })
@@ -152,11 +152,11 @@
         let stall = serde_json::json!({"mode": "stall", "count": 1, "after": tokens});
         engine.fault(&stall);
         let ask = Ask::new(KEY, &format!("leave {round}"), 8).route("narrow");
-        let mut stream = until("a free place", || {
+        let mut stream = wait_for("a free place", || {
             let mut stream = ask.stream(fleet.caller(0));
             let begun = || (engine.attempts(&ask.prompt) > 0).then_some(());
             match tokens {
-                0 => until("a running attempt", begun),
+                0 => wait_for("a running attempt", begun),
                 _ => match stream.next() {
                     Event::Token(_) => {}
                     _ => return None,
--- a/tests/e2e/catalogue.rs
+++ b/tests/e2e/catalogue.rs
@@ -8,7 +8,7 @@
 
 use crate::common::caller::{Ask, agent};
 use crate::common::fleet::{Fleet, KEY, POOL};
-use crate::common::until;
+use crate::common::wait_for;
 
 /// Longer than a catalogue lease at its default.
 const PAST_LEASE: Duration = Duration::from_millis(4500);
@@ -43,14 +43,14 @@
 
 /// Sends a change, to one instance after the other, until it is decided.
 fn decide(fleet: &Fleet, alive: &[usize], body: &Value) -> Value {
-    until("a decision", || {
+    wait_for("a decision", || {
         alive.iter().find_map(|at| change(fleet, *at, body))
     })
 }
 
 /// Pools of the catalogue, read from one instance.
 fn pools(fleet: &Fleet, at: usize) -> Vec<String> {
-    until("a confirmed catalogue", || {
+    wait_for("a confirmed catalogue", || {
         let target = fleet.control(at).to_string();
         let text = fleet.command(&["catalogue", "list", "--json", "--target", &target])?;
         let listed: Value = serde_json::from_str(&text).ok()?;
@@ -67,7 +67,7 @@
 
 /// Place among the instances of the leader of the catalogue's group.
 fn leader(fleet: &Fleet, asked: usize) -> usize {
-    until("a leader", || {
+    wait_for("a leader", || {
         let state: Value = serde_json::from_str(&fleet.state(asked)).ok()?;
         let id = state["groups"][0]["leader"].as_u64()?;
         Some(usize::try_from(id).ok()? - 1)
@@ -131,7 +131,7 @@
     let _engine = fleet.engine("eng-1", "0..32");
     fleet.serving();
     let ask = Ask::new(KEY, "before the change", 2).route("narrow");
-    until("an answer", || {
+    wait_for("an answer", || {
         let reply = ask.send(fleet.caller(3)).ok()?;
         (reply.status == 200).then_some(())
     });
@@ -150,7 +150,7 @@
         matches!(code.as_str(), "catalogue_lease" | "unknown_route"),
         "{status} {code}"
     );
-    until("the change in force", || {
+    wait_for("the change in force", || {
         let reply = Ask::new(KEY, "after", 2)
             .route("narrow")
             .send(address)
@@ -173,7 +173,7 @@
     }
     let ask = Ask::new(KEY, "while cut off", 2);
     for at in [2, 3] {
-        until("a refusal", || {
+        wait_for("a refusal", || {
             let reply = ask.send(fleet.caller(at)).ok()?;
             if reply.code() != "catalogue_lease" {
                 return None;
@@ -189,7 +189,7 @@
         fleet.instance(at).process.thaw();
     }
     for at in 0..4 {
-        until("an answer again", || {
+        wait_for("an answer again", || {
             let reply = ask.send(fleet.caller(at)).ok()?;
             (reply.status == 200).then_some(())
         });
@@ -207,7 +207,7 @@
     fs::remove_dir_all(fleet.data(2)).expect("wipe the disk");
     fleet.restart(2);
     let target = fleet.control(0).to_string();
-    until("the new store in every group", || {
+    wait_for("the new store in every group", || {
         fleet.command(&["voters", "add", "--target", &target, "3"])
     });
     let voting = || {
@@ -223,7 +223,7 @@
         };
         groups.as_array()?.iter().all(all).then_some(())
     };
-    until("three voters", voting);
+    wait_for("three voters", voting);
     let middle = decide(&fleet, &[0, 1, 2], &put("middle", "middle"));
     assert_eq!(middle["outcome"], "accepted");
     fleet.instance(0).process.kill();
@@ -251,7 +251,7 @@
     let cut = leader(&fleet, 0);
     let others: Vec<usize> = (0..3).filter(|at| *at != cut).collect();
     fleet.shim(cut).silence();
-    until("another leader", || {
+    wait_for("another leader", || {
         let led = leader(&fleet, others[0]);
         (led != cut).then_some(())
     });
@@ -259,7 +259,7 @@
     assert_eq!(during["outcome"], "accepted", "{during}");
     thread::sleep(PAST_LEASE);
     fleet.shim(cut).heal();
-    until("the change in force on the former leader", || {
+    wait_for("the change in force on the former leader", || {
         pools(&fleet, cut)
             .iter()
             .any(|p| p == "during")
@@ -292,7 +292,7 @@
         "target": {"model": "quote-7b"}, "pools": [POOL], "idempotent": true,
         "limits": {"requests": 1000, "tokens": 100_000, "concurrent": 1000, "queued": 1000}}}]});
     assert_eq!(decide(&fleet, &[0], &widen)["outcome"], "accepted");
-    until("the route in force", || {
+    wait_for("the route in force", || {
         let reply = asks[0].send(address).ok()?;
         (reply.status == 200).then_some(())
     });
@@ -301,7 +301,7 @@
         .into_iter()
         .map(|ask| thread::spawn(move || ask.send(address)))
         .collect();
-    until("waiting requests", || {
+    wait_for("waiting requests", || {
         let state: Value = serde_json::from_str(&fleet.state(0)).ok()?;
         (state["requests"]["queued"].as_u64()? > 0).then_some(())
     });
--- a/tests/e2e/drain.rs
+++ b/tests/e2e/drain.rs
@@ -10,7 +10,7 @@
 
 use crate::common::caller::{Ask, Event, agent};
 use crate::common::fleet::{Fleet, KEY};
-use crate::common::until;
+use crate::common::wait_for;
 
 /// The platform stops an instance for an update while fitters wait for their
 /// drafts. It stops being ready first, takes nothing new, ends what runs, and
@@ -27,13 +27,13 @@
         .collect();
     let streams: Vec<_> = asks.iter().map(|a| a.stream(address)).collect();
     for ask in &asks {
-        until("a running answer", || {
+        wait_for("a running answer", || {
             (engine.attempts(&ask.prompt) == 1).then_some(())
         });
     }
     fleet.instance(0).process.terminate();
     let uri = format!("http://{address}/readyz");
-    until("an instance that isn't ready", || {
+    wait_for("an instance that isn't ready", || {
         let reply = agent().get(&uri).call();
         reply.map_or(true, |r| r.status() != 200).then_some(())
     });
@@ -57,7 +57,7 @@
     engine.fault(&json!({"mode": "slow", "count": 1, "ms": 20_000}));
     let ask = Ask::new(KEY, "an answer of minutes", 12);
     let mut stream = ask.stream(fleet.caller(0));
-    until("a running answer", || {
+    wait_for("a running answer", || {
         (engine.attempts(&ask.prompt) == 1).then_some(())
     });
     for _ in 0..signals {
--- a/tests/e2e/once.rs
+++ b/tests/e2e/once.rs
@@ -5,7 +5,7 @@
 use crate::common::caller::{Ask, Event, agent};
 use crate::common::emulator::Emulator;
 use crate::common::fleet::{Fleet, KEY, OTHER_KEY};
-use crate::common::until;
+use crate::common::wait_for;
 
 fn engines(fleet: &Fleet) -> [Emulator; 2] {
     let engines = ["eng-1", "eng-2"].map(|id| fleet.engine(id, "0..32"));
@@ -38,7 +38,7 @@
 /// Resends the same request until the answer is definite: whole, or a failure.
 /// Answers the text and the failure's code. No refusal may deny the run.
 fn resend(fleet: &Fleet, ask: &Ask) -> (String, String) {
-    until("a definite answer", || {
+    wait_for("a definite answer", || {
         let (text, end) = ask.stream(fleet.caller(1)).rest();
         match end {
             Event::Done => Some((text, String::new())),
@@ -83,7 +83,7 @@
     fleet.instance(0).process.thaw();
     drop(stream);
     let probe = Ask::new(KEY, "after the thaw", 2);
-    until("the thawed instance", || {
+    wait_for("the thawed instance", || {
         let reply = probe.send(fleet.caller(0)).ok()?;
         (reply.status == 200).then_some(())
     });
@@ -114,7 +114,7 @@
     let ask = Ask::new(KEY, "demand letter, other form", 8).once("letter-7");
     let first = ask.stream(fleet.caller(0)).rest();
     assert_eq!(first, (ask.expected(32), Event::Done));
-    let reply = until("the kept answer", || {
+    let reply = wait_for("the kept answer", || {
         let reply = ask.send(fleet.caller(1)).ok()?;
         (!PENDING.contains(&reply.code())).then_some(reply)
     });
@@ -136,7 +136,7 @@
         .once("letter-4");
     let reply = mine.send(fleet.caller(0)).expect("an answer");
     assert_eq!(reply.text(), mine.expected(32));
-    let reply = until("an answer to the other organisation", || {
+    let reply = wait_for("an answer to the other organisation", || {
         let reply = theirs.send(fleet.caller(0)).ok()?;
         (reply.ran() != "no").then_some(reply)
     });
@@ -179,7 +179,7 @@
             .send("book");
         reply.ok().map(|r| r.status().as_u16())
     };
-    until("a serving service", || {
+    wait_for("a serving service", || {
         (send("probe") == Some(200)).then_some(())
     });
     service.fault(&json!({"mode": "stall", "count": 1}));
--- a/tests/emulator.rs
+++ b/tests/emulator.rs
@@ -11,7 +11,7 @@
 
 use common::caller::{agent, connect};
 use common::emulator::{Emulator, Plan};
-use common::{LIMIT, model, until};
+use common::{TIMEOUT, model, wait_for};
 
 fn call(stages: &[&Emulator], request: &str, limit: usize) -> Value {
     let width = 32 / stages.len();
@@ -20,7 +20,7 @@
     json!({
         "request": request, "attempt": 1, "organisation": "kouvertoura", "model": "quote-7b",
         "prompt": request, "tokens": [], "limit": limit, "priority": 0,
-        "remaining": LIMIT.as_millis() as u64, "path": path,
+        "remaining": TIMEOUT.as_millis() as u64, "path": path,
     })
 }
 
@@ -113,12 +113,12 @@
     socket
         .write_all((head + &body).as_bytes())
         .expect("send the call");
-    until("two tokens at the second stage", || {
+    wait_for("two tokens at the second stage", || {
         (second.total("tokens") == 2).then_some(())
     });
     drop(socket);
     first.reach("cancelled", 1);
-    until("an idle second stage", || {
+    wait_for("an idle second stage", || {
         (second.executions()["running"] == 0).then_some(())
     });
 }
@@ -162,7 +162,9 @@
     let dead = common::port::free();
     let plan = Plan::engine("eng-1", "0..32").with("linger-ms", 0);
     let mut engine = plan.announce(&[dead, address]).start();
-    let up = announcements.recv_timeout(LIMIT).expect("an announcement");
+    let up = announcements
+        .recv_timeout(TIMEOUT)
+        .expect("an announcement");
     assert_eq!(
         (&up["state"], &up["serves"]["engine"]["end"]),
         (&json!("up"), &json!(32))
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -12,7 +12,7 @@
 use common::emulator::{Emulator, example};
 use common::fleet::{Fleet, KEY};
 use common::process::Process;
-use common::until;
+use common::wait_for;
 
 fn load(args: &[&str]) -> Value {
     let mut command = Command::new(example("load"));
@@ -186,7 +186,7 @@
         tokens(&mut stream);
         let begin = Instant::now();
         fleet.instance(0).process.kill();
-        let code = until("a definite answer", || {
+        let code = wait_for("a definite answer", || {
             match ask.stream(fleet.caller(1)).rest().1 {
                 Event::Done => Some("whole".to_owned()),
                 Event::Failed(error) if error["code"] == "outcome_unknown" => {
@@ -226,7 +226,7 @@
         let revision = outcome["revision"].as_u64().expect("accepted");
         let begin = Instant::now();
         for at in 0..9 {
-            until("the change in force", || {
+            wait_for("the change in force", || {
                 (revision_at(&fleet, at) >= revision).then_some(())
             });
         }
--- a/tests/platform/copy.rs
+++ b/tests/platform/copy.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::Path;
 
-use crate::common::until;
+use crate::common::wait_for;
 use crate::stage::{KEY, Stage};
 
 /// Copies the files of a data folder into an empty one.
@@ -21,14 +21,14 @@
 #[test]
 fn copied_folder_keeps_configuration() {
     let mut stage = Stage::founded(5);
-    until("first configuration", || {
+    wait_for("first configuration", || {
         stage.replace(1, &[KEY]).then_some(())
     });
-    let leader = until("a leader", || stage.leader());
+    let leader = wait_for("a leader", || stage.leader());
     let [second, third, fourth, fifth] = [1, 2, 3, 4].map(|n| (leader + n) % 5);
     for i in [second, third, fourth, fifth] {
         let i = u8::try_from(i).unwrap();
-        until("first configuration everywhere", || {
+        wait_for("first configuration everywhere", || {
             stage.fetch(i).filter(|&v| v == 1)
         });
     }
@@ -49,11 +49,11 @@
         stage.controllers[i] = stage.controller(u8::try_from(i).unwrap(), false);
     }
     let third = u8::try_from(third).unwrap();
-    let read = until("a read after the change of leader", || stage.fetch(third));
+    let read = wait_for("a read after the change of leader", || stage.fetch(third));
     assert_eq!(read, 6);
     stage.controllers[leader].thaw();
     for i in 0..5 {
-        until("the configuration everywhere", || {
+        wait_for("the configuration everywhere", || {
             stage.fetch(i).filter(|&v| v == 6)
         });
         assert!(stage.controllers[usize::from(i)].is_running());
--- a/tests/platform/crash.rs
+++ b/tests/platform/crash.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 use crate::common::process::Process;
-use crate::common::until;
+use crate::common::wait_for;
 use crate::stage::{KEY, OTHER_KEY, Stage};
 
 /// Path of the stream route.
@@ -104,7 +104,7 @@
         received.len()
     );
     // An identical request of another organisation has another fingerprint.
-    until("the other organisation's answer", || {
+    wait_for("the other organisation's answer", || {
         let (status, _) = stage.ask_with(1, path, "two", OTHER_KEY, CRASHING);
         (status == 200).then_some(())
     });
@@ -114,7 +114,7 @@
 /// the next attempt.
 fn ask_until_refused(stage: &Stage, first: usize) -> usize {
     let mut number = first;
-    until("a refusal of the crashing request", || {
+    wait_for("a refusal of the crashing request", || {
         let (status, reply) = ask_crashing(stage, STREAM_PATH, number);
         number += 1;
         thread::sleep(PAUSE);
@@ -135,7 +135,7 @@
         ask_crashing(&stage, STREAM_PATH, number);
         number += 1;
     }
-    let lead = until("a leader", || stage.leader());
+    let lead = wait_for("a leader", || stage.leader());
     stop_leader(&mut stage.controllers[lead]);
     if !stage.controllers[lead].is_running() {
         stage.controllers[lead] = stage.controller(u8::try_from(lead).unwrap(), false);
@@ -143,7 +143,7 @@
     stage.entries[0].freeze();
     // Skips the first instance while it is frozen.
     number += stage.entries.len() - number % stage.entries.len() + 1;
-    until("a refusal of the crashing request", || {
+    wait_for("a refusal of the crashing request", || {
         number += usize::from(number % stage.entries.len() == 0);
         let (status, reply) = ask_crashing(&stage, STREAM_PATH, number);
         number += 1;
@@ -177,7 +177,7 @@
         stage.entries[entry] = stage.entry(entry);
     }
     for entry in 0..stage.entries.len() {
-        until("ready entry", || stage.is_ready(entry).then_some(()));
+        wait_for("ready entry", || stage.is_ready(entry).then_some(()));
         let attempt = format!("restarted-{entry}");
         let (status, reply) = stage.ask_with(entry, STREAM_PATH, &attempt, KEY, CRASHING);
         assert!(
@@ -206,7 +206,7 @@
     let before = stage.world().received(CRASHING).len();
     stage.quarantine_command("lift", &[fingerprint]);
     assert_eq!(list()["requests"], serde_json::json!([]));
-    until("an arrival after the lift", || {
+    wait_for("an arrival after the lift", || {
         ask_crashing(
             &stage,
             STREAM_PATH,
--- a/tests/platform/faults.rs
+++ b/tests/platform/faults.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::common::until;
+use crate::common::wait_for;
 use crate::engine::{Fault, whole_stream};
 use crate::stage::{KEY, Stage};
 
@@ -77,7 +77,7 @@
     stage.world().kill(&lost);
     let rest: Vec<_> = stage.engines[1..3].iter().map(|e| e.address).collect();
     let mut asked = 0;
-    until("the lost layers", || {
+    wait_for("the lost layers", || {
         asked += 1;
         let (status, body) = stage.ask(0, "/letters/x", &format!("l-{asked}"), KEY);
         assert!(status != 200 || body == whole_stream());
@@ -101,7 +101,7 @@
     for host in 20..20 + JOINING {
         stage.engine(host, "models", "north");
     }
-    until("layers of all", || {
+    wait_for("layers of all", || {
         let joined = stage.world().holders() - before;
         (joined == usize::from(JOINING)).then_some(())
     });
@@ -120,7 +120,7 @@
         stage.controllers[usize::from(i)].kill();
         fs::remove_dir_all(stage.data(i)).unwrap();
         stage.controllers[usize::from(i)] = stage.controller(i, false);
-        until("the newcomer's read", || stage.fetch(i).filter(|&v| v == 9));
+        wait_for("the newcomer's read", || stage.fetch(i).filter(|&v| v == 9));
         // It reads before it votes; the next disk may go only after that.
         thread::sleep(Duration::from_secs(2));
     }
@@ -137,13 +137,13 @@
         let asks: Vec<_> = (0..4)
             .map(|i| scope.spawn(move || stage_ref.ask(0, "/letters/x", &format!("d-{i}"), KEY)))
             .collect();
-        until("running letters", || {
+        wait_for("running letters", || {
             (0..4)
                 .all(|i| stage_ref.world().runs(&format!("d-{i}")) == 1)
                 .then_some(())
         });
         stage_ref.entries[0].terminate();
-        until("an entry that isn't ready", || {
+        wait_for("an entry that isn't ready", || {
             (!stage_ref.is_ready(0)).then_some(())
         });
         asks.into_iter()
@@ -167,7 +167,7 @@
         processes.map(|p| p.log()).collect()
     };
     // A thread of its own writes the lines, after the answers.
-    let logs = until("the lines of both requests", || {
+    let logs = wait_for("the lines of both requests", || {
         let logs = read();
         (logs.contains("n-1") && logs.contains("n-2")).then_some(logs)
     });
@@ -181,7 +181,7 @@
     let mut stage = Stage::start();
     stage.entries[0].kill();
     stage.entries[0] = stage.unread_entry(0);
-    until("ready entry", || stage.is_ready(0).then_some(()));
+    wait_for("ready entry", || stage.is_ready(0).then_some(()));
     for i in 0..400 {
         let began = Instant::now();
         let (status, _) = stage.ask(0, "/lookups/x", &format!("u-{i}"), KEY);
--- a/tests/platform/limit.rs
+++ b/tests/platform/limit.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use rustix::process::Signal;
 
-use crate::common::until;
+use crate::common::wait_for;
 use crate::stage::{KEY, Stage};
 
 /// Announced limit in requests per second.
@@ -91,7 +91,7 @@
         stage.world().set_limit(&busiest, None);
         let arrived = stage.world().arrivals(&busiest).len();
         if entries == 9 {
-            until("more requests than the limit after it was lifted", || {
+            wait_for("more requests than the limit after it was lifted", || {
                 let more = stage.world().arrivals(&busiest).len() - arrived;
                 (more > 4 * allowed).then_some(())
             });
@@ -129,7 +129,7 @@
         stage.world().set_limit(&limited_engine, Some(LIMIT));
         let announced = Instant::now();
         thread::sleep(GRACE_PERIOD);
-        let lead = until("a leader", || stage.leader());
+        let lead = wait_for("a leader", || stage.leader());
         stage.controllers[lead].signal(Signal::KILL);
         stage.entries[1].signal(Signal::KILL);
         stage.entries[0].freeze();
--- a/tests/platform/path.rs
+++ b/tests/platform/path.rs
@@ -2,7 +2,7 @@
 
 use std::thread;
 
-use crate::common::until;
+use crate::common::wait_for;
 use crate::engine::whole_stream;
 use crate::stage::{APPLY, KEY, Stage};
 
@@ -38,7 +38,7 @@
     // An older change arrives late: acknowledged, and without effect.
     assert!(stage.replace(4, &[KEY]));
     for i in 0..3 {
-        until("a read", || stage.fetch(i))
+        wait_for("a read", || stage.fetch(i))
             .eq(&5)
             .then_some(())
             .expect("the newest");
@@ -55,13 +55,13 @@
         stage.controllers[usize::from(i)].kill();
         assert_eq!(stage.ask(0, "/lookups/x", &format!("k-{i}"), KEY).0, 200);
         let version = 8 + u64::from(i);
-        until("an acknowledgement", || {
+        wait_for("an acknowledgement", || {
             stage.replace(version, &[KEY]).then_some(())
         });
         let other = (i + 1) % 3;
-        assert_eq!(until("a read", || stage.fetch(other)), version);
+        assert_eq!(wait_for("a read", || stage.fetch(other)), version);
         stage.controllers[usize::from(i)] = stage.controller(i, false);
-        until("a read by the one that is back", || {
+        wait_for("a read by the one that is back", || {
             stage.fetch(i).filter(|&v| v == version)
         });
     }
--- a/tests/platform/stage.rs
+++ b/tests/platform/stage.rs
@@ -15,7 +15,7 @@
 
 use crate::common::caller::agent;
 use crate::common::process::Process;
-use crate::common::{port, until};
+use crate::common::{port, wait_for};
 use crate::engine::{self, BEAT, LAYERS, Shared, Spec, World};
 
 pub(crate) const HOST: &str = "desk.example";
@@ -70,7 +70,7 @@
             let process = stage.entry(i);
             stage.entries.push(process);
         }
-        until("first configuration", || {
+        wait_for("first configuration", || {
             stage.replace(1, &[KEY]).then_some(())
         });
         let models = DOMAINS.iter().zip(engines);
@@ -79,12 +79,12 @@
         for (i, (service, domain)) in (1..).zip(models.chain(desks)) {
             stage.engine(i, service, domain);
         }
-        until("layers of both domains", || {
+        wait_for("layers of both domains", || {
             let covered = |d: &&str| stage.world().covers(&stage.addresses(d));
             DOMAINS.iter().all(covered).then_some(())
         });
         for i in 0..entries {
-            until("ready entry", || stage.is_ready(i).then_some(()));
+            wait_for("ready entry", || stage.is_ready(i).then_some(()));
         }
         // All entries must know the last layers.
         for batch in (0..entries).collect::<Vec<_>>().chunks(WARM_UP_BATCH) {
@@ -125,7 +125,7 @@
 
     /// Waits until an entry instance serves a request.
     fn warm(&self, entry: usize) {
-        until("served request", || {
+        wait_for("served request", || {
             let (status, _) = self.ask(entry, "/letters/x", &format!("warm-{entry}"), KEY);
             (status == 200).then_some(())
         });
