--- a/tests/common/caller.rs
+++ b/tests/common/caller.rs
@@ -20,7 +20,7 @@
 
 /// A completion request under construction.
 #[derive(Clone)]
-pub(crate) struct Ask {
+pub(crate) struct CompletionRequest {
     pub(crate) prompt: String,
     pub(crate) key: String,
     pub(crate) tokens: usize,
@@ -30,15 +30,15 @@
 
 /// A whole answer.
 #[derive(Debug)]
-pub(crate) struct Reply {
+pub(crate) struct Response {
     pub(crate) status: u16,
     /// The body as JSON; null when it is none.
     pub(crate) body: Value,
     /// `Retry-After` in seconds.
-    pub(crate) pause: Option<u64>,
+    pub(crate) retry_after: Option<u64>,
 }
 
-impl Reply {
+impl Response {
     pub(crate) fn text(&self) -> &str {
         self.body["choices"][0]["text"].as_str().unwrap_or("")
     }
@@ -52,7 +52,7 @@
     }
 }
 
-impl Ask {
+impl CompletionRequest {
     pub(crate) fn new(key: &str, prompt: &str, tokens: usize) -> Self {
         Self {
             prompt: prompt.to_owned(),
@@ -74,7 +74,7 @@
     }
 
     /// Marks the request as non-idempotent under a key.
-    pub(crate) fn once(self, key: &str) -> Self {
+    pub(crate) fn non_idempotent(self, key: &str) -> Self {
         self.header("x-non-idempotent", "true")
             .header("idempotency-key", key)
     }
@@ -93,7 +93,7 @@
     }
 
     /// Sends and reads the whole answer; the error is that of the connection.
-    pub(crate) fn send(&self, to: SocketAddr) -> Result<Reply, ureq::Error> {
+    pub(crate) fn send(&self, to: SocketAddr) -> Result<Response, ureq::Error> {
         let uri = format!("http://{to}/v1/completions");
         let request = agent()
             .post(uri)
@@ -104,18 +104,18 @@
             .iter()
             .fold(request, |r, (name, value)| r.header(name, value));
         let mut reply = request.send(self.body(false))?;
-        let pause = reply.headers().get("retry-after");
-        let pause = pause.and_then(|v| v.to_str().ok()?.parse().ok());
+        let retry_after = reply.headers().get("retry-after");
+        let retry_after = retry_after.and_then(|v| v.to_str().ok()?.parse().ok());
         let text = reply.body_mut().read_to_string()?;
-        Ok(Reply {
+        Ok(Response {
             status: reply.status().as_u16(),
             body: serde_json::from_str(&text).unwrap_or(Value::Null),
-            pause,
+            retry_after,
         })
     }
 
     /// Sends and hands back the stream while it comes.
-    pub(crate) fn stream(&self, to: SocketAddr) -> Stream {
+    pub(crate) fn stream(&self, to: SocketAddr) -> EventStream {
         let body = self.body(true);
         let extra: String = self
             .headers
@@ -132,7 +132,7 @@
         let mut socket = connect(to);
         socket.write_all(head.as_bytes()).expect("send the head");
         socket.write_all(body.as_bytes()).expect("send the body");
-        Stream {
+        EventStream {
             lines: BufReader::new(socket),
         }
     }
@@ -148,7 +148,7 @@
 }
 
 /// Sends raw bytes and reads until the connection ends.
-pub(crate) fn raw(to: SocketAddr, bytes: &[u8]) -> String {
+pub(crate) fn send_raw(to: SocketAddr, bytes: &[u8]) -> String {
     let mut socket = connect(to);
     // The answer may come, and the connection close, before all is sent.
     let _ = socket.write_all(bytes);
@@ -158,7 +158,7 @@
 }
 
 /// A streamed answer; dropping it closes the connection.
-pub(crate) struct Stream {
+pub(crate) struct EventStream {
     lines: BufReader<TcpStream>,
 }
 
@@ -172,30 +172,30 @@
     /// The closing marker.
     Done,
     /// The connection ended, with or without a marker.
-    End,
+    Closed,
 }
 
-impl Stream {
+impl EventStream {
     /// The next event; head lines and chunk sizes are passed over. A refusal
     /// in place of a stream is a failure.
     pub(crate) fn next(&mut self) -> Event {
         loop {
             let mut line = String::new();
             match self.lines.read_line(&mut line) {
-                Ok(0) | Err(_) => return Event::End,
+                Ok(0) | Err(_) => return Event::Closed,
                 Ok(_) => {}
             }
             if let Some(data) = line.trim().strip_prefix("data: ") {
-                return parse(data);
+                return parse_event(data);
             }
             if line.starts_with("{\"error\"") {
-                return parse(line.trim());
+                return parse_event(line.trim());
             }
         }
     }
 
     /// Reads to the end: the text, and how it ended.
-    pub(crate) fn rest(&mut self) -> (String, Event) {
+    pub(crate) fn read_to_end(&mut self) -> (String, Event) {
         let mut text = String::new();
         loop {
             match self.next() {
@@ -207,7 +207,7 @@
     }
 }
 
-fn parse(data: &str) -> Event {
+fn parse_event(data: &str) -> Event {
     if data == "[DONE]" {
         return Event::Done;
     }
--- a/tests/common/emulator.rs
+++ b/tests/common/emulator.rs
@@ -11,7 +11,7 @@
 use super::wait_for;
 
 /// How to start an emulator.
-pub(crate) struct Plan {
+pub(crate) struct EmulatorBuilder {
     id: String,
     args: Vec<String>,
 }
@@ -23,15 +23,15 @@
     pub(crate) process: Process,
 }
 
-impl Plan {
+impl EmulatorBuilder {
     /// An engine that holds `layers` ("0..16") of the emulated model.
     pub(crate) fn engine(id: &str, layers: &str) -> Self {
-        Self::new(id).with("layers", layers).with("rate", "0")
+        Self::new(id).flag("layers", layers).flag("rate", "0")
     }
 
     /// A plain service.
     pub(crate) fn service(id: &str, name: &str) -> Self {
-        Self::new(id).with("service", name)
+        Self::new(id).flag("service", name)
     }
 
     fn new(id: &str) -> Self {
@@ -39,11 +39,11 @@
             id: id.to_owned(),
             args: Vec::new(),
         };
-        plan.with("id", id).with("listen", "127.0.0.1:0")
+        plan.flag("id", id).flag("listen", "127.0.0.1:0")
     }
 
     /// Sets a flag of the emulator.
-    pub(crate) fn with(mut self, flag: &str, value: impl ToString) -> Self {
+    pub(crate) fn flag(mut self, flag: &str, value: impl ToString) -> Self {
         self.args.push(format!("--{flag}={}", value.to_string()));
         self
     }
@@ -51,13 +51,15 @@
     /// Sets the control addresses to announce to.
     pub(crate) fn announce(self, to: &[SocketAddr]) -> Self {
         let list: Vec<_> = to.iter().map(SocketAddr::to_string).collect();
-        self.with("announce", list.join(","))
+        self.flag("announce", list.join(","))
     }
 
     /// Starts the emulator and waits until it listens.
     pub(crate) fn start(self) -> Emulator {
-        let mut process =
-            Process::start(&self.id, Command::new(example("emulator")).args(&self.args));
+        let mut process = Process::start(
+            &self.id,
+            Command::new(example_path("emulator")).args(&self.args),
+        );
         let line = process.lines(1).pop().unwrap_or_default();
         let address = line.strip_prefix("ready ").and_then(|a| a.parse().ok());
         Emulator {
@@ -70,7 +72,7 @@
 
 /// Path of a cargo example: cargo puts it beside the binary, and builds it
 /// before the tests unless a single test target is asked for.
-pub(crate) fn example(name: &str) -> PathBuf {
+pub(crate) fn example_path(name: &str) -> PathBuf {
     let binary = PathBuf::from(env!("CARGO_BIN_EXE_laburnumquay"));
     let folder = binary.parent().expect("the binary lies in a folder");
     folder.join("examples").join(name)
@@ -78,21 +80,21 @@
 
 impl Emulator {
     /// Asks for a fault, see examples/emulator/fault.rs.
-    pub(crate) fn fault(&self, fault: &Value) {
+    pub(crate) fn inject_fault(&self, fault: &Value) {
         let uri = format!("http://{}/emulator/fault", self.address);
         let reply = agent().post(uri).send(fault.to_string());
         assert_eq!(reply.expect("ask for a fault").status(), 200);
     }
 
     /// Takes back the faults that haven't struck yet.
-    pub(crate) fn clear(&self) {
+    pub(crate) fn clear_faults(&self) {
         let uri = format!("http://{}/emulator/fault", self.address);
         let reply = agent().delete(uri).call();
         assert_eq!(reply.expect("clear the faults").status(), 200);
     }
 
     /// The totals that an emulator logs when it is gone.
-    pub(crate) fn last_totals(&self) -> Value {
+    pub(crate) fn final_totals(&self) -> Value {
         let log = self.process.log();
         let line = log.lines().find_map(|l| l.strip_prefix("gone "));
         serde_json::from_str(line.expect("a last line")).expect("totals are JSON")
@@ -118,7 +120,7 @@
     }
 
     /// Waits until a total has reached a value.
-    pub(crate) fn reach(&self, name: &str, value: u64) {
+    pub(crate) fn wait_for_total(&self, name: &str, value: u64) {
         let what = format!("{name} = {value} at {}", self.id);
         wait_for(&what, || (self.total(name) >= value).then_some(()));
     }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -9,8 +9,8 @@
 use rustix::process::Signal;
 use tempfile::TempDir;
 
-use super::caller::{Ask, agent};
-use super::emulator::{Emulator, Plan};
+use super::caller::{CompletionRequest, agent};
+use super::emulator::{Emulator, EmulatorBuilder};
 use super::process::Process;
 use super::shim::Shim;
 use super::{port, wait_for};
@@ -221,30 +221,30 @@
     }
 
     pub(crate) fn engine_in(&self, id: &str, layers: &str, pool: &str) -> Emulator {
-        self.launch(Plan::engine(id, layers), id, pool)
+        self.launch(EmulatorBuilder::engine(id, layers), id, pool)
     }
 
     pub(crate) fn engine_with(
         &self,
         id: &str,
         layers: &str,
-        change: impl FnOnce(Plan) -> Plan,
+        change: impl FnOnce(EmulatorBuilder) -> EmulatorBuilder,
     ) -> Emulator {
-        self.launch(change(Plan::engine(id, layers)), id, POOL)
+        self.launch(change(EmulatorBuilder::engine(id, layers)), id, POOL)
     }
 
     pub(crate) fn service(&self, id: &str, name: &str) -> Emulator {
-        self.launch(Plan::service(id, name), id, POOL)
+        self.launch(EmulatorBuilder::service(id, name), id, POOL)
     }
 
-    fn launch(&self, plan: Plan, id: &str, pool: &str) -> Emulator {
+    fn launch(&self, plan: EmulatorBuilder, id: &str, pool: &str) -> Emulator {
         let known = (id.to_owned(), pool.to_owned());
         let mut engines = self.engines.lock().unwrap();
         if !engines.contains(&known) {
             engines.push(known);
         }
         let control: Vec<_> = self.instances.iter().map(|i| i.control).collect();
-        let plan = plan.with("pool", pool).with("credential", pool);
+        let plan = plan.flag("pool", pool).flag("credential", pool);
         plan.announce(&control).start()
     }
 
@@ -257,8 +257,8 @@
                 let known = |id: &String| state.contains(&format!("\"{id}\""));
                 engines.iter().all(|(id, _)| known(id)).then_some(())
             });
-            let probe = Ask::new(KEY, "probe", 1);
-            let other = Ask::new(OTHER_KEY, "probe", 1).route("letters");
+            let probe = CompletionRequest::new(KEY, "probe", 1);
+            let other = CompletionRequest::new(OTHER_KEY, "probe", 1).route("letters");
             for (ask, pool) in [(probe, POOL), (other, OTHER_POOL)] {
                 if engines.iter().any(|(_, p)| p == pool) {
                     wait_for("an answer to a probe", || {
--- a/tests/e2e/answers.rs
+++ b/tests/e2e/answers.rs
@@ -7,8 +7,8 @@
 
 use std::process::Command;
 
-use crate::common::caller::{Ask, Event, agent};
-use crate::common::emulator::example;
+use crate::common::caller::{CompletionRequest, Event, agent};
+use crate::common::emulator::example_path;
 use crate::common::fleet::{Fleet, KEY, OTHER_KEY};
 use crate::common::wait_for;
 
@@ -20,14 +20,14 @@
     let first = fleet.engine("eng-1", "0..16");
     let second = fleet.engine("eng-2", "16..32");
     fleet.serving();
-    let ask = Ask::new(KEY, "window 120 by 210", 9);
+    let ask = CompletionRequest::new(KEY, "window 120 by 210", 9);
     let reply = ask.send(fleet.caller(0)).expect("an answer");
     assert_eq!(
         (reply.status, reply.text()),
         (200, ask.expected(32).as_str())
     );
-    let ask = Ask::new(KEY, "window 90 by 80", 9);
-    let (text, end) = ask.stream(fleet.caller(0)).rest();
+    let ask = CompletionRequest::new(KEY, "window 90 by 80", 9);
+    let (text, end) = ask.stream(fleet.caller(0)).read_to_end();
     assert_eq!((text, end), (ask.expected(32), Event::Done));
     for engine in [&first, &second] {
         let executions = engine.executions();
@@ -48,8 +48,8 @@
     let fleet = Fleet::single();
     let engine = fleet.engine("eng-1", "0..32");
     fleet.serving();
-    engine.fault(&json!({"mode": "stall", "count": 1, "after": 1}));
-    let ask = Ask::new(KEY, "grow", 4);
+    engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": 1}));
+    let ask = CompletionRequest::new(KEY, "grow", 4);
     let mut stream = ask.stream(fleet.caller(0));
     let Event::Token(token) = stream.next() else {
         panic!("no token");
@@ -82,11 +82,11 @@
     ];
     fleet.serving();
     for engine in &engines {
-        engine.fault(&json!({"mode": mode, "count": 1, "after": 3}));
+        engine.inject_fault(&json!({"mode": mode, "count": 1, "after": 3}));
     }
     for round in 0..6 {
-        let ask = Ask::new(KEY, &format!("{mode} {round}"), 8);
-        let (text, end) = ask.stream(fleet.caller(0)).rest();
+        let ask = CompletionRequest::new(KEY, &format!("{mode} {round}"), 8);
+        let (text, end) = ask.stream(fleet.caller(0)).read_to_end();
         assert_eq!(
             (text, end),
             (ask.expected(32), Event::Done),
@@ -107,13 +107,14 @@
     let fleet = Fleet::single();
     let engine = fleet.engine("eng-1", "0..32");
     fleet.serving();
-    engine.fault(&json!({"mode": mode, "after": 0}));
-    let ask = Ask::new(KEY, &format!("hopeless {mode}"), 8).header("x-deadline-ms", "5000");
+    engine.inject_fault(&json!({"mode": mode, "after": 0}));
+    let ask =
+        CompletionRequest::new(KEY, &format!("hopeless {mode}"), 8).header("x-deadline-ms", "5000");
     let reply = ask.send(fleet.caller(0)).expect("an answer");
     assert_ne!(reply.status, 200);
     assert!(!reply.code().is_empty(), "{reply:?}");
     assert_ne!(reply.ran(), "no", "{reply:?}");
-    let (text, end) = ask.stream(fleet.caller(0)).rest();
+    let (text, end) = ask.stream(fleet.caller(0)).read_to_end();
     assert!(ask.expected(32).starts_with(&text), "{text:?}");
     assert_ne!(end, Event::Done);
 }
@@ -133,7 +134,7 @@
     let engines = plan.map(|(id, pool)| fleet.engine_in(id, "0..32", pool));
     fleet.serving();
     for engine in &engines {
-        engine.fault(&json!({"mode": "swap_ids", "count": 20, "after": 2}));
+        engine.inject_fault(&json!({"mode": "swap_ids", "count": 20, "after": 2}));
     }
     let address = fleet.caller(0);
     let callers: Vec<_> = (0..40)
@@ -146,8 +147,9 @@
                 };
                 (0..5)
                     .filter(|round| {
-                        let ask = Ask::new(key, &format!("swap {caller} {round}"), 8).route(route);
-                        let (text, end) = ask.stream(address).rest();
+                        let ask = CompletionRequest::new(key, &format!("swap {caller} {round}"), 8)
+                            .route(route);
+                        let (text, end) = ask.stream(address).read_to_end();
                         let expected = ask.expected(32);
                         assert!(expected.starts_with(&text), "{text:?} for {expected:?}");
                         assert_eq!(end == Event::Done, text == expected);
@@ -195,7 +197,7 @@
     let engine = fleet.engine("eng-1", "0..32");
     fleet.serving();
     let load = |marked: &str| {
-        Command::new(example("load"))
+        Command::new(example_path("load"))
             .args(["--target", &fleet.caller(0).to_string(), "--key", KEY])
             .args(["--emulators", &engine.address.to_string()])
             .args(["--requests", "20", "--tokens", "2", "--stream", "--json"])
--- a/tests/e2e/bad_input.rs
+++ b/tests/e2e/bad_input.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use serde_json::Value;
 
-use crate::common::caller::{Ask, Event, connect, raw};
+use crate::common::caller::{CompletionRequest, Event, connect, send_raw};
 use crate::common::fleet::{Fleet, KEY, OTHER_KEY};
 use crate::common::wait_for;
 
@@ -49,7 +49,7 @@
     ];
     let before = engine.total("began");
     for (status, head, body) in cases {
-        let answer = raw(fleet.caller(0), &post(head, body));
+        let answer = send_raw(fleet.caller(0), &post(head, body));
         let (found, code, ran) = refusal(&answer);
         assert_eq!((found, ran.as_str()), (status, "no"), "{body}: {answer}");
         assert!(!code.is_empty(), "{answer}");
@@ -65,8 +65,10 @@
     let engine = fleet.engine("eng-1", "0..32");
     fleet.serving();
     let before = engine.total("began");
-    let foreign = Ask::new(OTHER_KEY, "x", 2).send(fleet.caller(0)).unwrap();
-    let unknown = Ask::new(OTHER_KEY, "x", 2).route("nothing");
+    let foreign = CompletionRequest::new(OTHER_KEY, "x", 2)
+        .send(fleet.caller(0))
+        .unwrap();
+    let unknown = CompletionRequest::new(OTHER_KEY, "x", 2).route("nothing");
     let unknown = unknown.send(fleet.caller(0)).unwrap();
     assert_eq!(foreign.status, unknown.status);
     assert_eq!(foreign.code(), unknown.code());
@@ -83,7 +85,7 @@
     let key = format!("authorization: Bearer {KEY}\r\n");
     let prompt = "x".repeat(64 * 1024 * 1024);
     let body = format!(r#"{{"model":"quotations","prompt":"{prompt}"}}"#);
-    let (status, _, ran) = refusal(&raw(fleet.caller(0), &post(&key, &body)));
+    let (status, _, ran) = refusal(&send_raw(fleet.caller(0), &post(&key, &body)));
     assert_eq!((status, ran.as_str()), (413, "no"));
     fleet.serving();
 }
@@ -95,7 +97,7 @@
     let _engine = fleet.engine("eng-1", "0..32");
     fleet.serving();
     let head = format!("x-filler: {}\r\n", "x".repeat(4 * 1024 * 1024));
-    let answer = raw(fleet.caller(0), &post(&head, "{}"));
+    let answer = send_raw(fleet.caller(0), &post(&head, "{}"));
     let status = refusal(&answer).0;
     assert!(status == 431 || answer.is_empty(), "{answer}");
     fleet.serving();
@@ -140,7 +142,7 @@
     fleet.serving();
     // The route "narrow" lets one request run and none wait.
     let reply = |prompt: &str| {
-        let ask = Ask::new(KEY, prompt, 4).route("narrow");
+        let ask = CompletionRequest::new(KEY, prompt, 4).route("narrow");
         wait_for("a free place", || {
             let reply = ask.send(fleet.caller(0)).ok()?;
             (reply.status == 200).then(|| (reply.text().to_owned(), ask.expected(32)))
@@ -150,8 +152,8 @@
     for round in 0..3 {
         let cancelled = engine.total("cancelled");
         let stall = serde_json::json!({"mode": "stall", "count": 1, "after": tokens});
-        engine.fault(&stall);
-        let ask = Ask::new(KEY, &format!("leave {round}"), 8).route("narrow");
+        engine.inject_fault(&stall);
+        let ask = CompletionRequest::new(KEY, &format!("leave {round}"), 8).route("narrow");
         let mut stream = wait_for("a free place", || {
             let mut stream = ask.stream(fleet.caller(0));
             let begun = || (engine.attempts(&ask.prompt) > 0).then_some(());
@@ -168,7 +170,7 @@
             assert!(matches!(stream.next(), Event::Token(_)));
         }
         drop(stream);
-        engine.reach("cancelled", cancelled + 1);
+        engine.wait_for_total("cancelled", cancelled + 1);
     }
     let (text, expected) = reply("after all");
     assert_eq!(text, expected);
--- a/tests/e2e/catalogue.rs
+++ b/tests/e2e/catalogue.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{Value, json};
 
-use crate::common::caller::{Ask, agent};
+use crate::common::caller::{CompletionRequest, agent};
 use crate::common::fleet::{Fleet, KEY, POOL};
 use crate::common::wait_for;
 
@@ -130,7 +130,7 @@
     let mut fleet = Fleet::of(4);
     let _engine = fleet.engine("eng-1", "0..32");
     fleet.serving();
-    let ask = Ask::new(KEY, "before the change", 2).route("narrow");
+    let ask = CompletionRequest::new(KEY, "before the change", 2).route("narrow");
     wait_for("an answer", || {
         let reply = ask.send(fleet.caller(3)).ok()?;
         (reply.status == 200).then_some(())
@@ -151,7 +151,7 @@
         "{status} {code}"
     );
     wait_for("the change in force", || {
-        let reply = Ask::new(KEY, "after", 2)
+        let reply = CompletionRequest::new(KEY, "after", 2)
             .route("narrow")
             .send(address)
             .ok()?;
@@ -171,7 +171,7 @@
     for at in [0, 1] {
         fleet.instance(at).process.freeze();
     }
-    let ask = Ask::new(KEY, "while cut off", 2);
+    let ask = CompletionRequest::new(KEY, "while cut off", 2);
     for at in [2, 3] {
         wait_for("a refusal", || {
             let reply = ask.send(fleet.caller(at)).ok()?;
@@ -179,7 +179,7 @@
                 return None;
             }
             assert_eq!(reply.ran(), "no");
-            assert!(reply.pause.is_some(), "no time to come back");
+            assert!(reply.retry_after.is_some(), "no time to come back");
             Some(())
         });
         let uri = format!("http://{}/readyz", fleet.caller(at));
@@ -280,12 +280,12 @@
 #[test]
 fn completions_route_retired_while_waiting() {
     let fleet = Fleet::with(1, &["--first-ms=60000"]);
-    let engine = fleet.engine_with("eng-1", "0..32", |p| p.with("slots", 1));
+    let engine = fleet.engine_with("eng-1", "0..32", |p| p.flag("slots", 1));
     fleet.serving();
-    engine.fault(&json!({"mode": "slow", "count": 4, "ms": 2000}));
+    engine.inject_fault(&json!({"mode": "slow", "count": 4, "ms": 2000}));
     let address = fleet.caller(0);
     let asks: Vec<_> = (0..12)
-        .map(|i| Ask::new(KEY, &format!("waiting {i}"), 3).route("narrow-wide"))
+        .map(|i| CompletionRequest::new(KEY, &format!("waiting {i}"), 3).route("narrow-wide"))
         .collect();
     let widen = json!({"id": "widen", "expect": "any", "operations": [{"put": {
         "kind": "route", "name": "narrow-wide", "organisation": "kouvertoura",
@@ -296,7 +296,7 @@
         let reply = asks[0].send(address).ok()?;
         (reply.status == 200).then_some(())
     });
-    engine.fault(&json!({"mode": "slow", "count": 4, "ms": 2000}));
+    engine.inject_fault(&json!({"mode": "slow", "count": 4, "ms": 2000}));
     let waiting: Vec<_> = asks
         .into_iter()
         .map(|ask| thread::spawn(move || ask.send(address)))
--- a/tests/e2e/control.rs
+++ b/tests/e2e/control.rs
@@ -2,7 +2,7 @@
 
 use std::thread;
 
-use crate::common::caller::raw;
+use crate::common::caller::send_raw;
 use crate::common::fleet::Fleet;
 
 /// An operator's change hangs until the command gives up, now and then, on a
@@ -18,7 +18,7 @@
             thread::spawn(move || {
                 let request = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
                 (0..50)
-                    .filter(|_| raw(address, request).starts_with("HTTP/1.1 200"))
+                    .filter(|_| send_raw(address, request).starts_with("HTTP/1.1 200"))
                     .count()
             })
         })
--- a/tests/e2e/drain.rs
+++ b/tests/e2e/drain.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::common::caller::{Ask, Event, agent};
+use crate::common::caller::{CompletionRequest, Event, agent};
 use crate::common::fleet::{Fleet, KEY};
 use crate::common::wait_for;
 
@@ -20,10 +20,10 @@
     let mut fleet = Fleet::single();
     let engine = fleet.engine("eng-1", "0..32");
     fleet.serving();
-    engine.fault(&json!({"mode": "slow", "count": 8, "ms": 100}));
+    engine.inject_fault(&json!({"mode": "slow", "count": 8, "ms": 100}));
     let address = fleet.caller(0);
     let asks: Vec<_> = (0..8)
-        .map(|i| Ask::new(KEY, &format!("drain {i}"), 12))
+        .map(|i| CompletionRequest::new(KEY, &format!("drain {i}"), 12))
         .collect();
     let streams: Vec<_> = asks.iter().map(|a| a.stream(address)).collect();
     for ask in &asks {
@@ -38,7 +38,7 @@
         reply.map_or(true, |r| r.status() != 200).then_some(())
     });
     for (ask, mut stream) in asks.iter().zip(streams) {
-        assert_eq!(stream.rest(), (ask.expected(32), Event::Done));
+        assert_eq!(stream.read_to_end(), (ask.expected(32), Event::Done));
     }
     assert!(fleet.instance(0).process.exit().success());
     assert_eq!(engine.total("cancelled"), 0);
@@ -54,8 +54,8 @@
     let mut fleet = Fleet::with(1, &[drain, "--idle-ms=60000", "--first-ms=60000"]);
     let engine = fleet.engine("eng-1", "0..32");
     fleet.serving();
-    engine.fault(&json!({"mode": "slow", "count": 1, "ms": 20_000}));
-    let ask = Ask::new(KEY, "an answer of minutes", 12);
+    engine.inject_fault(&json!({"mode": "slow", "count": 1, "ms": 20_000}));
+    let ask = CompletionRequest::new(KEY, "an answer of minutes", 12);
     let mut stream = ask.stream(fleet.caller(0));
     wait_for("a running answer", || {
         (engine.attempts(&ask.prompt) == 1).then_some(())
@@ -65,7 +65,7 @@
         thread::sleep(Duration::from_millis(300));
     }
     assert!(fleet.instance(0).process.exit().success());
-    assert_ne!(stream.rest().1, Event::Done);
+    assert_ne!(stream.read_to_end().1, Event::Done);
 }
 
 /// An engine is taken out of service under load. It gets no new work after a
@@ -73,7 +73,7 @@
 #[test]
 fn upstream_leaving_gets_no_new_work_and_cuts_off_nothing() {
     let fleet = Fleet::of(3);
-    let mut leaving = fleet.engine_with("eng-1", "0..32", |p| p.with("linger-ms", 5000));
+    let mut leaving = fleet.engine_with("eng-1", "0..32", |p| p.flag("linger-ms", 5000));
     let _staying = fleet.engine("eng-2", "0..32");
     fleet.serving();
     let ended = Arc::new(AtomicBool::new(false));
@@ -83,20 +83,20 @@
             thread::spawn(move || {
                 let mut round = 0;
                 while !ended.load(Ordering::SeqCst) {
-                    let ask = Ask::new(KEY, &format!("leaving {caller} {round}"), 6);
-                    let outcome = ask.stream(address).rest();
+                    let ask = CompletionRequest::new(KEY, &format!("leaving {caller} {round}"), 6);
+                    let outcome = ask.stream(address).read_to_end();
                     assert_eq!(outcome, (ask.expected(32), Event::Done));
                     round += 1;
                 }
             })
         })
         .collect();
-    leaving.reach("finished", 10);
+    leaving.wait_for_total("finished", 10);
     leaving.process.terminate();
     assert!(leaving.process.exit().success());
     ended.store(true, Ordering::SeqCst);
     for caller in callers {
         caller.join().expect("a caller");
     }
-    assert_eq!(leaving.last_totals()["late"], 0);
+    assert_eq!(leaving.final_totals()["late"], 0);
 }
--- a/tests/e2e/once.rs
+++ b/tests/e2e/once.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 
-use crate::common::caller::{Ask, Event, agent};
+use crate::common::caller::{CompletionRequest, Event, agent};
 use crate::common::emulator::Emulator;
 use crate::common::fleet::{Fleet, KEY, OTHER_KEY};
 use crate::common::wait_for;
@@ -18,16 +18,20 @@
 }
 
 /// Starts a demand letter on instance 0 that stalls behind two tokens.
-fn half(fleet: &Fleet, engines: &[Emulator], ask: &Ask) -> crate::common::caller::Stream {
+fn half(
+    fleet: &Fleet,
+    engines: &[Emulator],
+    ask: &CompletionRequest,
+) -> crate::common::caller::EventStream {
     for engine in engines {
-        engine.fault(&json!({"mode": "stall", "count": 1, "after": 2}));
+        engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": 2}));
     }
     let mut stream = ask.stream(fleet.caller(0));
     for _ in 0..2 {
         assert!(matches!(stream.next(), Event::Token(_)));
     }
     for engine in engines {
-        engine.clear();
+        engine.clear_faults();
     }
     stream
 }
@@ -37,9 +41,9 @@
 
 /// Resends the same request until the answer is definite: whole, or a failure.
 /// Answers the text and the failure's code. No refusal may deny the run.
-fn resend(fleet: &Fleet, ask: &Ask) -> (String, String) {
+fn resend(fleet: &Fleet, ask: &CompletionRequest) -> (String, String) {
     wait_for("a definite answer", || {
-        let (text, end) = ask.stream(fleet.caller(1)).rest();
+        let (text, end) = ask.stream(fleet.caller(1)).read_to_end();
         match end {
             Event::Done => Some((text, String::new())),
             Event::Failed(error) => {
@@ -60,10 +64,10 @@
 fn completions_instance_killed_resend_runs_nothing_twice() {
     let mut fleet = Fleet::of(3);
     let engines = engines(&fleet);
-    let ask = Ask::new(KEY, "demand letter, kill", 8).once("letter-1");
+    let ask = CompletionRequest::new(KEY, "demand letter, kill", 8).non_idempotent("letter-1");
     let mut stream = half(&fleet, &engines, &ask);
     fleet.instance(0).process.kill();
-    assert_ne!(stream.rest().1, Event::Done);
+    assert_ne!(stream.read_to_end().1, Event::Done);
     let (_, code) = resend(&fleet, &ask);
     assert_eq!(code, "outcome_unknown");
     assert_eq!(attempts(&engines, &ask.prompt), 1);
@@ -75,14 +79,14 @@
 fn completions_instance_frozen_resend_runs_nothing_twice() {
     let mut fleet = Fleet::of(3);
     let engines = engines(&fleet);
-    let ask = Ask::new(KEY, "demand letter, freeze", 8).once("letter-2");
+    let ask = CompletionRequest::new(KEY, "demand letter, freeze", 8).non_idempotent("letter-2");
     let stream = half(&fleet, &engines, &ask);
     fleet.instance(0).process.freeze();
     let (_, code) = resend(&fleet, &ask);
     assert_eq!(code, "outcome_unknown");
     fleet.instance(0).process.thaw();
     drop(stream);
-    let probe = Ask::new(KEY, "after the thaw", 2);
+    let probe = CompletionRequest::new(KEY, "after the thaw", 2);
     wait_for("the thawed instance", || {
         let reply = probe.send(fleet.caller(0)).ok()?;
         (reply.status == 200).then_some(())
@@ -96,8 +100,9 @@
 fn completions_resend_elsewhere_gets_the_kept_answer() {
     let fleet = Fleet::of(3);
     let engines = engines(&fleet);
-    let ask = Ask::new(KEY, "demand letter, lost answer", 8).once("letter-3");
-    let first = ask.stream(fleet.caller(0)).rest();
+    let ask =
+        CompletionRequest::new(KEY, "demand letter, lost answer", 8).non_idempotent("letter-3");
+    let first = ask.stream(fleet.caller(0)).read_to_end();
     assert_eq!(first, (ask.expected(32), Event::Done));
     let (text, code) = resend(&fleet, &ask);
     assert_eq!((text, code.as_str()), (ask.expected(32), ""));
@@ -111,8 +116,9 @@
 fn completions_resend_in_another_form_gets_the_kept_answer() {
     let fleet = Fleet::of(3);
     let engines = engines(&fleet);
-    let ask = Ask::new(KEY, "demand letter, other form", 8).once("letter-7");
-    let first = ask.stream(fleet.caller(0)).rest();
+    let ask =
+        CompletionRequest::new(KEY, "demand letter, other form", 8).non_idempotent("letter-7");
+    let first = ask.stream(fleet.caller(0)).read_to_end();
     assert_eq!(first, (ask.expected(32), Event::Done));
     let reply = wait_for("the kept answer", || {
         let reply = ask.send(fleet.caller(1)).ok()?;
@@ -130,10 +136,10 @@
     let fleet = Fleet::single();
     let _engines = engines(&fleet);
     let _other = fleet.engine_in("eng-3", "0..32", "midlands");
-    let mine = Ask::new(KEY, "mine", 4).once("letter-4");
-    let theirs = Ask::new(OTHER_KEY, "theirs", 4)
+    let mine = CompletionRequest::new(KEY, "mine", 4).non_idempotent("letter-4");
+    let theirs = CompletionRequest::new(OTHER_KEY, "theirs", 4)
         .route("letters")
-        .once("letter-4");
+        .non_idempotent("letter-4");
     let reply = mine.send(fleet.caller(0)).expect("an answer");
     assert_eq!(reply.text(), mine.expected(32));
     let reply = wait_for("an answer to the other organisation", || {
@@ -149,14 +155,14 @@
 fn completions_stage_killed_non_idempotent_is_unknown() {
     let fleet = Fleet::single();
     let mut engines = engines(&fleet);
-    let ask = Ask::new(KEY, "demand letter, stage", 8).once("letter-5");
+    let ask = CompletionRequest::new(KEY, "demand letter, stage", 8).non_idempotent("letter-5");
     let mut stream = half(&fleet, &engines, &ask);
     let leader = engines
         .iter()
         .position(|e| e.attempts(&ask.prompt) == 1)
         .expect("a leader");
     engines[leader].process.kill();
-    let Event::Failed(error) = stream.rest().1 else {
+    let Event::Failed(error) = stream.read_to_end().1 else {
         panic!("no failure");
     };
     assert_ne!(error["ran"], "no", "{error}");
@@ -182,7 +188,7 @@
     wait_for("a serving service", || {
         (send("probe") == Some(200)).then_some(())
     });
-    service.fault(&json!({"mode": "stall", "count": 1}));
+    service.inject_fault(&json!({"mode": "stall", "count": 1}));
     assert_ne!(send("booking-1"), Some(200));
     let _ = send("booking-1");
     assert_eq!(service.executions()["keys"]["booking-1"], 1);
--- a/tests/e2e/resume.rs
+++ b/tests/e2e/resume.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 
-use crate::common::caller::{Ask, Event, Stream};
+use crate::common::caller::{CompletionRequest, Event, EventStream};
 use crate::common::emulator::Emulator;
 use crate::common::fleet::{Fleet, KEY};
 use crate::common::port;
@@ -25,7 +25,7 @@
 }
 
 /// Reads [`SEEN`] tokens.
-fn tokens(stream: &mut Stream) -> String {
+fn tokens(stream: &mut EventStream) -> String {
     let token = |_| match stream.next() {
         Event::Token(token) => token,
         other => panic!("{other:?} in place of a token"),
@@ -35,9 +35,13 @@
 
 /// Starts an answer that stalls behind [`SEEN`] tokens at its first stage.
 /// Answers the stream, the text so far and the index of the engine that leads.
-fn half(fleet: &Fleet, engines: &[Emulator], ask: &Ask) -> (Stream, String, usize) {
+fn half(
+    fleet: &Fleet,
+    engines: &[Emulator],
+    ask: &CompletionRequest,
+) -> (EventStream, String, usize) {
     for engine in &engines[..2] {
-        engine.fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
+        engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
     }
     let mut stream = ask.stream(fleet.caller(0));
     let text = tokens(&mut stream);
@@ -51,11 +55,11 @@
 fn completions_first_stage_killed_goes_on_elsewhere() {
     let fleet = Fleet::single();
     let mut engines = stages(&fleet);
-    let ask = Ask::new(KEY, "kill the first stage", TOKENS);
+    let ask = CompletionRequest::new(KEY, "kill the first stage", TOKENS);
     let (mut stream, begun, leader) = half(&fleet, &engines, &ask);
-    engines[1 - leader].clear();
+    engines[1 - leader].clear_faults();
     engines[leader].process.kill();
-    let (rest, end) = stream.rest();
+    let (rest, end) = stream.read_to_end();
     assert_eq!((begun + &rest, end), (ask.expected(32), Event::Done));
 }
 
@@ -65,11 +69,11 @@
 fn completions_first_stage_frozen_goes_on_elsewhere() {
     let fleet = Fleet::single();
     let engines = stages(&fleet);
-    let ask = Ask::new(KEY, "freeze the first stage", TOKENS);
+    let ask = CompletionRequest::new(KEY, "freeze the first stage", TOKENS);
     let (mut stream, begun, leader) = half(&fleet, &engines, &ask);
-    engines[1 - leader].clear();
+    engines[1 - leader].clear_faults();
     engines[leader].process.freeze();
-    let (rest, end) = stream.rest();
+    let (rest, end) = stream.read_to_end();
     engines[leader].process.thaw();
     assert_eq!((begun + &rest, end), (ask.expected(32), Event::Done));
 }
@@ -81,17 +85,17 @@
     let fleet = Fleet::single();
     let mut engines = stages(&fleet);
     for engine in &engines[2..] {
-        engine.fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
+        engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
     }
-    let ask = Ask::new(KEY, "kill a later stage", TOKENS);
+    let ask = CompletionRequest::new(KEY, "kill a later stage", TOKENS);
     let mut stream = ask.stream(fleet.caller(0));
     let begun = tokens(&mut stream);
     let stuck = (2..4)
         .max_by_key(|at| engines[*at].total("tokens"))
         .expect("two engines");
-    engines[5 - stuck].clear();
+    engines[5 - stuck].clear_faults();
     engines[stuck].process.kill();
-    let (rest, end) = stream.rest();
+    let (rest, end) = stream.read_to_end();
     assert_eq!((begun + &rest, end), (ask.expected(32), Event::Done));
 }
 
@@ -105,9 +109,9 @@
         .into();
     fleet.serving();
     for engine in &engines {
-        engine.fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
+        engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
     }
-    let ask = Ask::new(KEY, "kill two engines", TOKENS);
+    let ask = CompletionRequest::new(KEY, "kill two engines", TOKENS);
     let mut stream = ask.stream(fleet.caller(0));
     let mut text = String::new();
     for _ in 0..2 {
@@ -115,11 +119,11 @@
         let leader = engines.iter().position(|e| e.attempts(&ask.prompt) > 0);
         let mut leader = engines.swap_remove(leader.expect("an engine leads"));
         if engines.len() == 1 {
-            engines[0].clear();
+            engines[0].clear_faults();
         }
         leader.process.kill();
     }
-    let (rest, end) = stream.rest();
+    let (rest, end) = stream.read_to_end();
     assert_eq!((text + &rest, end), (ask.expected(32), Event::Done));
 }
 
@@ -132,16 +136,16 @@
     let address = port::free();
     let shim = Shim::new(address);
     let near = fleet.engine_with("near", "0..32", |plan| {
-        plan.with("listen", address).with("advertise", shim.address)
+        plan.flag("listen", address).flag("advertise", shim.address)
     });
     fleet.serving();
-    near.fault(&json!({"mode": "slow", "count": 1, "after": SEEN, "ms": 300}));
-    let ask = Ask::new(KEY, "cut the link", TOKENS);
+    near.inject_fault(&json!({"mode": "slow", "count": 1, "after": SEEN, "ms": 300}));
+    let ask = CompletionRequest::new(KEY, "cut the link", TOKENS);
     let mut stream = ask.stream(fleet.caller(0));
     let begun = tokens(&mut stream);
     let far = fleet.engine("far", "0..32");
     shim.silence();
-    let (rest, end) = stream.rest();
+    let (rest, end) = stream.read_to_end();
     shim.heal();
     assert_eq!((begun + &rest, end), (ask.expected(32), Event::Done));
     assert_eq!(far.attempts(&ask.prompt), 1);
--- a/tests/emulator.rs
+++ b/tests/emulator.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 use common::caller::{agent, connect};
-use common::emulator::{Emulator, Plan};
+use common::emulator::{Emulator, EmulatorBuilder};
 use common::{TIMEOUT, model, wait_for};
 
 fn call(stages: &[&Emulator], request: &str, limit: usize) -> Value {
@@ -46,8 +46,8 @@
 
 #[test]
 fn pipeline_of_two_stages_answers_as_the_model() {
-    let first = Plan::engine("eng-1", "0..16").start();
-    let second = Plan::engine("eng-2", "16..32").start();
+    let first = EmulatorBuilder::engine("eng-1", "0..16").start();
+    let second = EmulatorBuilder::engine("eng-2", "16..32").start();
     let (events, whole) = events(first.address, &call(&[&first, &second], "1-1-1", 5));
     let texts: Vec<_> = events[..5]
         .iter()
@@ -75,7 +75,7 @@
 
 #[test]
 fn pipeline_resumed_goes_on_behind_the_given_tokens() {
-    let engine = Plan::engine("eng-1", "0..32").start();
+    let engine = EmulatorBuilder::engine("eng-1", "0..32").start();
     let expected = model::answer("1-1-2", 32, 6);
     let mut body = call(&[&engine], "1-1-2", 6);
     body["tokens"] = json!(expected[..4]);
@@ -91,8 +91,10 @@
 
 #[test]
 fn fault_cut_comes_behind_the_tokens_asked_for() {
-    let engine = Plan::engine("eng-1", "0..32").with("token-ms", 0).start();
-    engine.fault(&json!({"mode": "cut", "count": 1, "after": 3}));
+    let engine = EmulatorBuilder::engine("eng-1", "0..32")
+        .flag("token-ms", 0)
+        .start();
+    engine.inject_fault(&json!({"mode": "cut", "count": 1, "after": 3}));
     let (cut, whole) = events(engine.address, &call(&[&engine], "1-1-3", 6));
     assert_eq!((cut.len(), whole), (3, false));
     let (healthy, whole) = events(engine.address, &call(&[&engine], "1-1-4", 6));
@@ -101,9 +103,9 @@
 
 #[test]
 fn pipeline_cancelled_when_the_connection_closes() {
-    let first = Plan::engine("eng-1", "0..16").start();
-    let second = Plan::engine("eng-2", "16..32").start();
-    first.fault(&json!({"mode": "stall", "count": 1, "after": 2}));
+    let first = EmulatorBuilder::engine("eng-1", "0..16").start();
+    let second = EmulatorBuilder::engine("eng-2", "16..32").start();
+    first.inject_fault(&json!({"mode": "stall", "count": 1, "after": 2}));
     let body = call(&[&first, &second], "1-1-5", 6).to_string();
     let mut socket = connect(first.address);
     let head = format!(
@@ -117,7 +119,7 @@
         (second.total("tokens") == 2).then_some(())
     });
     drop(socket);
-    first.reach("cancelled", 1);
+    first.wait_for_total("cancelled", 1);
     wait_for("an idle second stage", || {
         (second.executions()["running"] == 0).then_some(())
     });
@@ -160,7 +162,7 @@
 fn terminate_announces_leaving_and_gone_and_ends_the_work() {
     let (address, announcements) = control();
     let dead = common::port::free();
-    let plan = Plan::engine("eng-1", "0..32").with("linger-ms", 0);
+    let plan = EmulatorBuilder::engine("eng-1", "0..32").flag("linger-ms", 0);
     let mut engine = plan.announce(&[dead, address]).start();
     let up = announcements
         .recv_timeout(TIMEOUT)
@@ -169,10 +171,10 @@
         (&up["state"], &up["serves"]["engine"]["end"]),
         (&json!("up"), &json!(32))
     );
-    engine.fault(&json!({"mode": "slow", "ms": 50}));
+    engine.inject_fault(&json!({"mode": "slow", "ms": 50}));
     let (to, body) = (engine.address, call(&[&engine], "1-1-6", 8));
     let running = thread::spawn(move || events(to, &body));
-    engine.reach("tokens", 1);
+    engine.wait_for_total("tokens", 1);
     engine.process.terminate();
     let (answer, whole) = running.join().expect("join the caller");
     assert_eq!((answer.len(), whole), (9, true));
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -16,7 +16,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value;
 
-use common::emulator::{Emulator, Plan, example};
+use common::emulator::{Emulator, EmulatorBuilder, example_path};
 use common::fleet::{Fleet, KEY};
 use common::port;
 use common::process::Process;
@@ -50,9 +50,9 @@
         let (id, layers) = ENGINES[self.at];
         let journal = folder.join(id);
         let (address, journal) = (self.address, journal.display().to_string());
-        let plan = |p: Plan| {
-            let p = p.with("listen", address).with("journal", journal.clone());
-            p.with("token-ms", 2).with("slots", 64)
+        let plan = |p: EmulatorBuilder| {
+            let p = p.flag("listen", address).flag("journal", journal.clone());
+            p.flag("token-ms", 2).flag("slots", 64)
         };
         self.engine = Some(fleet.engine_with(id, layers, plan));
     }
@@ -65,7 +65,7 @@
     };
     let targets = list((0..INSTANCES).map(|i| fleet.caller(i)).collect());
     let emulators = list(places.iter().map(|p| p.address).collect());
-    let mut command = Command::new(example("load"));
+    let mut command = Command::new(example_path("load"));
     command
         .args(["--target", &targets, "--emulators", &emulators])
         .args(["--key", KEY, "--route", "quotations", "--tokens", "8"])
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -8,14 +8,14 @@
 
 use serde_json::{Value, json};
 
-use common::caller::{Ask, Event, Stream, agent};
-use common::emulator::{Emulator, example};
+use common::caller::{CompletionRequest, Event, EventStream, agent};
+use common::emulator::{Emulator, example_path};
 use common::fleet::{Fleet, KEY};
 use common::process::Process;
 use common::wait_for;
 
 fn load(args: &[&str]) -> Value {
-    let mut command = Command::new(example("load"));
+    let mut command = Command::new(example_path("load"));
     command
         .args(args)
         .args(["--stream", "--json", "--key", KEY]);
@@ -35,9 +35,9 @@
     let plan = [("eng-1", "0..16"), ("eng-2", "16..32")];
     let engines = plan.map(|(id, layers)| {
         fleet.engine_with(id, layers, |p| {
-            p.with("token-ms", delay)
-                .with("slots", 512)
-                .with("threads", 4)
+            p.flag("token-ms", delay)
+                .flag("slots", 512)
+                .flag("threads", 4)
         })
     });
     fleet.serving();
@@ -104,7 +104,7 @@
 
 const SEEN: usize = 3;
 
-fn tokens(stream: &mut Stream) {
+fn tokens(stream: &mut EventStream) {
     for _ in 0..SEEN {
         assert!(matches!(stream.next(), Event::Token(_)));
     }
@@ -144,7 +144,7 @@
     let fleet = Fleet::single();
     let mut engines = ["e-1", "e-2"].map(|id| fleet.engine(id, "0..32"));
     fleet.serving();
-    let ask = Ask::new(KEY, &format!("recover {round}"), 400);
+    let ask = CompletionRequest::new(KEY, &format!("recover {round}"), 400);
     let mut stream = ask.stream(fleet.caller(0));
     tokens(&mut stream);
     let leader = engines.iter().position(|e| e.attempts(&ask.prompt) > 0);
@@ -180,14 +180,15 @@
         let mut fleet = Fleet::of(3);
         let engine = fleet.engine("e-1", "0..32");
         fleet.serving();
-        engine.fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
-        let ask = Ask::new(KEY, "letter", 8).once(&format!("measure-{round}"));
+        engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
+        let ask =
+            CompletionRequest::new(KEY, "letter", 8).non_idempotent(&format!("measure-{round}"));
         let mut stream = ask.stream(fleet.caller(0));
         tokens(&mut stream);
         let begin = Instant::now();
         fleet.instance(0).process.kill();
         let code = wait_for("a definite answer", || {
-            match ask.stream(fleet.caller(1)).rest().1 {
+            match ask.stream(fleet.caller(1)).read_to_end().1 {
                 Event::Done => Some("whole".to_owned()),
                 Event::Failed(error) if error["code"] == "outcome_unknown" => {
                     Some("outcome_unknown".to_owned())
