--- a/tests/common/emulator.rs
+++ b/tests/common/emulator.rs
@@ -60,7 +60,7 @@
             &self.id,
             Command::new(example_path("emulator")).args(&self.args),
         );
-        let line = process.lines(1).pop().unwrap_or_default();
+        let line = process.read_lines(1).pop().unwrap_or_default();
         let address = line.strip_prefix("ready ").and_then(|a| a.parse().ok());
         Emulator {
             id: self.id,
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -12,7 +12,7 @@
 use super::caller::{CompletionRequest, agent};
 use super::emulator::{Emulator, EmulatorBuilder};
 use super::process::Process;
-use super::shim::Shim;
+use super::proxy::Proxy;
 use super::{port, wait_for};
 
 /// Key of the organisation kouvertoura, which owns "quotations", "narrow" and
@@ -44,7 +44,7 @@
     /// Where the others find each instance.
     peers: Vec<SocketAddr>,
     /// Relays before the instances, in a fleet that can be cut.
-    shims: Vec<Shim>,
+    proxies: Vec<Proxy>,
     /// Where each instance listens behind its relay.
     binds: Vec<SocketAddr>,
     folder: TempDir,
@@ -56,35 +56,35 @@
 impl Fleet {
     /// One instance that is its own quorum.
     pub(crate) fn single() -> Self {
-        Self::of(1)
+        Self::with_instances(1)
     }
 
     /// `count` instances, up to three of them voters.
-    pub(crate) fn of(count: usize) -> Self {
-        Self::with(count, &[])
+    pub(crate) fn with_instances(count: usize) -> Self {
+        Self::with_flags(count, &[])
     }
 
     /// `count` instances with a relay before each, so that what others send to
     /// one can be cut in silence.
-    pub(crate) fn relayed(count: usize) -> Self {
+    pub(crate) fn with_proxies(count: usize) -> Self {
         let fleet = (0..STARTS)
             .find_map(|_| Self::launched(count, &[], true))
             .expect("addresses that no other process takes meanwhile");
-        fleet.apply(&fleet.catalogue());
+        fleet.apply_catalogue(&fleet.catalogue());
         fleet
     }
 
     /// The relay before an instance.
-    pub(crate) fn shim(&self, at: usize) -> &Shim {
-        &self.shims[at]
+    pub(crate) fn proxy(&self, at: usize) -> &Proxy {
+        &self.proxies[at]
     }
 
     /// The same with further flags of `serve`.
-    pub(crate) fn with(count: usize, flags: &[&str]) -> Self {
+    pub(crate) fn with_flags(count: usize, flags: &[&str]) -> Self {
         let fleet = (0..STARTS)
             .find_map(|_| Self::launched(count, flags, false))
             .expect("addresses that no other process takes meanwhile");
-        fleet.apply(&fleet.catalogue());
+        fleet.apply_catalogue(&fleet.catalogue());
         fleet
     }
 
@@ -104,15 +104,15 @@
         }
         let binds: Vec<_> = (0..count).map(|_| port::free()).collect();
         let relays = binds.iter().filter(|_| relayed);
-        let shims: Vec<_> = relays.map(|bind| Shim::new(*bind)).collect();
+        let proxies: Vec<_> = relays.map(|bind| Proxy::new(*bind)).collect();
         let peers = match relayed {
-            true => shims.iter().map(|s| s.address).collect(),
+            true => proxies.iter().map(|s| s.address).collect(),
             false => binds.clone(),
         };
         let mut fleet = Self {
             instances: Vec::new(),
             peers,
-            shims,
+            proxies,
             binds,
             folder,
             flags: flags.iter().map(|f| (*f).to_owned()).collect(),
@@ -132,7 +132,7 @@
 
     /// Waits until an instance is ready or found an address in use.
     fn begun(&mut self, at: usize) -> bool {
-        let uri = format!("http://{}/readyz", self.caller(at));
+        let uri = format!("http://{}/readyz", self.caller_addr(at));
         let process = &mut self.instances[at].process;
         wait_for("a ready instance", || {
             if !process.is_running() && process.log().contains("in use") {
@@ -164,7 +164,7 @@
             command.arg(path_flag("data-dir", &data));
         }
         let mut process = Process::start(&format!("instance {}", at + 1), &mut command);
-        process.drain();
+        process.discard_output();
         process
     }
 
@@ -177,8 +177,8 @@
     }
 
     /// Waits until an instance is ready for work.
-    pub(crate) fn ready(&self, at: usize) {
-        let uri = format!("http://{}/readyz", self.caller(at));
+    pub(crate) fn wait_until_ready(&self, at: usize) {
+        let uri = format!("http://{}/readyz", self.caller_addr(at));
         wait_for("a ready instance", || {
             let reply = agent().get(&uri).call().ok()?;
             (reply.status() == 200).then_some(())
@@ -186,11 +186,11 @@
     }
 
     /// Where an instance takes requests.
-    pub(crate) fn caller(&self, at: usize) -> SocketAddr {
+    pub(crate) fn caller_addr(&self, at: usize) -> SocketAddr {
         self.instances[at].caller
     }
 
-    pub(crate) fn control(&self, at: usize) -> SocketAddr {
+    pub(crate) fn control_addr(&self, at: usize) -> SocketAddr {
         self.instances[at].control
     }
 
@@ -200,31 +200,31 @@
 
     /// Kills an instance while other threads use the fleet; [`Fleet::restart`]
     /// reaps it.
-    pub(crate) fn kill_now(&self, at: usize) {
+    pub(crate) fn kill_instance(&self, at: usize) {
         self.instances[at].process.signal(Signal::KILL);
     }
 
     /// Data folder of a voter.
-    pub(crate) fn data(&self, at: usize) -> PathBuf {
+    pub(crate) fn data_dir(&self, at: usize) -> PathBuf {
         self.file(&format!("data-{}", at + 1))
     }
 
     /// Value of the operators' `Authorization` header.
-    pub(crate) fn operator(&self) -> String {
+    pub(crate) fn operator_auth(&self) -> String {
         let key = fs::read_to_string(self.file("operator")).expect("read the key");
         format!("Bearer {}", key.trim())
     }
 
     /// An engine for kouvertoura's routes.
-    pub(crate) fn engine(&self, id: &str, layers: &str) -> Emulator {
-        self.engine_in(id, layers, POOL)
+    pub(crate) fn start_engine(&self, id: &str, layers: &str) -> Emulator {
+        self.start_engine_in(id, layers, POOL)
     }
 
-    pub(crate) fn engine_in(&self, id: &str, layers: &str, pool: &str) -> Emulator {
+    pub(crate) fn start_engine_in(&self, id: &str, layers: &str, pool: &str) -> Emulator {
         self.launch(EmulatorBuilder::engine(id, layers), id, pool)
     }
 
-    pub(crate) fn engine_with(
+    pub(crate) fn start_engine_with(
         &self,
         id: &str,
         layers: &str,
@@ -233,7 +233,7 @@
         self.launch(change(EmulatorBuilder::engine(id, layers)), id, POOL)
     }
 
-    pub(crate) fn service(&self, id: &str, name: &str) -> Emulator {
+    pub(crate) fn start_service(&self, id: &str, name: &str) -> Emulator {
         self.launch(EmulatorBuilder::service(id, name), id, POOL)
     }
 
@@ -249,11 +249,11 @@
     }
 
     /// Waits until every instance knows every engine and answers through them.
-    pub(crate) fn serving(&self) {
+    pub(crate) fn wait_until_serving(&self) {
         for at in 0..self.instances.len() {
             let engines = self.engines.lock().unwrap();
             wait_for("all engines in the view", || {
-                let state = self.state(at);
+                let state = self.state_json(at);
                 let known = |id: &String| state.contains(&format!("\"{id}\""));
                 engines.iter().all(|(id, _)| known(id)).then_some(())
             });
@@ -262,7 +262,7 @@
             for (ask, pool) in [(probe, POOL), (other, OTHER_POOL)] {
                 if engines.iter().any(|(_, p)| p == pool) {
                     wait_for("an answer to a probe", || {
-                        let reply = ask.send(self.caller(at)).ok()?;
+                        let reply = ask.send(self.caller_addr(at)).ok()?;
                         (reply.status == 200).then_some(())
                     });
                 }
@@ -271,27 +271,27 @@
     }
 
     /// The state dump of an instance, in JSON.
-    pub(crate) fn state(&self, at: usize) -> String {
-        let target = self.control(at).to_string();
-        self.command(&["state", "--json", "--target", &target])
+    pub(crate) fn state_json(&self, at: usize) -> String {
+        let target = self.control_addr(at).to_string();
+        self.run_command(&["state", "--json", "--target", &target])
             .unwrap_or_default()
     }
 
     /// Applies a catalogue file through any instance that accepts it.
-    pub(crate) fn apply(&self, text: &str) {
+    pub(crate) fn apply_catalogue(&self, text: &str) {
         let file = self.file("catalogue.toml");
         fs::write(&file, text).expect("write the catalogue");
         let file = file.display().to_string();
         wait_for("an accepted catalogue", || {
             (0..self.instances.len()).find_map(|at| {
-                let target = self.control(at).to_string();
-                self.command(&["catalogue", "apply", "--target", &target, &file])
+                let target = self.control_addr(at).to_string();
+                self.run_command(&["catalogue", "apply", "--target", &target, &file])
             })
         });
     }
 
     /// Runs the program's command line; its output when it exits with 0.
-    pub(crate) fn command(&self, args: &[&str]) -> Option<String> {
+    pub(crate) fn run_command(&self, args: &[&str]) -> Option<String> {
         let output = Command::new(BINARY)
             .args(args)
             .env("LQ_OPERATOR_KEY_FILE", self.file("operator"))
@@ -308,7 +308,7 @@
 
     fn digest(&self, name: &str) -> String {
         let path = self.file(name).display().to_string();
-        let text = self.command(&["digest", &path]).expect("a digest");
+        let text = self.run_command(&["digest", &path]).expect("a digest");
         text.trim().to_owned()
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,7 +8,7 @@
 pub(crate) mod model;
 pub(crate) mod port;
 pub(crate) mod process;
-pub(crate) mod shim;
+pub(crate) mod proxy;
 
 use std::thread;
 use std::time::{Duration, Instant};
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -54,7 +54,7 @@
     }
 
     /// The first `count` lines of standard output; the rest is read and dropped.
-    pub(crate) fn lines(&mut self, count: usize) -> Vec<String> {
+    pub(crate) fn read_lines(&mut self, count: usize) -> Vec<String> {
         let output = self.child.stdout.take().expect("output is read once");
         let mut lines = BufReader::new(output).lines();
         let first = lines.by_ref().take(count).map_while(Result::ok).collect();
@@ -63,8 +63,8 @@
     }
 
     /// Reads and drops standard output, so that the child never blocks on it.
-    pub(crate) fn drain(&mut self) {
-        self.lines(0);
+    pub(crate) fn discard_output(&mut self) {
+        self.read_lines(0);
     }
 
     pub(crate) fn signal(&self, signal: Signal) {
@@ -91,7 +91,7 @@
     }
 
     /// Waits for the end of the process.
-    pub(crate) fn exit(&mut self) -> ExitStatus {
+    pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
         let what = format!("end of {}", self.name);
         wait_for(&what, || self.child.try_wait().expect("look at the child"))
     }
--- a/tests/common/shim.rs
+++ b/tests/common/proxy.rs
@@ -1,4 +1,4 @@
-//! A forwarding shim in front of an address (TCP and UDP on one port) that can
+//! A forwarding proxy in front of an address (TCP and UDP on one port) that can
 //! go silent, as a partition does: nothing passes and nothing is closed.
 
 use std::collections::HashMap;
@@ -29,20 +29,20 @@
     }
 }
 
-/// The shim; its threads end with it.
-pub(crate) struct Shim {
+/// The proxy; its threads end with it.
+pub(crate) struct Proxy {
     /// Where to send instead of the target.
     pub(crate) address: SocketAddr,
     switch: Arc<Switch>,
 }
 
-impl Shim {
+impl Proxy {
     /// Forwards to `target`, which need not listen yet.
     pub(crate) fn new(target: SocketAddr) -> Self {
         let address = port::free();
         let switch = Arc::new(Switch::default());
-        let listener = TcpListener::bind(address).expect("bind the shim");
-        let socket = UdpSocket::bind(address).expect("bind the shim");
+        let listener = TcpListener::bind(address).expect("bind the proxy");
+        let socket = UdpSocket::bind(address).expect("bind the proxy");
         let (tcp, udp) = (switch.clone(), switch.clone());
         thread::spawn(move || accept(&listener, target, &tcp));
         thread::spawn(move || datagrams(socket, target, &udp));
@@ -50,17 +50,17 @@
     }
 
     /// Nothing passes any more; connections stay open.
-    pub(crate) fn silence(&self) {
+    pub(crate) fn block(&self) {
         self.switch.silent.store(true, Ordering::SeqCst);
     }
 
     /// All passes again; what was sent by TCP meanwhile comes late.
-    pub(crate) fn heal(&self) {
+    pub(crate) fn unblock(&self) {
         self.switch.silent.store(false, Ordering::SeqCst);
     }
 }
 
-impl Drop for Shim {
+impl Drop for Proxy {
     fn drop(&mut self) {
         self.switch.ended.store(true, Ordering::SeqCst);
     }
@@ -105,7 +105,7 @@
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
             Err(_) => break,
         };
-        // What was read while the shim went silent must not pass.
+        // What was read while the proxy went silent must not pass.
         while switch.is_silent() && !switch.is_ended() {
             thread::sleep(TICK);
         }
--- a/tests/e2e/answers.rs
+++ b/tests/e2e/answers.rs
@@ -17,17 +17,17 @@
 #[test]
 fn completions_two_stages_answer_exactly() {
     let fleet = Fleet::single();
-    let first = fleet.engine("eng-1", "0..16");
-    let second = fleet.engine("eng-2", "16..32");
-    fleet.serving();
+    let first = fleet.start_engine("eng-1", "0..16");
+    let second = fleet.start_engine("eng-2", "16..32");
+    fleet.wait_until_serving();
     let ask = CompletionRequest::new(KEY, "window 120 by 210", 9);
-    let reply = ask.send(fleet.caller(0)).expect("an answer");
+    let reply = ask.send(fleet.caller_addr(0)).expect("an answer");
     assert_eq!(
         (reply.status, reply.text()),
         (200, ask.expected(32).as_str())
     );
     let ask = CompletionRequest::new(KEY, "window 90 by 80", 9);
-    let (text, end) = ask.stream(fleet.caller(0)).read_to_end();
+    let (text, end) = ask.stream(fleet.caller_addr(0)).read_to_end();
     assert_eq!((text, end), (ask.expected(32), Event::Done));
     for engine in [&first, &second] {
         let executions = engine.executions();
@@ -46,11 +46,11 @@
 #[test]
 fn completions_stream_hands_on_the_first_token_before_the_last_is_made() {
     let fleet = Fleet::single();
-    let engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": 1}));
     let ask = CompletionRequest::new(KEY, "grow", 4);
-    let mut stream = ask.stream(fleet.caller(0));
+    let mut stream = ask.stream(fleet.caller_addr(0));
     let Event::Token(token) = stream.next() else {
         panic!("no token");
     };
@@ -77,16 +77,16 @@
 fn completions_faulty_engine_answer_stays_exact(#[case] mode: &str) {
     let fleet = Fleet::single();
     let engines = [
-        fleet.engine("eng-1", "0..32"),
-        fleet.engine("eng-2", "0..32"),
+        fleet.start_engine("eng-1", "0..32"),
+        fleet.start_engine("eng-2", "0..32"),
     ];
-    fleet.serving();
+    fleet.wait_until_serving();
     for engine in &engines {
         engine.inject_fault(&json!({"mode": mode, "count": 1, "after": 3}));
     }
     for round in 0..6 {
         let ask = CompletionRequest::new(KEY, &format!("{mode} {round}"), 8);
-        let (text, end) = ask.stream(fleet.caller(0)).read_to_end();
+        let (text, end) = ask.stream(fleet.caller_addr(0)).read_to_end();
         assert_eq!(
             (text, end),
             (ask.expected(32), Event::Done),
@@ -105,16 +105,16 @@
 #[case::cut("cut")]
 fn completions_only_faulty_engines_fail_typed(#[case] mode: &str) {
     let fleet = Fleet::single();
-    let engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     engine.inject_fault(&json!({"mode": mode, "after": 0}));
     let ask =
         CompletionRequest::new(KEY, &format!("hopeless {mode}"), 8).header("x-deadline-ms", "5000");
-    let reply = ask.send(fleet.caller(0)).expect("an answer");
+    let reply = ask.send(fleet.caller_addr(0)).expect("an answer");
     assert_ne!(reply.status, 200);
     assert!(!reply.code().is_empty(), "{reply:?}");
     assert_ne!(reply.ran(), "no", "{reply:?}");
-    let (text, end) = ask.stream(fleet.caller(0)).read_to_end();
+    let (text, end) = ask.stream(fleet.caller_addr(0)).read_to_end();
     assert!(ask.expected(32).starts_with(&text), "{text:?}");
     assert_ne!(end, Event::Done);
 }
@@ -131,12 +131,12 @@
         ("eng-3", "midlands"),
         ("eng-4", "midlands"),
     ];
-    let engines = plan.map(|(id, pool)| fleet.engine_in(id, "0..32", pool));
-    fleet.serving();
+    let engines = plan.map(|(id, pool)| fleet.start_engine_in(id, "0..32", pool));
+    fleet.wait_until_serving();
     for engine in &engines {
         engine.inject_fault(&json!({"mode": "swap_ids", "count": 20, "after": 2}));
     }
-    let address = fleet.caller(0);
+    let address = fleet.caller_addr(0);
     let callers: Vec<_> = (0..40)
         .map(|caller| {
             thread::spawn(move || {
@@ -170,8 +170,8 @@
 #[test]
 fn services_call_reaches_the_service_as_sent() {
     let fleet = Fleet::single();
-    let service = fleet.service("ord-1", "orders");
-    let uri = format!("http://{}/services/orders/orders/17", fleet.caller(0));
+    let service = fleet.start_service("ord-1", "orders");
+    let uri = format!("http://{}/services/orders/orders/17", fleet.caller_addr(0));
     let value = wait_for("an answer of the service", || {
         let mut reply = agent()
             .put(&uri)
@@ -194,11 +194,11 @@
 #[test]
 fn load_second_run_of_a_request_violates() {
     let fleet = Fleet::single();
-    let engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     let load = |marked: &str| {
         Command::new(example_path("load"))
-            .args(["--target", &fleet.caller(0).to_string(), "--key", KEY])
+            .args(["--target", &fleet.caller_addr(0).to_string(), "--key", KEY])
             .args(["--emulators", &engine.address.to_string()])
             .args(["--requests", "20", "--tokens", "2", "--stream", "--json"])
             .args(["--non-idempotent", marked])
--- a/tests/e2e/bad_input.rs
+++ b/tests/e2e/bad_input.rs
@@ -34,8 +34,8 @@
 #[test]
 fn completions_bad_request_refused_as_not_run() {
     let fleet = Fleet::single();
-    let engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     let key = format!("authorization: Bearer {KEY}\r\n");
     let good = r#"{"model":"quotations","prompt":"x","max_tokens":2}"#;
     let cases = [
@@ -49,7 +49,7 @@
     ];
     let before = engine.total("began");
     for (status, head, body) in cases {
-        let answer = send_raw(fleet.caller(0), &post(head, body));
+        let answer = send_raw(fleet.caller_addr(0), &post(head, body));
         let (found, code, ran) = refusal(&answer);
         assert_eq!((found, ran.as_str()), (status, "no"), "{body}: {answer}");
         assert!(!code.is_empty(), "{answer}");
@@ -62,14 +62,14 @@
 #[test]
 fn completions_foreign_route_looks_unknown() {
     let fleet = Fleet::single();
-    let engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     let before = engine.total("began");
     let foreign = CompletionRequest::new(OTHER_KEY, "x", 2)
-        .send(fleet.caller(0))
+        .send(fleet.caller_addr(0))
         .unwrap();
     let unknown = CompletionRequest::new(OTHER_KEY, "x", 2).route("nothing");
-    let unknown = unknown.send(fleet.caller(0)).unwrap();
+    let unknown = unknown.send(fleet.caller_addr(0)).unwrap();
     assert_eq!(foreign.status, unknown.status);
     assert_eq!(foreign.code(), unknown.code());
     assert_eq!(engine.total("began"), before);
@@ -80,27 +80,27 @@
 #[test]
 fn completions_oversized_body_refused_and_others_served() {
     let fleet = Fleet::single();
-    let _engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let _engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     let key = format!("authorization: Bearer {KEY}\r\n");
     let prompt = "x".repeat(64 * 1024 * 1024);
     let body = format!(r#"{{"model":"quotations","prompt":"{prompt}"}}"#);
-    let (status, _, ran) = refusal(&send_raw(fleet.caller(0), &post(&key, &body)));
+    let (status, _, ran) = refusal(&send_raw(fleet.caller_addr(0), &post(&key, &body)));
     assert_eq!((status, ran.as_str()), (413, "no"));
-    fleet.serving();
+    fleet.wait_until_serving();
 }
 
 /// A header block without end would fill the memory as a body would.
 #[test]
 fn completions_oversized_header_refused_and_others_served() {
     let fleet = Fleet::single();
-    let _engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let _engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     let head = format!("x-filler: {}\r\n", "x".repeat(4 * 1024 * 1024));
-    let answer = send_raw(fleet.caller(0), &post(&head, "{}"));
+    let answer = send_raw(fleet.caller_addr(0), &post(&head, "{}"));
     let status = refusal(&answer).0;
     assert!(status == 431 || answer.is_empty(), "{answer}");
-    fleet.serving();
+    fleet.wait_until_serving();
 }
 
 /// A caller on a bad line sends half a request and then nothing. It must not
@@ -108,12 +108,12 @@
 #[test]
 fn completions_slow_sender_given_up() {
     let fleet = Fleet::single();
-    let _engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let _engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     let request = post("", r#"{"model":"quotations","prompt":"x"}"#);
-    let address = fleet.caller(0);
+    let address = fleet.caller_addr(0);
     let slow = std::thread::spawn(move || raw_slowly(address, &request));
-    fleet.serving();
+    fleet.wait_until_serving();
     let answer = slow.join().expect("join the slow sender");
     let status = refusal(&answer).0;
     assert!(status == 408 || answer.is_empty(), "{answer}");
@@ -138,13 +138,13 @@
 #[case::before_the_first_token(0)]
 fn completions_caller_leaves_cancels_and_frees(#[case] tokens: usize) {
     let fleet = Fleet::single();
-    let engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     // The route "narrow" lets one request run and none wait.
     let reply = |prompt: &str| {
         let ask = CompletionRequest::new(KEY, prompt, 4).route("narrow");
         wait_for("a free place", || {
-            let reply = ask.send(fleet.caller(0)).ok()?;
+            let reply = ask.send(fleet.caller_addr(0)).ok()?;
             (reply.status == 200).then(|| (reply.text().to_owned(), ask.expected(32)))
         })
     };
@@ -155,7 +155,7 @@
         engine.inject_fault(&stall);
         let ask = CompletionRequest::new(KEY, &format!("leave {round}"), 8).route("narrow");
         let mut stream = wait_for("a free place", || {
-            let mut stream = ask.stream(fleet.caller(0));
+            let mut stream = ask.stream(fleet.caller_addr(0));
             let begun = || (engine.attempts(&ask.prompt) > 0).then_some(());
             match tokens {
                 0 => wait_for("a running attempt", begun),
--- a/tests/e2e/catalogue.rs
+++ b/tests/e2e/catalogue.rs
@@ -15,13 +15,13 @@
 
 /// Sends a change to one instance; the outcome, or none without an answer.
 fn change(fleet: &Fleet, at: usize, body: &Value) -> Option<Value> {
-    let uri = format!("http://{}/v1/catalogue/changes", fleet.control(at));
+    let uri = format!("http://{}/v1/catalogue/changes", fleet.control_addr(at));
     let mut reply = agent()
         .post(uri)
         .config()
         .timeout_global(Some(Duration::from_secs(10)))
         .build()
-        .header("Authorization", fleet.operator())
+        .header("Authorization", fleet.operator_auth())
         .send_json(body)
         .ok()?;
     let status = reply.status().as_u16();
@@ -51,8 +51,8 @@
 /// Pools of the catalogue, read from one instance.
 fn pools(fleet: &Fleet, at: usize) -> Vec<String> {
     wait_for("a confirmed catalogue", || {
-        let target = fleet.control(at).to_string();
-        let text = fleet.command(&["catalogue", "list", "--json", "--target", &target])?;
+        let target = fleet.control_addr(at).to_string();
+        let text = fleet.run_command(&["catalogue", "list", "--json", "--target", &target])?;
         let listed: Value = serde_json::from_str(&text).ok()?;
         let records = listed["records"].as_array()?;
         let entries = records.iter().map(|r| &r["entry"]);
@@ -68,7 +68,7 @@
 /// Place among the instances of the leader of the catalogue's group.
 fn leader(fleet: &Fleet, asked: usize) -> usize {
     wait_for("a leader", || {
-        let state: Value = serde_json::from_str(&fleet.state(asked)).ok()?;
+        let state: Value = serde_json::from_str(&fleet.state_json(asked)).ok()?;
         let id = state["groups"][0]["leader"].as_u64()?;
         Some(usize::try_from(id).ok()? - 1)
     })
@@ -79,7 +79,7 @@
 /// was accepted stands everywhere in the end, once, at the revision first told.
 #[test]
 fn change_leader_killed_in_mid_change() {
-    let mut fleet = Fleet::of(3);
+    let mut fleet = Fleet::with_instances(3);
     let mut told = Vec::new();
     for round in 0..3 {
         let victim = leader(&fleet, (round + 1) % 3);
@@ -98,13 +98,13 @@
                 done
             });
             thread::sleep(Duration::from_millis(200));
-            fleet.kill_now(victim);
+            fleet.kill_instance(victim);
             thread::sleep(Duration::from_millis(500));
             ended.store(true, Ordering::SeqCst);
             told.extend(operator.join().expect("an operator"));
         });
         fleet.restart(victim);
-        fleet.ready(victim);
+        fleet.wait_until_ready(victim);
     }
     let mut revisions: Vec<u64> = told.iter().map(|(_, revision)| *revision).collect();
     for (body, revision) in &told {
@@ -127,12 +127,12 @@
 /// moment of its waking.
 #[test]
 fn serve_instance_frozen_past_its_lease() {
-    let mut fleet = Fleet::of(4);
-    let _engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let mut fleet = Fleet::with_instances(4);
+    let _engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     let ask = CompletionRequest::new(KEY, "before the change", 2).route("narrow");
     wait_for("an answer", || {
-        let reply = ask.send(fleet.caller(3)).ok()?;
+        let reply = ask.send(fleet.caller_addr(3)).ok()?;
         (reply.status == 200).then_some(())
     });
     fleet.instance(3).process.freeze();
@@ -141,7 +141,7 @@
     let outcome = decide(&fleet, &[0, 1, 2], &retire);
     assert_eq!(outcome["outcome"], "accepted", "{outcome}");
     thread::sleep(PAST_LEASE);
-    let address = fleet.caller(3);
+    let address = fleet.caller_addr(3);
     let asked = thread::spawn(move || ask.send(address).map(|r| (r.status, r.code().to_owned())));
     thread::sleep(Duration::from_millis(200));
     fleet.instance(3).process.thaw();
@@ -165,16 +165,16 @@
 /// says that it didn't run it, and isn't ready. With the quorum back all goes on.
 #[test]
 fn serve_quorum_frozen_and_back() {
-    let mut fleet = Fleet::of(4);
-    let _engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let mut fleet = Fleet::with_instances(4);
+    let _engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     for at in [0, 1] {
         fleet.instance(at).process.freeze();
     }
     let ask = CompletionRequest::new(KEY, "while cut off", 2);
     for at in [2, 3] {
         wait_for("a refusal", || {
-            let reply = ask.send(fleet.caller(at)).ok()?;
+            let reply = ask.send(fleet.caller_addr(at)).ok()?;
             if reply.code() != "catalogue_lease" {
                 return None;
             }
@@ -182,7 +182,7 @@
             assert!(reply.retry_after.is_some(), "no time to come back");
             Some(())
         });
-        let uri = format!("http://{}/readyz", fleet.caller(at));
+        let uri = format!("http://{}/readyz", fleet.caller_addr(at));
         assert_eq!(agent().get(&uri).call().expect("a probe").status(), 503);
     }
     for at in [0, 1] {
@@ -190,7 +190,7 @@
     }
     for at in 0..4 {
         wait_for("an answer again", || {
-            let reply = ask.send(fleet.caller(at)).ok()?;
+            let reply = ask.send(fleet.caller_addr(at)).ok()?;
             (reply.status == 200).then_some(())
         });
     }
@@ -200,18 +200,18 @@
 /// is lost for good. Nothing accepted is lost, and changes go on.
 #[test]
 fn change_disk_replaced_then_second_loss() {
-    let mut fleet = Fleet::of(3);
+    let mut fleet = Fleet::with_instances(3);
     let accepted = decide(&fleet, &[0, 1, 2], &put("early", "early"));
     assert_eq!(accepted["outcome"], "accepted");
     fleet.instance(2).process.kill();
-    fs::remove_dir_all(fleet.data(2)).expect("wipe the disk");
+    fs::remove_dir_all(fleet.data_dir(2)).expect("wipe the disk");
     fleet.restart(2);
-    let target = fleet.control(0).to_string();
+    let target = fleet.control_addr(0).to_string();
     wait_for("the new store in every group", || {
-        fleet.command(&["voters", "add", "--target", &target, "3"])
+        fleet.run_command(&["voters", "add", "--target", &target, "3"])
     });
     let voting = || {
-        let text = fleet.command(&["voters", "list", "--json", "--target", &target])?;
+        let text = fleet.run_command(&["voters", "list", "--json", "--target", &target])?;
         let groups: Value = serde_json::from_str(&text).ok()?;
         let all = |g: &Value| {
             let members = g["members"].as_array().map_or(0, Vec::len);
@@ -245,12 +245,12 @@
 /// the former leader had accepted stands when the cut heals.
 #[test]
 fn change_leader_cut_in_silence() {
-    let fleet = Fleet::relayed(3);
+    let fleet = Fleet::with_proxies(3);
     let before = decide(&fleet, &[0, 1, 2], &put("before", "before"));
     assert_eq!(before["outcome"], "accepted");
     let cut = leader(&fleet, 0);
     let others: Vec<usize> = (0..3).filter(|at| *at != cut).collect();
-    fleet.shim(cut).silence();
+    fleet.proxy(cut).block();
     wait_for("another leader", || {
         let led = leader(&fleet, others[0]);
         (led != cut).then_some(())
@@ -258,7 +258,7 @@
     let during = decide(&fleet, &others, &put("during", "during"));
     assert_eq!(during["outcome"], "accepted", "{during}");
     thread::sleep(PAST_LEASE);
-    fleet.shim(cut).heal();
+    fleet.proxy(cut).unblock();
     wait_for("the change in force on the former leader", || {
         pools(&fleet, cut)
             .iter()
@@ -279,11 +279,11 @@
 /// the catalogue said when it came.
 #[test]
 fn completions_route_retired_while_waiting() {
-    let fleet = Fleet::with(1, &["--first-ms=60000"]);
-    let engine = fleet.engine_with("eng-1", "0..32", |p| p.flag("slots", 1));
-    fleet.serving();
+    let fleet = Fleet::with_flags(1, &["--first-ms=60000"]);
+    let engine = fleet.start_engine_with("eng-1", "0..32", |p| p.flag("slots", 1));
+    fleet.wait_until_serving();
     engine.inject_fault(&json!({"mode": "slow", "count": 4, "ms": 2000}));
-    let address = fleet.caller(0);
+    let address = fleet.caller_addr(0);
     let asks: Vec<_> = (0..12)
         .map(|i| CompletionRequest::new(KEY, &format!("waiting {i}"), 3).route("narrow-wide"))
         .collect();
@@ -302,7 +302,7 @@
         .map(|ask| thread::spawn(move || ask.send(address)))
         .collect();
     wait_for("waiting requests", || {
-        let state: Value = serde_json::from_str(&fleet.state(0)).ok()?;
+        let state: Value = serde_json::from_str(&fleet.state_json(0)).ok()?;
         (state["requests"]["queued"].as_u64()? > 0).then_some(())
     });
     let retire = json!({"id": "retire", "expect": "any",
--- a/tests/e2e/control.rs
+++ b/tests/e2e/control.rs
@@ -12,7 +12,7 @@
 #[test]
 fn control_many_connections_all_answered() {
     let fleet = Fleet::single();
-    let address = fleet.control(0);
+    let address = fleet.control_addr(0);
     let callers: Vec<_> = (0..16)
         .map(|_| {
             thread::spawn(move || {
--- a/tests/e2e/drain.rs
+++ b/tests/e2e/drain.rs
@@ -18,10 +18,10 @@
 #[test]
 fn serve_terminated_ends_running_answers_first() {
     let mut fleet = Fleet::single();
-    let engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     engine.inject_fault(&json!({"mode": "slow", "count": 8, "ms": 100}));
-    let address = fleet.caller(0);
+    let address = fleet.caller_addr(0);
     let asks: Vec<_> = (0..8)
         .map(|i| CompletionRequest::new(KEY, &format!("drain {i}"), 12))
         .collect();
@@ -40,7 +40,7 @@
     for (ask, mut stream) in asks.iter().zip(streams) {
         assert_eq!(stream.read_to_end(), (ask.expected(32), Event::Done));
     }
-    assert!(fleet.instance(0).process.exit().success());
+    assert!(fleet.instance(0).process.wait_for_exit().success());
     assert_eq!(engine.total("cancelled"), 0);
 }
 
@@ -51,12 +51,12 @@
 #[case::second_signal("--drain-ms=120000", 2)]
 #[case::limit("--drain-ms=700", 1)]
 fn serve_terminated_ends_in_time(#[case] drain: &str, #[case] signals: usize) {
-    let mut fleet = Fleet::with(1, &[drain, "--idle-ms=60000", "--first-ms=60000"]);
-    let engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let mut fleet = Fleet::with_flags(1, &[drain, "--idle-ms=60000", "--first-ms=60000"]);
+    let engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     engine.inject_fault(&json!({"mode": "slow", "count": 1, "ms": 20_000}));
     let ask = CompletionRequest::new(KEY, "an answer of minutes", 12);
-    let mut stream = ask.stream(fleet.caller(0));
+    let mut stream = ask.stream(fleet.caller_addr(0));
     wait_for("a running answer", || {
         (engine.attempts(&ask.prompt) == 1).then_some(())
     });
@@ -64,7 +64,7 @@
         fleet.instance(0).process.terminate();
         thread::sleep(Duration::from_millis(300));
     }
-    assert!(fleet.instance(0).process.exit().success());
+    assert!(fleet.instance(0).process.wait_for_exit().success());
     assert_ne!(stream.read_to_end().1, Event::Done);
 }
 
@@ -72,14 +72,14 @@
 /// few seconds, ends what it runs, and no caller notices.
 #[test]
 fn upstream_leaving_gets_no_new_work_and_cuts_off_nothing() {
-    let fleet = Fleet::of(3);
-    let mut leaving = fleet.engine_with("eng-1", "0..32", |p| p.flag("linger-ms", 5000));
-    let _staying = fleet.engine("eng-2", "0..32");
-    fleet.serving();
+    let fleet = Fleet::with_instances(3);
+    let mut leaving = fleet.start_engine_with("eng-1", "0..32", |p| p.flag("linger-ms", 5000));
+    let _staying = fleet.start_engine("eng-2", "0..32");
+    fleet.wait_until_serving();
     let ended = Arc::new(AtomicBool::new(false));
     let callers: Vec<_> = (0..6)
         .map(|caller| {
-            let (address, ended) = (fleet.caller(caller % 3), ended.clone());
+            let (address, ended) = (fleet.caller_addr(caller % 3), ended.clone());
             thread::spawn(move || {
                 let mut round = 0;
                 while !ended.load(Ordering::SeqCst) {
@@ -93,7 +93,7 @@
         .collect();
     leaving.wait_for_total("finished", 10);
     leaving.process.terminate();
-    assert!(leaving.process.exit().success());
+    assert!(leaving.process.wait_for_exit().success());
     ended.store(true, Ordering::SeqCst);
     for caller in callers {
         caller.join().expect("a caller");
--- a/tests/e2e/once.rs
+++ b/tests/e2e/once.rs
@@ -8,8 +8,8 @@
 use crate::common::wait_for;
 
 fn engines(fleet: &Fleet) -> [Emulator; 2] {
-    let engines = ["eng-1", "eng-2"].map(|id| fleet.engine(id, "0..32"));
-    fleet.serving();
+    let engines = ["eng-1", "eng-2"].map(|id| fleet.start_engine(id, "0..32"));
+    fleet.wait_until_serving();
     engines
 }
 
@@ -26,7 +26,7 @@
     for engine in engines {
         engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": 2}));
     }
-    let mut stream = ask.stream(fleet.caller(0));
+    let mut stream = ask.stream(fleet.caller_addr(0));
     for _ in 0..2 {
         assert!(matches!(stream.next(), Event::Token(_)));
     }
@@ -43,7 +43,7 @@
 /// Answers the text and the failure's code. No refusal may deny the run.
 fn resend(fleet: &Fleet, ask: &CompletionRequest) -> (String, String) {
     wait_for("a definite answer", || {
-        let (text, end) = ask.stream(fleet.caller(1)).read_to_end();
+        let (text, end) = ask.stream(fleet.caller_addr(1)).read_to_end();
         match end {
             Event::Done => Some((text, String::new())),
             Event::Failed(error) => {
@@ -62,7 +62,7 @@
 /// outcome is unknown; it never runs it again.
 #[test]
 fn completions_instance_killed_resend_runs_nothing_twice() {
-    let mut fleet = Fleet::of(3);
+    let mut fleet = Fleet::with_instances(3);
     let engines = engines(&fleet);
     let ask = CompletionRequest::new(KEY, "demand letter, kill", 8).non_idempotent("letter-1");
     let mut stream = half(&fleet, &engines, &ask);
@@ -77,7 +77,7 @@
 /// Waking, it must not send the letter again on its old claim.
 #[test]
 fn completions_instance_frozen_resend_runs_nothing_twice() {
-    let mut fleet = Fleet::of(3);
+    let mut fleet = Fleet::with_instances(3);
     let engines = engines(&fleet);
     let ask = CompletionRequest::new(KEY, "demand letter, freeze", 8).non_idempotent("letter-2");
     let stream = half(&fleet, &engines, &ask);
@@ -88,7 +88,7 @@
     drop(stream);
     let probe = CompletionRequest::new(KEY, "after the thaw", 2);
     wait_for("the thawed instance", || {
-        let reply = probe.send(fleet.caller(0)).ok()?;
+        let reply = probe.send(fleet.caller_addr(0)).ok()?;
         (reply.status == 200).then_some(())
     });
     assert_eq!(attempts(&engines, &ask.prompt), 1);
@@ -98,11 +98,11 @@
 /// instance gets the kept answer, word for word, without a second run.
 #[test]
 fn completions_resend_elsewhere_gets_the_kept_answer() {
-    let fleet = Fleet::of(3);
+    let fleet = Fleet::with_instances(3);
     let engines = engines(&fleet);
     let ask =
         CompletionRequest::new(KEY, "demand letter, lost answer", 8).non_idempotent("letter-3");
-    let first = ask.stream(fleet.caller(0)).read_to_end();
+    let first = ask.stream(fleet.caller_addr(0)).read_to_end();
     assert_eq!(first, (ask.expected(32), Event::Done));
     let (text, code) = resend(&fleet, &ask);
     assert_eq!((text, code.as_str()), (ask.expected(32), ""));
@@ -114,14 +114,14 @@
 /// given, with its true number of tokens.
 #[test]
 fn completions_resend_in_another_form_gets_the_kept_answer() {
-    let fleet = Fleet::of(3);
+    let fleet = Fleet::with_instances(3);
     let engines = engines(&fleet);
     let ask =
         CompletionRequest::new(KEY, "demand letter, other form", 8).non_idempotent("letter-7");
-    let first = ask.stream(fleet.caller(0)).read_to_end();
+    let first = ask.stream(fleet.caller_addr(0)).read_to_end();
     assert_eq!(first, (ask.expected(32), Event::Done));
     let reply = wait_for("the kept answer", || {
-        let reply = ask.send(fleet.caller(1)).ok()?;
+        let reply = ask.send(fleet.caller_addr(1)).ok()?;
         (!PENDING.contains(&reply.code())).then_some(reply)
     });
     assert_eq!((reply.status, reply.text()), (200, &*ask.expected(32)));
@@ -135,15 +135,15 @@
 fn completions_same_key_of_another_organisation_is_another_claim() {
     let fleet = Fleet::single();
     let _engines = engines(&fleet);
-    let _other = fleet.engine_in("eng-3", "0..32", "midlands");
+    let _other = fleet.start_engine_in("eng-3", "0..32", "midlands");
     let mine = CompletionRequest::new(KEY, "mine", 4).non_idempotent("letter-4");
     let theirs = CompletionRequest::new(OTHER_KEY, "theirs", 4)
         .route("letters")
         .non_idempotent("letter-4");
-    let reply = mine.send(fleet.caller(0)).expect("an answer");
+    let reply = mine.send(fleet.caller_addr(0)).expect("an answer");
     assert_eq!(reply.text(), mine.expected(32));
     let reply = wait_for("an answer to the other organisation", || {
-        let reply = theirs.send(fleet.caller(0)).ok()?;
+        let reply = theirs.send(fleet.caller_addr(0)).ok()?;
         (reply.ran() != "no").then_some(reply)
     });
     assert_eq!(reply.text(), theirs.expected(32), "{reply:?}");
@@ -174,9 +174,9 @@
 #[test]
 fn services_stalled_call_is_not_repeated() {
     let fleet = Fleet::single();
-    let service = fleet.service("ord-1", "orders");
+    let service = fleet.start_service("ord-1", "orders");
     let send = |key: &str| {
-        let uri = format!("http://{}/services/orders/book", fleet.caller(0));
+        let uri = format!("http://{}/services/orders/book", fleet.caller_addr(0));
         let reply = agent()
             .post(uri)
             .header("authorization", format!("Bearer {KEY}"))
--- a/tests/e2e/resume.rs
+++ b/tests/e2e/resume.rs
@@ -6,7 +6,7 @@
 use crate::common::emulator::Emulator;
 use crate::common::fleet::{Fleet, KEY};
 use crate::common::port;
-use crate::common::shim::Shim;
+use crate::common::proxy::Proxy;
 
 const TOKENS: usize = 12;
 const SEEN: usize = 3;
@@ -19,8 +19,8 @@
         ("b-1", "16..32"),
         ("b-2", "16..32"),
     ];
-    let engines = plan.map(|(id, layers)| fleet.engine(id, layers));
-    fleet.serving();
+    let engines = plan.map(|(id, layers)| fleet.start_engine(id, layers));
+    fleet.wait_until_serving();
     engines.into()
 }
 
@@ -43,7 +43,7 @@
     for engine in &engines[..2] {
         engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
     }
-    let mut stream = ask.stream(fleet.caller(0));
+    let mut stream = ask.stream(fleet.caller_addr(0));
     let text = tokens(&mut stream);
     let leader = engines.iter().position(|e| e.attempts(&ask.prompt) > 0);
     (stream, text, leader.expect("an engine leads"))
@@ -88,7 +88,7 @@
         engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
     }
     let ask = CompletionRequest::new(KEY, "kill a later stage", TOKENS);
-    let mut stream = ask.stream(fleet.caller(0));
+    let mut stream = ask.stream(fleet.caller_addr(0));
     let begun = tokens(&mut stream);
     let stuck = (2..4)
         .max_by_key(|at| engines[*at].total("tokens"))
@@ -105,14 +105,14 @@
 fn completions_two_engines_killed_one_after_the_other() {
     let fleet = Fleet::single();
     let mut engines: Vec<_> = ["e-1", "e-2", "e-3"]
-        .map(|id| fleet.engine(id, "0..32"))
+        .map(|id| fleet.start_engine(id, "0..32"))
         .into();
-    fleet.serving();
+    fleet.wait_until_serving();
     for engine in &engines {
         engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
     }
     let ask = CompletionRequest::new(KEY, "kill two engines", TOKENS);
-    let mut stream = ask.stream(fleet.caller(0));
+    let mut stream = ask.stream(fleet.caller_addr(0));
     let mut text = String::new();
     for _ in 0..2 {
         text.push_str(&tokens(&mut stream));
@@ -134,19 +134,20 @@
 fn completions_link_silent_goes_on_elsewhere() {
     let fleet = Fleet::single();
     let address = port::free();
-    let shim = Shim::new(address);
-    let near = fleet.engine_with("near", "0..32", |plan| {
-        plan.flag("listen", address).flag("advertise", shim.address)
+    let proxy = Proxy::new(address);
+    let near = fleet.start_engine_with("near", "0..32", |plan| {
+        plan.flag("listen", address)
+            .flag("advertise", proxy.address)
     });
-    fleet.serving();
+    fleet.wait_until_serving();
     near.inject_fault(&json!({"mode": "slow", "count": 1, "after": SEEN, "ms": 300}));
     let ask = CompletionRequest::new(KEY, "cut the link", TOKENS);
-    let mut stream = ask.stream(fleet.caller(0));
+    let mut stream = ask.stream(fleet.caller_addr(0));
     let begun = tokens(&mut stream);
-    let far = fleet.engine("far", "0..32");
-    shim.silence();
+    let far = fleet.start_engine("far", "0..32");
+    proxy.block();
     let (rest, end) = stream.read_to_end();
-    shim.heal();
+    proxy.unblock();
     assert_eq!((begun + &rest, end), (ask.expected(32), Event::Done));
     assert_eq!(far.attempts(&ask.prompt), 1);
 }
--- a/tests/emulator.rs
+++ b/tests/emulator.rs
@@ -178,7 +178,7 @@
     engine.process.terminate();
     let (answer, whole) = running.join().expect("join the caller");
     assert_eq!((answer.len(), whole), (9, true));
-    assert!(engine.process.exit().success());
+    assert!(engine.process.wait_for_exit().success());
     let rest: Vec<Value> = announcements.try_iter().collect();
     let states: Vec<_> = rest.iter().filter_map(|a| a["state"].as_str()).collect();
     assert!(states.contains(&"leaving"), "{states:?}");
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -54,7 +54,7 @@
             let p = p.flag("listen", address).flag("journal", journal.clone());
             p.flag("token-ms", 2).flag("slots", 64)
         };
-        self.engine = Some(fleet.engine_with(id, layers, plan));
+        self.engine = Some(fleet.start_engine_with(id, layers, plan));
     }
 }
 
@@ -63,7 +63,7 @@
         let texts: Vec<_> = all.iter().map(SocketAddr::to_string).collect();
         texts.join(",")
     };
-    let targets = list((0..INSTANCES).map(|i| fleet.caller(i)).collect());
+    let targets = list((0..INSTANCES).map(|i| fleet.caller_addr(i)).collect());
     let emulators = list(places.iter().map(|p| p.address).collect());
     let mut command = Command::new(example_path("load"));
     command
@@ -110,7 +110,7 @@
         _ => {
             if let Some(engine) = &mut place.engine {
                 engine.process.terminate();
-                engine.process.exit();
+                engine.process.wait_for_exit();
             }
             place.start(fleet, folder);
         }
@@ -126,7 +126,7 @@
     let seed = setting("LONG_SEED", 1);
     println!("seed {seed}");
     let folder = tempfile::tempdir().expect("make a folder");
-    let mut fleet = Fleet::of(INSTANCES);
+    let mut fleet = Fleet::with_instances(INSTANCES);
     let mut places: Vec<_> = (0..ENGINES.len())
         .map(|at| Place {
             at,
@@ -137,7 +137,7 @@
     for place in &mut places {
         place.start(&fleet, folder.path());
     }
-    fleet.serving();
+    fleet.wait_until_serving();
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut load = load(&fleet, &places, seed);
     let mut strikes = 0;
@@ -146,7 +146,7 @@
         strike(&mut random, &mut fleet, &mut places, folder.path());
         strikes += 1;
     }
-    let result: Value = serde_json::from_str(&load.lines(1).concat()).expect("a result");
+    let result: Value = serde_json::from_str(&load.read_lines(1).concat()).expect("a result");
     println!("{strikes} strikes\n{result:#}");
     assert_eq!(result["violations"], 0, "{}", load.log());
 }
--- a/tests/measure.rs
+++ b/tests/measure.rs
@@ -20,7 +20,7 @@
         .args(args)
         .args(["--stream", "--json", "--key", KEY]);
     let mut process = Process::start("load", &mut command);
-    let text = process.lines(1).concat();
+    let text = process.read_lines(1).concat();
     let value: Value = serde_json::from_str(&text).expect("a result");
     assert_eq!(value["violations"], 0, "{value:#}");
     value
@@ -34,13 +34,13 @@
 fn stages(fleet: &Fleet, delay: u64) -> [Emulator; 2] {
     let plan = [("eng-1", "0..16"), ("eng-2", "16..32")];
     let engines = plan.map(|(id, layers)| {
-        fleet.engine_with(id, layers, |p| {
+        fleet.start_engine_with(id, layers, |p| {
             p.flag("token-ms", delay)
                 .flag("slots", 512)
                 .flag("threads", 4)
         })
     });
-    fleet.serving();
+    fleet.wait_until_serving();
     engines
 }
 
@@ -51,7 +51,7 @@
 fn overhead_latency_side_by_side() {
     let fleet = Fleet::single();
     let engines = stages(&fleet, 5);
-    let target = fleet.caller(0).to_string();
+    let target = fleet.caller_addr(0).to_string();
     let direct = direct(&engines);
     let value = load(&[
         "--target",
@@ -80,7 +80,7 @@
 fn overhead_throughput_in_turn() {
     let fleet = Fleet::single();
     let engines = stages(&fleet, 0);
-    let target = fleet.caller(0).to_string();
+    let target = fleet.caller_addr(0).to_string();
     let direct = direct(&engines);
     for (name, flag, to) in [
         ("direct", "--direct", &direct),
@@ -142,10 +142,10 @@
 
 fn pause(freeze: bool, round: usize) -> Duration {
     let fleet = Fleet::single();
-    let mut engines = ["e-1", "e-2"].map(|id| fleet.engine(id, "0..32"));
-    fleet.serving();
+    let mut engines = ["e-1", "e-2"].map(|id| fleet.start_engine(id, "0..32"));
+    fleet.wait_until_serving();
     let ask = CompletionRequest::new(KEY, &format!("recover {round}"), 400);
-    let mut stream = ask.stream(fleet.caller(0));
+    let mut stream = ask.stream(fleet.caller_addr(0));
     tokens(&mut stream);
     let leader = engines.iter().position(|e| e.attempts(&ask.prompt) > 0);
     let leader = &mut engines[leader.expect("an engine leads")].process;
@@ -177,18 +177,18 @@
 fn recovery_of_an_instance() {
     let mut times = Vec::new();
     for round in 0..5 {
-        let mut fleet = Fleet::of(3);
-        let engine = fleet.engine("e-1", "0..32");
-        fleet.serving();
+        let mut fleet = Fleet::with_instances(3);
+        let engine = fleet.start_engine("e-1", "0..32");
+        fleet.wait_until_serving();
         engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
         let ask =
             CompletionRequest::new(KEY, "letter", 8).non_idempotent(&format!("measure-{round}"));
-        let mut stream = ask.stream(fleet.caller(0));
+        let mut stream = ask.stream(fleet.caller_addr(0));
         tokens(&mut stream);
         let begin = Instant::now();
         fleet.instance(0).process.kill();
         let code = wait_for("a definite answer", || {
-            match ask.stream(fleet.caller(1)).read_to_end().1 {
+            match ask.stream(fleet.caller_addr(1)).read_to_end().1 {
                 Event::Done => Some("whole".to_owned()),
                 Event::Failed(error) if error["code"] == "outcome_unknown" => {
                     Some("outcome_unknown".to_owned())
@@ -210,17 +210,20 @@
 #[test]
 #[ignore = "a measurement; run by command"]
 fn catalogue_in_force_everywhere() {
-    let fleet = Fleet::of(9);
+    let fleet = Fleet::with_instances(9);
     let (mut accepted, mut everywhere) = (Vec::new(), Vec::new());
     for round in 0..40 {
         let name = format!("pool-{round}");
         let body = json!({"id": name, "expect": "any", "operations": [{"put":
             {"kind": "pool", "name": name, "credential": format!("{round:064x}")}}]});
         let begin = Instant::now();
-        let uri = format!("http://{}/v1/catalogue/changes", fleet.control(round % 9));
+        let uri = format!(
+            "http://{}/v1/catalogue/changes",
+            fleet.control_addr(round % 9)
+        );
         let reply = agent()
             .post(uri)
-            .header("Authorization", fleet.operator())
+            .header("Authorization", fleet.operator_auth())
             .send_json(&body);
         let outcome: Value = reply.expect("an answer").body_mut().read_json().unwrap();
         accepted.push(begin.elapsed());
@@ -238,10 +241,10 @@
 }
 
 fn revision_at(fleet: &Fleet, at: usize) -> u64 {
-    let uri = format!("http://{}/v1/state", fleet.control(at));
+    let uri = format!("http://{}/v1/state", fleet.control_addr(at));
     let reply = agent()
         .get(uri)
-        .header("Authorization", fleet.operator())
+        .header("Authorization", fleet.operator_auth())
         .call();
     let state: Value = reply.expect("a state").body_mut().read_json().unwrap();
     state["catalogue"]["revision"].as_u64().unwrap_or(0)
--- a/tests/platform/faults.rs
+++ b/tests/platform/faults.rs
@@ -153,7 +153,7 @@
     for (status, body) in running {
         assert_eq!((status, body), (200, whole_stream()));
     }
-    assert!(stage.entries[0].exit().success());
+    assert!(stage.entries[0].wait_for_exit().success());
 }
 
 /// Logs and metrics must show no key, whatever fails.
