--- a/tests/platform/crash.rs
+++ b/tests/platform/crash.rs
@@ -8,7 +8,7 @@
 
 use crate::common::process::Process;
 use crate::common::wait_for;
-use crate::stage::{KEY, OTHER_KEY, Stage};
+use crate::deployment::{Deployment, KEY, OTHER_KEY};
 
 /// Path of the stream route.
 const STREAM_PATH: &str = "/letters/x";
@@ -34,25 +34,26 @@
 const OTHERS_PAUSE: Duration = Duration::from_millis(50);
 
 /// Sends the crashing request once, as a new attempt at one of the instances.
-fn ask_crashing(stage: &Stage, path: &str, number: usize) -> (u16, String) {
-    let entry = number * 7 % stage.entries.len();
+fn ask_crashing(deployment: &Deployment, path: &str, number: usize) -> (u16, String) {
+    let entry = number * 7 % deployment.entries.len();
     let attempt = format!("crashing-{number}");
-    stage.ask_with(entry, path, &attempt, KEY, CRASHING)
+    deployment.request_with_body(entry, path, &attempt, KEY, CRASHING)
 }
 
 /// Sends other requests until `done`; returns how many were refused as quarantined.
-fn ask_others(stage: &Stage, caller: usize, done: &AtomicBool) -> usize {
+fn ask_others(deployment: &Deployment, caller: usize, done: &AtomicBool) -> usize {
     let mut refused = 0;
     for number in 0.. {
         if done.load(Ordering::Relaxed) {
             break;
         }
-        let entry = (caller * 31 + number) % stage.entries.len();
+        let entry = (caller * 31 + number) % deployment.entries.len();
         let attempt = format!("other-{caller}-{number}");
         // Retries like a caller whose response was cut off.
         for again in 0..2 {
             let (attempt, body) = (format!("{attempt}-{again}"), &attempt);
-            let (status, reply) = stage.ask_with(entry, STREAM_PATH, &attempt, KEY, body);
+            let (status, reply) =
+                deployment.request_with_body(entry, STREAM_PATH, &attempt, KEY, body);
             refused += usize::from(reply.contains("quarantined"));
             if status == 200 {
                 break;
@@ -71,29 +72,33 @@
 #[case::idempotent("/lookups/x", 9)]
 #[case::non_idempotent("/bookings/x", 9)]
 fn crashing_request_stopped(#[case] path: &str, #[case] entries: usize) {
-    let stage = Stage::sized(entries, &[10, 10]);
-    stage.world().crash_on("one", CRASHING);
+    let deployment = Deployment::with_size(entries, &[10, 10]);
+    deployment.engine_state().crash_on("one", CRASHING);
     let (done, refused) = (AtomicBool::new(false), AtomicUsize::new(0));
     thread::scope(|scope| {
         for caller in 0..8 {
-            let (stage, done, refused) = (&stage, &done, &refused);
+            let (deployment, done, refused) = (&deployment, &done, &refused);
             scope.spawn(move || {
-                refused.fetch_add(ask_others(stage, caller, done), Ordering::Relaxed);
+                refused.fetch_add(ask_others(deployment, caller, done), Ordering::Relaxed);
             });
         }
         let (mut number, mut end) = (0, None::<Instant>);
         while end.is_none_or(|end| Instant::now() < end) {
-            ask_crashing(&stage, path, number);
+            ask_crashing(&deployment, path, number);
             number += 1;
-            let third = stage.world().crashed(CRASHING).get(CRASHES - 1).copied();
+            let third = deployment
+                .engine_state()
+                .crashes(CRASHING)
+                .get(CRASHES - 1)
+                .copied();
             end = third.map(|at| at + PROPAGATION + REPEAT_FOR);
             thread::sleep(PAUSE);
         }
         done.store(true, Ordering::Relaxed);
     });
     assert_eq!(refused.load(Ordering::Relaxed), 0, "other requests refused");
-    let third = stage.world().crashed(CRASHING)[CRASHES - 1];
-    let received = stage.world().received(CRASHING);
+    let third = deployment.engine_state().crashes(CRASHING)[CRASHES - 1];
+    let received = deployment.engine_state().received(CRASHING);
     let late = received
         .iter()
         .filter(|at| **at > third + PROPAGATION)
@@ -105,17 +110,17 @@
     );
     // An identical request of another organisation has another fingerprint.
     wait_for("the other organisation's answer", || {
-        let (status, _) = stage.ask_with(1, path, "two", OTHER_KEY, CRASHING);
+        let (status, _) = deployment.request_with_body(1, path, "two", OTHER_KEY, CRASHING);
         (status == 200).then_some(())
     });
 }
 
 /// Sends the crashing request until it is refused as quarantined; returns the number of
 /// the next attempt.
-fn ask_until_refused(stage: &Stage, first: usize) -> usize {
+fn ask_until_refused(deployment: &Deployment, first: usize) -> usize {
     let mut number = first;
     wait_for("a refusal of the crashing request", || {
-        let (status, reply) = ask_crashing(stage, STREAM_PATH, number);
+        let (status, reply) = ask_crashing(deployment, STREAM_PATH, number);
         number += 1;
         thread::sleep(PAUSE);
         (status == 503 && reply.contains("quarantined")).then_some(number)
@@ -128,74 +133,80 @@
 #[case::leader_killed(Process::kill)]
 #[case::leader_frozen(|process: &mut Process| process.freeze())]
 fn quarantine_survives_faults(#[case] stop_leader: fn(&mut Process)) {
-    let mut stage = Stage::sized(9, &[10, 10]);
-    stage.world().crash_on("one", CRASHING);
+    let mut deployment = Deployment::with_size(9, &[10, 10]);
+    deployment.engine_state().crash_on("one", CRASHING);
     let mut number = 0;
-    while stage.world().crashed(CRASHING).len() < CRASHES - 1 {
-        ask_crashing(&stage, STREAM_PATH, number);
+    while deployment.engine_state().crashes(CRASHING).len() < CRASHES - 1 {
+        ask_crashing(&deployment, STREAM_PATH, number);
         number += 1;
     }
-    let lead = wait_for("a leader", || stage.leader());
-    stop_leader(&mut stage.controllers[lead]);
-    if !stage.controllers[lead].is_running() {
-        stage.controllers[lead] = stage.controller(u8::try_from(lead).unwrap(), false);
+    let lead = wait_for("a leader", || deployment.leader());
+    stop_leader(&mut deployment.controllers[lead]);
+    if !deployment.controllers[lead].is_running() {
+        deployment.controllers[lead] =
+            deployment.start_controller(u8::try_from(lead).unwrap(), false);
     }
-    stage.entries[0].freeze();
+    deployment.entries[0].freeze();
     // Skips the first instance while it is frozen.
-    number += stage.entries.len() - number % stage.entries.len() + 1;
+    number += deployment.entries.len() - number % deployment.entries.len() + 1;
     wait_for("a refusal of the crashing request", || {
-        number += usize::from(number % stage.entries.len() == 0);
-        let (status, reply) = ask_crashing(&stage, STREAM_PATH, number);
+        number += usize::from(number % deployment.entries.len() == 0);
+        let (status, reply) = ask_crashing(&deployment, STREAM_PATH, number);
         number += 1;
         thread::sleep(PAUSE);
         (status == 503 && reply.contains("quarantined")).then_some(())
     });
-    stage.entries[0].thaw();
-    if stage.controllers[lead].is_running() {
-        stage.controllers[lead].thaw();
+    deployment.entries[0].thaw();
+    if deployment.controllers[lead].is_running() {
+        deployment.controllers[lead].thaw();
     }
     thread::sleep(PROPAGATION);
-    let before = stage.world().received(CRASHING).len();
-    let third = stage.world().crashed(CRASHING)[CRASHES - 1];
-    let late = stage.world().received(CRASHING);
+    let before = deployment.engine_state().received(CRASHING).len();
+    let third = deployment.engine_state().crashes(CRASHING)[CRASHES - 1];
+    let late = deployment.engine_state().received(CRASHING);
     let late = late.iter().filter(|at| **at > third + PROPAGATION).count();
     assert!(late <= MAX_LATE, "{late} arrivals came late");
-    for entry in 0..stage.entries.len() {
+    for entry in 0..deployment.entries.len() {
         let attempt = format!("thawed-{entry}");
-        let (status, _) = stage.ask_with(entry, STREAM_PATH, &attempt, KEY, CRASHING);
+        let (status, _) = deployment.request_with_body(entry, STREAM_PATH, &attempt, KEY, CRASHING);
         assert_eq!(status, 503, "instance {entry}");
     }
-    for process in stage.controllers.iter_mut().chain(&mut stage.entries) {
+    for process in deployment
+        .controllers
+        .iter_mut()
+        .chain(&mut deployment.entries)
+    {
         if process.is_running() {
             process.kill();
         }
     }
     for i in 0..3 {
-        stage.controllers[usize::from(i)] = stage.controller(i, false);
+        deployment.controllers[usize::from(i)] = deployment.start_controller(i, false);
     }
-    for entry in 0..stage.entries.len() {
-        stage.entries[entry] = stage.entry(entry);
+    for entry in 0..deployment.entries.len() {
+        deployment.entries[entry] = deployment.start_entry(entry);
     }
-    for entry in 0..stage.entries.len() {
-        wait_for("ready entry", || stage.is_ready(entry).then_some(()));
+    for entry in 0..deployment.entries.len() {
+        wait_for("ready entry", || deployment.is_ready(entry).then_some(()));
         let attempt = format!("restarted-{entry}");
-        let (status, reply) = stage.ask_with(entry, STREAM_PATH, &attempt, KEY, CRASHING);
+        let (status, reply) =
+            deployment.request_with_body(entry, STREAM_PATH, &attempt, KEY, CRASHING);
         assert!(
             status == 503 && reply.contains("quarantined"),
             "{status} {reply}"
         );
     }
-    assert_eq!(stage.world().received(CRASHING).len(), before);
+    assert_eq!(deployment.engine_state().received(CRASHING).len(), before);
 }
 
 /// Guards against a quarantine that operators can neither list nor lift.
 #[test]
 fn quarantine_lifted() {
-    let stage = Stage::sized(2, &[8, 8]);
-    stage.world().crash_on("one", CRASHING);
-    ask_until_refused(&stage, 0);
+    let deployment = Deployment::with_size(2, &[8, 8]);
+    deployment.engine_state().crash_on("one", CRASHING);
+    ask_until_refused(&deployment, 0);
     let list = || {
-        let reply = stage.quarantine_command("list", &[]);
+        let reply = deployment.run_quarantine("list", &[]);
         serde_json::from_str::<serde_json::Value>(&reply).expect("JSON")
     };
     let listed = list();
@@ -203,15 +214,15 @@
     assert_eq!(request["organisation"], "one");
     assert!(request["engines"].as_u64() >= Some(3), "{listed}");
     let fingerprint = request["fingerprint"].as_str().expect("a fingerprint");
-    let before = stage.world().received(CRASHING).len();
-    stage.quarantine_command("lift", &[fingerprint]);
+    let before = deployment.engine_state().received(CRASHING).len();
+    deployment.run_quarantine("lift", &[fingerprint]);
     assert_eq!(list()["requests"], serde_json::json!([]));
     wait_for("an arrival after the lift", || {
         ask_crashing(
-            &stage,
+            &deployment,
             STREAM_PATH,
-            1000 + stage.world().received(CRASHING).len(),
+            1000 + deployment.engine_state().received(CRASHING).len(),
         );
-        (stage.world().received(CRASHING).len() > before).then_some(())
+        (deployment.engine_state().received(CRASHING).len() > before).then_some(())
     });
 }
--- a/tests/platform/stage.rs
+++ b/tests/platform/deployment.rs
@@ -1,5 +1,5 @@
-//! A small deployment: three controllers, an entry instance in each of two
-//! domains, and engines.
+//! A deployment for tests: controllers, entry instances and engines in two failure
+//! domains; three controllers and two entry instances unless a test asks for more.
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -16,7 +16,7 @@
 use crate::common::caller::agent;
 use crate::common::process::Process;
 use crate::common::{port, wait_for};
-use crate::engine::{self, BEAT, LAYERS, Shared, Spec, World};
+use crate::engine::{self, EngineSpec, EngineState, HEARTBEAT_PERIOD, LAYERS, SharedState};
 
 pub(crate) const HOST: &str = "desk.example";
 pub(crate) const KEY: &str = "key-of-one";
@@ -31,8 +31,9 @@
 /// Number of entry instances that are warmed up concurrently.
 const WARM_UP_BATCH: usize = 30;
 
-/// Tests of one process use loopback addresses of their own.
-static NEXT: AtomicU8 = AtomicU8::new(1);
+/// Third octet of the next deployment's loopback addresses, so that concurrent tests of
+/// one process don't share addresses.
+static NEXT_SUBNET: AtomicU8 = AtomicU8::new(1);
 
 struct Ports {
     callers: u16,
@@ -43,70 +44,69 @@
 }
 
 /// A running deployment.
-pub(crate) struct Stage {
+pub(crate) struct Deployment {
     pub(crate) controllers: Vec<Process>,
     pub(crate) entries: Vec<Process>,
-    pub(crate) engines: Vec<Spec>,
+    pub(crate) engines: Vec<EngineSpec>,
     /// Number of controllers.
     voters: u8,
-    world: Shared,
-    net: u8,
+    engine_state: SharedState,
+    subnet: u8,
     ports: Ports,
     folder: TempDir,
 }
 
-impl Stage {
-    /// Starts all, sends the first configuration, and waits until a request
-    /// would be served.
+impl Deployment {
+    /// Starts all processes, sends the first configuration, and waits until every entry
+    /// instance serves requests.
     pub(crate) fn start() -> Self {
-        Self::sized(DOMAINS.len(), &[3, 2])
+        Self::with_size(DOMAINS.len(), &[3, 2])
     }
 
-    /// Like [`Stage::start`], with the given number of entry instances and of model engines
+    /// Like [`Deployment::start`], with the given number of entry instances and of model engines
     /// per domain.
-    pub(crate) fn sized(entries: usize, engines: &[u8]) -> Self {
-        let mut stage = Self::founded(CONTROLLERS);
+    pub(crate) fn with_size(entries: usize, engines: &[u8]) -> Self {
+        let mut deployment = Self::controllers_only(CONTROLLERS);
         for i in 0..entries {
-            let process = stage.entry(i);
-            stage.entries.push(process);
+            let process = deployment.start_entry(i);
+            deployment.entries.push(process);
         }
         wait_for("first configuration", || {
-            stage.replace(1, &[KEY]).then_some(())
+            deployment.replace_configuration(1, &[KEY]).then_some(())
         });
         let models = DOMAINS.iter().zip(engines);
         let models = models.flat_map(|(domain, count)| (0..*count).map(|_| ("models", *domain)));
         let desks = DOMAINS.iter().map(|domain| ("desk", *domain));
         for (i, (service, domain)) in (1..).zip(models.chain(desks)) {
-            stage.engine(i, service, domain);
+            deployment.start_engine(i, service, domain);
         }
         wait_for("layers of both domains", || {
-            let covered = |d: &&str| stage.world().covers(&stage.addresses(d));
+            let covered = |d: &&str| deployment.engine_state().covers(&deployment.model_addrs(d));
             DOMAINS.iter().all(covered).then_some(())
         });
         for i in 0..entries {
-            wait_for("ready entry", || stage.is_ready(i).then_some(()));
+            wait_for("ready entry", || deployment.is_ready(i).then_some(()));
         }
-        // All entries must know the last layers.
+        // Every entry instance must know the layers that were placed last.
         for batch in (0..entries).collect::<Vec<_>>().chunks(WARM_UP_BATCH) {
             thread::scope(|scope| {
                 for i in batch {
-                    scope.spawn(|| stage.warm(*i));
+                    scope.spawn(|| deployment.wait_until_serving(*i));
                 }
             });
         }
-        stage
+        deployment
     }
 
-    /// Starts controllers only.
-    pub(crate) fn founded(voters: u8) -> Self {
+    pub(crate) fn controllers_only(voters: u8) -> Self {
         let port = || port::free().port();
-        let mut stage = Self {
+        let mut deployment = Self {
             controllers: Vec::new(),
             entries: Vec::new(),
             engines: Vec::new(),
             voters,
-            world: Shared::default(),
-            net: NEXT.fetch_add(1, Ordering::Relaxed),
+            engine_state: SharedState::default(),
+            subnet: NEXT_SUBNET.fetch_add(1, Ordering::Relaxed),
             ports: Ports {
                 callers: port(),
                 readiness: port(),
@@ -117,77 +117,77 @@
             folder: tempfile::tempdir().unwrap(),
         };
         for i in 0..voters {
-            let process = stage.controller(i, true);
-            stage.controllers.push(process);
+            let process = deployment.start_controller(i, true);
+            deployment.controllers.push(process);
         }
-        stage
+        deployment
     }
 
     /// Waits until an entry instance serves a request.
-    fn warm(&self, entry: usize) {
+    fn wait_until_serving(&self, entry: usize) {
         wait_for("served request", || {
-            let (status, _) = self.ask(entry, "/letters/x", &format!("warm-{entry}"), KEY);
+            let (status, _) = self.request(entry, "/letters/x", &format!("warm-{entry}"), KEY);
             (status == 200).then_some(())
         });
     }
 
-    pub(crate) fn world(&self) -> MutexGuard<'_, World> {
-        self.world.lock().unwrap()
+    pub(crate) fn engine_state(&self) -> MutexGuard<'_, EngineState> {
+        self.engine_state.lock().unwrap()
     }
 
     fn ip(&self, host: u16) -> Ipv4Addr {
         let [high, low] = host.to_be_bytes();
-        Ipv4Addr::new(127, high, self.net, low)
+        Ipv4Addr::new(127, high, self.subnet, low)
     }
 
-    fn at(&self, host: u16, port: u16) -> SocketAddr {
+    fn addr(&self, host: u16, port: u16) -> SocketAddr {
         SocketAddrV4::new(self.ip(host), port).into()
     }
 
-    pub(crate) fn control(&self, i: u8) -> SocketAddr {
-        self.at(1 + u16::from(i), self.ports.control)
+    pub(crate) fn control_addr(&self, i: u8) -> SocketAddr {
+        self.addr(1 + u16::from(i), self.ports.control)
     }
 
-    pub(crate) fn callers(&self, entry: usize) -> SocketAddr {
-        self.at(entry_host(entry), self.ports.callers)
+    pub(crate) fn caller_addr(&self, entry: usize) -> SocketAddr {
+        self.addr(entry_host(entry), self.ports.callers)
     }
 
-    fn addresses(&self, domain: &str) -> Vec<SocketAddr> {
+    fn model_addrs(&self, domain: &str) -> Vec<SocketAddr> {
         let engines = self.engines.iter();
         let models = engines.filter(|e| e.service == "models" && e.domain == domain);
         models.map(|e| e.address).collect()
     }
 
-    /// Starts a controller, on the disk that it had if there is one.
-    pub(crate) fn controller(&self, i: u8, founding: bool) -> Process {
-        let data = self.data(i);
+    /// Starts a controller, with its earlier data folder if there is one.
+    pub(crate) fn start_controller(&self, i: u8, first_start: bool) -> Process {
+        let data = self.data_dir(i);
         fs::create_dir_all(&data).unwrap();
-        let listen = format!("control = \"{}\"", self.control(i));
+        let listen = format!("control = \"{}\"", self.control_addr(i));
         let data = format!("dataDir = {data:?}");
-        self.role(
+        self.start_role(
             "controller",
             1 + u16::from(i),
             DOMAINS[usize::from(i) % 2],
-            founding,
+            first_start,
             &data,
             &listen,
         )
     }
 
-    /// Folder of a controller's disk.
-    pub(crate) fn data(&self, i: u8) -> PathBuf {
+    /// Data folder of a controller.
+    pub(crate) fn data_dir(&self, i: u8) -> PathBuf {
         self.folder.path().join(format!("data-{i}"))
     }
 
-    pub(crate) fn entry(&self, i: usize) -> Process {
+    pub(crate) fn start_entry(&self, i: usize) -> Process {
         let host = entry_host(i);
-        let (callers, readiness) = (self.callers(i), self.at(host, self.ports.readiness));
+        let (callers, readiness) = (self.caller_addr(i), self.addr(host, self.ports.readiness));
         let listen = format!("front = \"{callers}\"\nreadiness = \"{readiness}\"");
-        self.role("entry", host, DOMAINS[i % 2], true, "", &listen)
+        self.start_role("entry", host, DOMAINS[i % 2], true, "", &listen)
     }
 
-    /// Starts an entry instance whose output nobody reads.
-    pub(crate) fn unread_entry(&self, i: usize) -> Process {
+    /// Starts an entry instance whose output is never read.
+    pub(crate) fn start_unread_entry(&self, i: usize) -> Process {
         let file = self
             .folder
             .path()
@@ -197,25 +197,25 @@
         Process::start("unread entry", &mut command)
     }
 
-    fn role(
+    fn start_role(
         &self,
         role: &str,
         host: u16,
         domain: &str,
-        founding: bool,
-        more: &str,
+        first_start: bool,
+        settings: &str,
         listen: &str,
     ) -> Process {
         let seeds: Vec<_> = (0..self.voters)
-            .map(|i| self.control(i).to_string())
+            .map(|i| self.control_addr(i).to_string())
             .collect();
         let (ip, peers) = (self.ip(host), self.ports.peers);
         let text = format!(
             "node = \"{role}-{host}\"\nip = \"{ip}\"\nzone = \"{domain}\"\n\
-             portRange = [{peers},{peers}]\nseeds = {seeds:?}\nfirstStart = {founding}\n\
-             beatMs = {}\n{more}\n[faultTolerance]\nmachines = 1\n[listen]\n{listen}\n\
+             portRange = [{peers},{peers}]\nseeds = {seeds:?}\nfirstStart = {first_start}\n\
+             beatMs = {}\n{settings}\n[faultTolerance]\nmachines = 1\n[listen]\n{listen}\n\
              [bounds]\ngraceS = 8\nrevokeMs = 5000\nretrySlack = 200\nstall_ms = 2500\n",
-            BEAT.as_millis()
+            HEARTBEAT_PERIOD.as_millis()
         );
         let file = self.folder.path().join(format!("{role}-{host}.toml"));
         fs::write(&file, text).unwrap();
@@ -226,50 +226,49 @@
         Process::start_logged(&format!("{role} {host}"), &mut command)
     }
 
-    /// Starts an engine.
-    pub(crate) fn engine(&mut self, host: u8, service: &'static str, domain: &'static str) {
-        let address = self.at(100 + u16::from(host), port::free().port());
-        let spec = Spec {
+    pub(crate) fn start_engine(&mut self, host: u8, service: &'static str, domain: &'static str) {
+        let address = self.addr(100 + u16::from(host), port::free().port());
+        let spec = EngineSpec {
             id: format!("i-{host}"),
             address,
             domain,
             service,
         };
-        let controllers = (0..self.voters).map(|i| self.control(i)).collect();
-        engine::run(spec.clone(), Arc::clone(&self.world), controllers);
+        let controllers = (0..self.voters).map(|i| self.control_addr(i)).collect();
+        engine::spawn(spec.clone(), Arc::clone(&self.engine_state), controllers);
         self.engines.push(spec);
     }
 
-    /// Sends a configuration to one controller; says whether it was acknowledged.
-    pub(crate) fn replace_at(&self, i: u8, version: u64) -> bool {
+    /// Sends a configuration to one controller; returns whether it was acknowledged.
+    pub(crate) fn replace_configuration_at(&self, i: u8, version: u64) -> bool {
         let body = configuration(version, &[KEY]);
-        engine::post(self.control(i), "/v1/Config.Replace", &body)
+        engine::post(self.control_addr(i), "/v1/Config.Replace", &body)
     }
 
-    /// Sends a configuration to the controllers in turn; says whether one
-    /// acknowledged it.
-    pub(crate) fn replace(&self, version: u64, keys: &[&str]) -> bool {
+    /// Sends a configuration to the controllers in turn until one acknowledges it;
+    /// returns whether one did.
+    pub(crate) fn replace_configuration(&self, version: u64, keys: &[&str]) -> bool {
         let body = configuration(version, keys);
-        (0..self.voters).any(|i| engine::post(self.control(i), "/v1/Config.Replace", &body))
+        (0..self.voters).any(|i| engine::post(self.control_addr(i), "/v1/Config.Replace", &body))
     }
 
-    /// Version that a controller reads back, if it is sure.
-    pub(crate) fn fetch(&self, i: u8) -> Option<u64> {
-        let uri = format!("http://{}/v1/Config.Fetch", self.control(i));
+    /// Version of the configuration that a controller returns, if it can confirm one.
+    pub(crate) fn fetch_version(&self, i: u8) -> Option<u64> {
+        let uri = format!("http://{}/v1/Config.Fetch", self.control_addr(i));
         let mut reply = agent().get(&uri).call().ok()?;
-        let read = reply.status() == 200;
-        let body = reply.body_mut().read_to_string().ok().filter(|_| read)?;
+        let is_ok = reply.status() == 200;
+        let body = reply.body_mut().read_to_string().ok().filter(|_| is_ok)?;
         serde_json::from_str::<Value>(&body).ok()?["version"].as_u64()
     }
 
     /// Runs `laburnumquay quarantine`; returns its standard output.
-    pub(crate) fn quarantine_command(&self, verb: &str, arguments: &[&str]) -> String {
-        let target = self.control(0).to_string();
+    pub(crate) fn run_quarantine(&self, verb: &str, arguments: &[&str]) -> String {
+        let target = self.control_addr(0).to_string();
         let mut command = Command::new(env!("CARGO_BIN_EXE_laburnumquay"));
         command.args(["quarantine", verb, "--controller", &target]);
         let output = command.args(arguments).output().expect("run the command");
-        let shown = String::from_utf8_lossy(&output.stderr);
-        assert!(output.status.success(), "{shown}");
+        let errors = String::from_utf8_lossy(&output.stderr);
+        assert!(output.status.success(), "{errors}");
         String::from_utf8(output.stdout).expect("text")
     }
 
@@ -278,7 +277,7 @@
         let entries = (0..self.entries.len()).map(entry_host);
         let hosts = (1..=u16::from(self.voters)).chain(entries);
         let read = |host| {
-            let uri = format!("http://{}/metrics", self.at(host, self.ports.metrics));
+            let uri = format!("http://{}/metrics", self.addr(host, self.ports.metrics));
             let mut reply = agent().get(&uri).call().expect("metrics");
             reply.body_mut().read_to_string().expect("text")
         };
@@ -293,19 +292,25 @@
     }
 
     pub(crate) fn is_ready(&self, entry: usize) -> bool {
-        let address = self.at(entry_host(entry), self.ports.readiness);
+        let address = self.addr(entry_host(entry), self.ports.readiness);
         let reply = agent().get(format!("http://{address}/v1/readyz")).call();
         reply.is_ok_and(|r| r.status() == 200)
     }
 
-    /// Status and body of a request; an error while reading the body counts
-    /// as status 0.
-    pub(crate) fn ask(&self, entry: usize, path: &str, attempt: &str, key: &str) -> (u16, String) {
-        self.ask_with(entry, path, attempt, key, "text")
+    /// Sends a request to an entry instance; returns status and body. The status is 0 if
+    /// sending or reading the body fails.
+    pub(crate) fn request(
+        &self,
+        entry: usize,
+        path: &str,
+        attempt: &str,
+        key: &str,
+    ) -> (u16, String) {
+        self.request_with_body(entry, path, attempt, key, "text")
     }
 
-    /// Like [`Stage::ask`], with a body.
-    pub(crate) fn ask_with(
+    /// Like [`Deployment::request`], with a body.
+    pub(crate) fn request_with_body(
         &self,
         entry: usize,
         path: &str,
@@ -314,7 +319,7 @@
         body: &str,
     ) -> (u16, String) {
         let request = agent()
-            .post(format!("http://{}{path}", self.callers(entry)))
+            .post(format!("http://{}{path}", self.caller_addr(entry)))
             .header("host", HOST)
             .header("x-attempt-id", attempt)
             .header("x-credential", key)
@@ -367,5 +372,5 @@
     })
 }
 
-/// Longest time for a change to be in force everywhere.
-pub(crate) const APPLY: Duration = Duration::from_secs(2);
+/// Maximum time until a change of the configuration is in force everywhere.
+pub(crate) const APPLY_TIME: Duration = Duration::from_secs(2);
--- a/tests/platform/engine.rs
+++ b/tests/platform/engine.rs
@@ -1,5 +1,5 @@
-//! Stand-in engines: they announce themselves, take orders for layers, and
-//! stream events, as the platform's pages describe.
+//! Simulated engines that speak the platform's protocol: they send heartbeats, accept
+//! orders to load layers and stream events.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -24,23 +24,23 @@
 
 use crate::common::caller::agent;
 
-/// Period of the heartbeats.
-pub(crate) const BEAT: Duration = Duration::from_millis(300);
-/// Layers of the model.
+pub(crate) const HEARTBEAT_PERIOD: Duration = Duration::from_millis(300);
+/// Number of layers of the model.
 pub(crate) const LAYERS: u32 = 8;
-/// Events of a whole stream.
-pub(crate) const EVENTS: u64 = 12;
-/// What a caller must get of a whole stream.
-pub(crate) fn whole_stream() -> String {
+/// Number of events of a complete stream.
+pub(crate) const STREAM_EVENTS: u64 = 12;
+
+/// Body that a caller must receive for a complete stream.
+pub(crate) fn expected_stream() -> String {
     let event = |id| format!("id: {id}\ndata: token {id}\n\n");
-    (1..=EVENTS).map(event).collect()
+    (1..=STREAM_EVENTS).map(event).collect()
 }
 
 /// Time between two events.
-const PACE: Duration = Duration::from_millis(40);
+const EVENT_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Time from the start of a crashing run to the crash.
-const CRASH_AFTER: Duration = Duration::from_millis(60);
+const CRASH_DELAY: Duration = Duration::from_millis(60);
 
 /// Time until a crashed engine restarts.
 const DOWNTIME: Duration = Duration::from_millis(1500);
@@ -49,64 +49,67 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     None,
-    /// It resets each stream after so many events.
-    CutAfter(u64),
-    /// It takes requests and says nothing.
-    Mute,
-    /// As [`Fault::Mute`], at every run.
-    Deaf,
-    /// It runs requests and answers with a failure of its own.
+    /// Breaks off each stream after this many events.
+    ResetAfter(u64),
+    /// Accepts requests and never responds.
+    HangOnce,
+    /// Like [`Fault::HangOnce`], but at every run of an attempt.
+    Hang,
+    /// Runs requests and responds with status 500.
     Error,
 }
 
-/// What all engines of a test know together.
+/// State that all engines of a test share, and the record of what they received.
 #[derive(Default)]
-pub(crate) struct World {
-    /// Layers by address.
-    held: HashMap<SocketAddr, (u32, u32)>,
-    /// Runs by the caller's attempt.
+pub(crate) struct EngineState {
+    /// First (inclusive) and last (exclusive) loaded layer, by engine address.
+    layers: HashMap<SocketAddr, (u32, u32)>,
+    /// Number of runs, by the caller's attempt ID.
     runs: HashMap<String, u32>,
+    /// Faults, by engine ID.
     faults: HashMap<String, Fault>,
-    dead: Vec<String>,
+    /// IDs of killed engines.
+    killed: Vec<String>,
     /// Time that an engine takes to answer an order.
-    order_time: Duration,
-    /// Orders that wait for their answers, and the most that ever did.
-    ordering: usize,
-    most_ordering: usize,
-    /// Paths that no engine should have got.
-    wrong: Vec<String>,
+    order_delay: Duration,
+    /// Number of orders that are not yet answered, and its maximum so far.
+    pending_orders: usize,
+    max_pending: usize,
+    /// Received paths that don't cover all layers in order, each once, or that don't
+    /// start at the engine that received them.
+    invalid_paths: Vec<String>,
     /// Organisation and body of requests that crash the engines that run them.
-    crashing: Vec<(String, String)>,
-    /// When engines received a request of `crashing`, by body.
+    crash_requests: Vec<(String, String)>,
+    /// When engines received a request of `crash_requests`, by body.
     received: Vec<(Instant, String)>,
     /// Rate limits that engines announce, in requests per second, by engine.
     limits: HashMap<String, f64>,
     /// Arrival times of requests, by engine.
     arrivals: HashMap<String, Vec<Instant>>,
-    /// When engines crashed under a request of `crashing`, by body.
-    crashed: Vec<(Instant, String)>,
+    /// When engines crashed on a request of `crash_requests`, by body.
+    crashes: Vec<(Instant, String)>,
 }
 
-pub(crate) type Shared = Arc<Mutex<World>>;
+pub(crate) type SharedState = Arc<Mutex<EngineState>>;
 
-/// What an engine is.
+/// Identity and placement of an engine.
 #[derive(Clone)]
-pub(crate) struct Spec {
+pub(crate) struct EngineSpec {
     pub(crate) id: String,
     pub(crate) address: SocketAddr,
     pub(crate) domain: &'static str,
     pub(crate) service: &'static str,
 }
 
-impl World {
-    pub(crate) fn fault(&mut self, id: &str, fault: Fault) {
+impl EngineState {
+    pub(crate) fn set_fault(&mut self, id: &str, fault: Fault) {
         self.faults.insert(id.to_owned(), fault);
     }
 
-    /// Ends an engine without a word.
-    pub(crate) fn kill(&mut self, spec: &Spec) {
-        self.dead.push(spec.id.clone());
-        self.held.remove(&spec.address);
+    /// Stops an engine without announcing it.
+    pub(crate) fn kill(&mut self, spec: &EngineSpec) {
+        self.killed.push(spec.id.clone());
+        self.layers.remove(&spec.address);
     }
 
     /// Sets or clears the rate limit that an engine announces in its responses.
@@ -125,104 +128,104 @@
     /// Makes this request of an organisation crash each engine that runs it.
     pub(crate) fn crash_on(&mut self, organisation: &str, body: &str) {
         let request = (organisation.to_owned(), body.to_owned());
-        self.crashing.push(request);
+        self.crash_requests.push(request);
     }
 
-    /// When engines received a request of [`World::crash_on`].
+    /// When engines received a request of [`EngineState::crash_on`].
     pub(crate) fn received(&self, body: &str) -> Vec<Instant> {
         times_of(&self.received, body)
     }
 
-    /// When engines crashed under a request of [`World::crash_on`].
-    pub(crate) fn crashed(&self, body: &str) -> Vec<Instant> {
-        times_of(&self.crashed, body)
+    /// When engines crashed on a request of [`EngineState::crash_on`].
+    pub(crate) fn crashes(&self, body: &str) -> Vec<Instant> {
+        times_of(&self.crashes, body)
     }
 
-    /// Makes all engines take their time over orders.
-    pub(crate) fn slow_orders(&mut self, time: Duration) {
-        self.order_time = time;
+    pub(crate) fn set_order_delay(&mut self, delay: Duration) {
+        self.order_delay = delay;
     }
 
-    /// The most orders that ever waited for their answers at once.
-    pub(crate) fn most_ordering(&self) -> usize {
-        self.most_ordering
+    /// Maximum number of orders that were unanswered at the same time.
+    pub(crate) fn max_pending_orders(&self) -> usize {
+        self.max_pending
     }
 
-    /// Engines that hold layers.
-    pub(crate) fn holders(&self) -> usize {
-        self.held.len()
+    /// Number of engines that hold layers.
+    pub(crate) fn layer_holders(&self) -> usize {
+        self.layers.len()
     }
 
     pub(crate) fn runs(&self, attempt: &str) -> u32 {
         self.runs.get(attempt).copied().unwrap_or(0)
     }
 
-    pub(crate) fn wrong(&self) -> &[String] {
-        &self.wrong
+    pub(crate) fn invalid_paths(&self) -> &[String] {
+        &self.invalid_paths
     }
 
-    /// Whether the engines at these addresses hold all layers together.
+    /// Whether the engines at these addresses together hold all layers.
     pub(crate) fn covers(&self, addresses: &[SocketAddr]) -> bool {
-        let ranges = || addresses.iter().filter_map(|a| self.held.get(a));
+        let ranges = || addresses.iter().filter_map(|a| self.layers.get(a));
         (0..LAYERS).all(|l| ranges().any(|r| r.0 <= l && l < r.1))
     }
 
     /// Returns the body of a request if it crashes engines, and records its arrival.
     fn record_received(&mut self, request: (String, String)) -> Option<String> {
-        if !self.crashing.contains(&request) {
+        if !self.crash_requests.contains(&request) {
             return None;
         }
         self.received.push((Instant::now(), request.1.clone()));
         Some(request.1)
     }
 
-    /// Why a path can't run, if so.
-    fn refuses(&mut self, path: &str, first: SocketAddr) -> Option<SocketAddr> {
-        let mut at = 0;
+    /// Records the path if it is invalid. Returns the first engine on it that doesn't
+    /// hold its layers.
+    fn check_path(&mut self, path: &str, first: SocketAddr) -> Option<SocketAddr> {
+        let mut next = 0;
         for (i, part) in path.split(',').enumerate() {
             let (address, range) = part.split_once('=').expect("an address and layers");
             let (from, to) = range.split_once('-').expect("two layers");
             let (from, to): (u32, u32) = (from.parse().unwrap(), to.parse().unwrap());
             let address: SocketAddr = address.parse().expect("an address");
-            if from != at || (i == 0 && address != first) {
-                self.wrong.push(path.to_owned());
+            if from != next || (i == 0 && address != first) {
+                self.invalid_paths.push(path.to_owned());
             }
-            at = to;
+            next = to;
             let holds = |h: &(u32, u32)| h.0 <= from && to <= h.1;
-            if !self.held.get(&address).is_some_and(holds) {
+            if !self.layers.get(&address).is_some_and(holds) {
                 return Some(address);
             }
         }
-        if at != LAYERS {
-            self.wrong.push(path.to_owned());
+        if next != LAYERS {
+            self.invalid_paths.push(path.to_owned());
         }
         None
     }
 }
 
-fn times_of(list: &[(Instant, String)], body: &str) -> Vec<Instant> {
-    let of_body = list.iter().filter(|(_, b)| b == body);
+fn times_of(records: &[(Instant, String)], body: &str) -> Vec<Instant> {
+    let of_body = records.iter().filter(|(_, b)| b == body);
     of_body.map(|(at, _)| *at).collect()
 }
 
 /// Runs an engine until the test ends. After a crash it restarts at the same address
-/// under a new id, without layers.
-pub(crate) fn run(spec: Spec, world: Shared, controllers: Vec<SocketAddr>) {
+/// under a new ID, without layers.
+pub(crate) fn spawn(spec: EngineSpec, state: SharedState, controllers: Vec<SocketAddr>) {
     let mut listener = listen(spec.address);
     thread::spawn(move || {
-        let mut start = spec.clone();
+        let mut current = spec.clone();
         for number in 1.. {
-            let (beating, beats) = (start.clone(), Arc::clone(&world));
+            let (heartbeat_spec, heartbeat_state) = (current.clone(), Arc::clone(&state));
             let controllers = controllers.clone();
-            thread::spawn(move || beat(&beating, &beats, &controllers));
+            thread::spawn(move || send_heartbeats(&heartbeat_spec, &heartbeat_state, &controllers));
             let runtime = Builder::new_current_thread().enable_all().build().unwrap();
-            runtime.block_on(serve(listener, start.clone(), Arc::clone(&world)));
+            runtime.block_on(serve(listener, current.clone(), Arc::clone(&state)));
             // Closes all connections.
             drop(runtime);
-            world.lock().unwrap().kill(&start);
+            state.lock().unwrap().kill(&current);
             thread::sleep(DOWNTIME);
             listener = listen(spec.address);
-            start.id = format!("{}.{number}", spec.id);
+            current.id = format!("{}.{number}", spec.id);
         }
     });
 }
@@ -233,14 +236,14 @@
     listener
 }
 
-fn beat(spec: &Spec, world: &Shared, controllers: &[SocketAddr]) {
+fn send_heartbeats(spec: &EngineSpec, state: &SharedState, controllers: &[SocketAddr]) {
     let mut target = 0;
     for seq in 1_u64.. {
-        if world.lock().unwrap().dead.contains(&spec.id) {
+        if state.lock().unwrap().killed.contains(&spec.id) {
             return;
         }
-        let held = world.lock().unwrap().held.get(&spec.address).copied();
-        let layers = held.map(|(from, to)| json!({"from": from, "to": to, "version": 1}));
+        let layers = state.lock().unwrap().layers.get(&spec.address).copied();
+        let layers = layers.map(|(from, to)| json!({"from": from, "to": to, "version": 1}));
         let body = json!({
             "service": spec.service, "addr": spec.address.to_string(), "zone": spec.domain,
             "version": "v1", "slots": 8, "state": "ready", "seq": seq, "coldLeftMs": 0,
@@ -250,11 +253,12 @@
         if !post(controllers[target % controllers.len()], &path, &body) {
             target += 1;
         }
-        thread::sleep(BEAT);
+        thread::sleep(HEARTBEAT_PERIOD);
     }
 }
 
-/// Posts and follows one redirect; says whether it was acknowledged.
+/// Posts to a controller and follows one redirect; returns whether the request was
+/// acknowledged.
 pub(crate) fn post(to: SocketAddr, path: &str, body: &Value) -> bool {
     let mut uri = format!("http://{to}{path}");
     for _ in 0..2 {
@@ -270,7 +274,7 @@
 }
 
 /// Serves requests until the engine crashes.
-async fn serve(listener: std::net::TcpListener, spec: Spec, world: Shared) {
+async fn serve(listener: std::net::TcpListener, spec: EngineSpec, state: SharedState) {
     let listener = TcpListener::from_std(listener).unwrap();
     let crash = Arc::new(Notify::new());
     loop {
@@ -278,13 +282,13 @@
             accepted = listener.accept() => accepted.unwrap(),
             () = crash.notified() => return,
         };
-        if world.lock().unwrap().dead.contains(&spec.id) {
+        if state.lock().unwrap().killed.contains(&spec.id) {
             continue;
         }
-        let (spec, world, crash) = (spec.clone(), Arc::clone(&world), Arc::clone(&crash));
+        let (spec, state, crash) = (spec.clone(), Arc::clone(&state), Arc::clone(&crash));
         let service = service_fn(move |request| {
-            let (spec, world, crash) = (spec.clone(), Arc::clone(&world), Arc::clone(&crash));
-            async move { Ok::<_, Infallible>(answer(&spec, &world, &crash, request).await) }
+            let (spec, state, crash) = (spec.clone(), Arc::clone(&state), Arc::clone(&crash));
+            async move { Ok::<_, Infallible>(handle(&spec, &state, &crash, request).await) }
         });
         tokio::spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
     }
@@ -292,15 +296,15 @@
 
 type Body = UnsyncBoxBody<Bytes, &'static str>;
 
-fn whole(status: u16, body: &str) -> Response<Body> {
+fn full_response(status: u16, body: &str) -> Response<Body> {
     let body = Full::from(body.to_owned()).map_err(|never| match never {});
     let response = Response::builder().status(status);
     response.body(body.boxed_unsync()).unwrap()
 }
 
-async fn answer(
-    spec: &Spec,
-    world: &Shared,
+async fn handle(
+    spec: &EngineSpec,
+    state: &SharedState,
     crash: &Arc<Notify>,
     request: Request<Incoming>,
 ) -> Response<Body> {
@@ -309,68 +313,74 @@
         value.map(|v| v.to_str().unwrap().to_owned())
     };
     if header("x-expect-instance").is_some_and(|id| id != spec.id) {
-        return whole(421, "");
+        return full_response(421, "");
     }
     match request.uri().path() {
-        "/v1/order" => return order(spec, world, request).await,
-        "/v1/report" => return report(spec, world),
+        "/v1/order" => return handle_order(spec, state, request).await,
+        "/v1/report" => return handle_report(spec, state),
         _ => {}
     }
     let attempt = header("x-attempt-id").expect("an id");
     let limit = {
-        let mut world = world.lock().unwrap();
-        let arrivals = world.arrivals.entry(spec.id.clone()).or_default();
+        let mut state = state.lock().unwrap();
+        let arrivals = state.arrivals.entry(spec.id.clone()).or_default();
         arrivals.push(Instant::now());
-        world.limits.get(&spec.id).copied()
+        state.limits.get(&spec.id).copied()
     };
     let path = header("x-hop-count");
-    assert!(header("x-credential").is_none(), "a key was passed on");
-    assert!(header("x-tenant").is_some(), "an organisation is named");
+    assert!(
+        header("x-credential").is_none(),
+        "the caller's key was forwarded"
+    );
+    assert!(
+        header("x-tenant").is_some(),
+        "the organisation header is missing"
+    );
     let last: u64 = header("last-event-id").map_or(0, |l| l.parse().unwrap());
     let organisation = header("x-tenant").unwrap_or_default();
     let body = request.into_body().collect().await;
     let Ok(body) = body.map(http_body_util::Collected::to_bytes) else {
-        return whole(400, "");
+        return full_response(400, "");
     };
     let sent = (organisation, String::from_utf8_lossy(&body).into_owned());
-    let crashes = world.lock().unwrap().record_received(sent);
-    let refused = path.and_then(|p| world.lock().unwrap().refuses(&p, spec.address));
-    if let Some(culprit) = refused {
-        let mut response = whole(503, "");
+    let crash_body = state.lock().unwrap().record_received(sent);
+    let refused = path.and_then(|p| state.lock().unwrap().check_path(&p, spec.address));
+    if let Some(address) = refused {
+        let mut response = full_response(503, "");
         let headers = response.headers_mut();
         headers.insert("x-not-executed", "1".parse().unwrap());
-        headers.insert("at-server", culprit.to_string().parse().unwrap());
+        headers.insert("at-server", address.to_string().parse().unwrap());
         return response;
     }
     let fault = {
-        let mut world = world.lock().unwrap();
-        let runs = world.runs.entry(attempt.clone()).or_default();
+        let mut state = state.lock().unwrap();
+        let runs = state.runs.entry(attempt.clone()).or_default();
         *runs += 1;
-        let again = *runs > 1;
-        let fault = world.faults.get(&spec.id).copied();
-        let lasts = |f: &Fault| !again || *f == Fault::Deaf;
-        fault.filter(lasts).unwrap_or(Fault::None)
+        let repeated = *runs > 1;
+        let fault = state.faults.get(&spec.id).copied();
+        let applies = |f: &Fault| !repeated || *f == Fault::Hang;
+        fault.filter(applies).unwrap_or(Fault::None)
     };
-    if matches!(fault, Fault::Mute | Fault::Deaf) {
+    if matches!(fault, Fault::HangOnce | Fault::Hang) {
         std::future::pending::<()>().await;
     }
-    if let Some(body) = &crashes {
-        let (crash, world, body) = (Arc::clone(crash), Arc::clone(world), body.clone());
+    if let Some(body) = &crash_body {
+        let (crash, state, body) = (Arc::clone(crash), Arc::clone(state), body.clone());
         tokio::spawn(async move {
-            tokio::time::sleep(CRASH_AFTER).await;
-            world.lock().unwrap().crashed.push((Instant::now(), body));
+            tokio::time::sleep(CRASH_DELAY).await;
+            state.lock().unwrap().crashes.push((Instant::now(), body));
             crash.notify_one();
         });
     }
     // Engines of plain services crash before they respond.
-    if crashes.is_some() && spec.service != "models" {
+    if crash_body.is_some() && spec.service != "models" {
         std::future::pending::<()>().await;
     }
     let mut response = match spec.service {
-        "models" if crashes.is_some() => Response::new(pending_stream()),
-        _ if fault == Fault::Error => whole(500, "the stock file is locked"),
-        "models" => Response::new(events(last, fault)),
-        _ => whole(200, &format!("done by {}", spec.id)),
+        "models" if crash_body.is_some() => Response::new(pending_stream()),
+        _ if fault == Fault::Error => full_response(500, "the stock file is locked"),
+        "models" => Response::new(event_stream(last, fault)),
+        _ => full_response(200, &format!("done by {}", spec.id)),
     };
     let headers = response.headers_mut();
     if spec.service == "models" {
@@ -389,15 +399,15 @@
     StreamBody::new(stream::pending::<Result<Frame<Bytes>, _>>()).boxed_unsync()
 }
 
-/// The events behind `last`.
-fn events(last: u64, fault: Fault) -> Body {
+/// Stream of the events after `last`.
+fn event_stream(last: u64, fault: Fault) -> Body {
     let next = move |id: u64| async move {
-        tokio::time::sleep(PACE).await;
-        let cut = matches!(fault, Fault::CutAfter(most) if id > most);
+        tokio::time::sleep(EVENT_INTERVAL).await;
+        let reset = matches!(fault, Fault::ResetAfter(limit) if id > limit);
         let event = format!("id: {id}\ndata: token {id}\n\n");
-        match (id > EVENTS, cut) {
+        match (id > STREAM_EVENTS, reset) {
             (true, _) => None,
-            // Half an event, as a dying engine leaves it.
+            // A part of an event, as a crashing engine sends it.
             (_, true) if id.is_multiple_of(2) => {
                 Some((Ok(Frame::data(event[..7].to_owned().into())), id + 1))
             }
@@ -408,29 +418,33 @@
     StreamBody::new(stream::unfold(last + 1, next)).boxed_unsync()
 }
 
-async fn order(spec: &Spec, world: &Shared, request: Request<Incoming>) -> Response<Body> {
+async fn handle_order(
+    spec: &EngineSpec,
+    state: &SharedState,
+    request: Request<Incoming>,
+) -> Response<Body> {
     let body = request.into_body().collect().await.unwrap().to_bytes();
     let order: Value = serde_json::from_slice(&body).unwrap();
     if order["op"] != "place" {
-        return whole(404, "");
+        return full_response(404, "");
     }
     let layer = |name: &str| u32::try_from(order[name].as_u64().unwrap()).unwrap();
     let range = (layer("from"), layer("to"));
-    let time = {
-        let mut world = world.lock().unwrap();
-        world.ordering += 1;
-        world.most_ordering = world.most_ordering.max(world.ordering);
-        world.order_time
+    let delay = {
+        let mut state = state.lock().unwrap();
+        state.pending_orders += 1;
+        state.max_pending = state.max_pending.max(state.pending_orders);
+        state.order_delay
     };
-    tokio::time::sleep(time).await;
-    let mut world = world.lock().unwrap();
-    world.ordering -= 1;
-    world.held.insert(spec.address, range);
-    whole(202, "")
+    tokio::time::sleep(delay).await;
+    let mut state = state.lock().unwrap();
+    state.pending_orders -= 1;
+    state.layers.insert(spec.address, range);
+    full_response(202, "")
 }
 
-fn report(spec: &Spec, world: &Shared) -> Response<Body> {
-    let held = world.lock().unwrap().held.get(&spec.address).copied();
-    let layers = held.map(|(from, to)| json!({"from": from, "to": to, "version": 1}));
-    whole(200, &json!({"layers": layers, "stalled": []}).to_string())
+fn handle_report(spec: &EngineSpec, state: &SharedState) -> Response<Body> {
+    let layers = state.lock().unwrap().layers.get(&spec.address).copied();
+    let layers = layers.map(|(from, to)| json!({"from": from, "to": to, "version": 1}));
+    full_response(200, &json!({"layers": layers, "stalled": []}).to_string())
 }
--- a/tests/platform/limit.rs
+++ b/tests/platform/limit.rs
@@ -8,7 +8,7 @@
 use rustix::process::Signal;
 
 use crate::common::wait_for;
-use crate::stage::{KEY, Stage};
+use crate::deployment::{Deployment, KEY};
 
 /// Announced limit in requests per second.
 const LIMIT: f64 = 1.5;
@@ -23,15 +23,15 @@
 const MEASURE_TIME: Duration = Duration::from_secs(12);
 
 /// Sends requests until `done`. Returns the number of failed requests.
-fn send_until_done(stage: &Stage, path: &str, caller: usize, done: &AtomicBool) -> usize {
+fn send_until_done(deployment: &Deployment, path: &str, caller: usize, done: &AtomicBool) -> usize {
     let mut failed = 0;
     for number in 0.. {
         if done.load(Ordering::Relaxed) {
             break;
         }
-        let entry = (caller * 31 + number) % stage.entries.len();
+        let entry = (caller * 31 + number) % deployment.entries.len();
         let attempt = format!("{caller}-{number}");
-        failed += usize::from(stage.ask(entry, path, &attempt, KEY).0 != 200);
+        failed += usize::from(deployment.request(entry, path, &attempt, KEY).0 != 200);
         thread::sleep(Duration::from_millis(10));
     }
     failed
@@ -57,9 +57,9 @@
 }
 
 /// Returns the ID of the service's engine that has received the most requests.
-fn busiest_engine(stage: &Stage, service: &str) -> String {
-    let engines = stage.engines.iter().filter(|e| e.service == service);
-    let busiest = engines.max_by_key(|e| stage.world().arrivals(&e.id).len());
+fn busiest_engine(deployment: &Deployment, service: &str) -> String {
+    let engines = deployment.engines.iter().filter(|e| e.service == service);
+    let busiest = engines.max_by_key(|e| deployment.engine_state().arrivals(&e.id).len());
     busiest.expect("an engine").id.clone()
 }
 
@@ -71,28 +71,28 @@
 #[case::lookups_of_nine("/lookups/x", "desk", 9)]
 #[case::lookups_of_hundreds("/lookups/x", "desk", 300)]
 fn announced_limit_kept(#[case] path: &str, #[case] service: &str, #[case] entries: usize) {
-    let stage = Stage::sized(entries, &[4, 4]);
+    let deployment = Deployment::with_size(entries, &[4, 4]);
     let done = AtomicBool::new(false);
     let failed: usize = thread::scope(|scope| {
-        let (stage, done) = (&stage, &done);
+        let (deployment, done) = (&deployment, &done);
         let callers: Vec<_> = (0..16)
-            .map(|caller| scope.spawn(move || send_until_done(stage, path, caller, done)))
+            .map(|caller| scope.spawn(move || send_until_done(deployment, path, caller, done)))
             .collect();
         // A limit on the busiest engine displaces the most requests.
         thread::sleep(Duration::from_secs(2));
-        let busiest = busiest_engine(stage, service);
-        stage.world().set_limit(&busiest, Some(LIMIT));
+        let busiest = busiest_engine(deployment, service);
+        deployment.engine_state().set_limit(&busiest, Some(LIMIT));
         let announced = Instant::now();
         thread::sleep(GRACE_PERIOD + MEASURE_TIME);
-        let arrivals = stage.world().arrivals(&busiest);
+        let arrivals = deployment.engine_state().arrivals(&busiest);
         let before = max_per_window(&arrivals, announced - Duration::from_secs(2));
         let limited = max_per_window(&arrivals, announced + GRACE_PERIOD);
         let allowed = allowed_per_window();
-        stage.world().set_limit(&busiest, None);
-        let arrived = stage.world().arrivals(&busiest).len();
+        deployment.engine_state().set_limit(&busiest, None);
+        let arrived = deployment.engine_state().arrivals(&busiest).len();
         if entries == 9 {
             wait_for("more requests than the limit after it was lifted", || {
-                let more = stage.world().arrivals(&busiest).len() - arrived;
+                let more = deployment.engine_state().arrivals(&busiest).len() - arrived;
                 (more > 4 * allowed).then_some(())
             });
         }
@@ -117,28 +117,30 @@
 /// killed, one instance is restarted and another one frozen.
 #[test]
 fn announced_limit_survives_faults() {
-    let stage = Stage::sized(9, &[4, 4]);
+    let deployment = Deployment::with_size(9, &[4, 4]);
     let done = AtomicBool::new(false);
     thread::scope(|scope| {
-        let (stage, done) = (&stage, &done);
+        let (deployment, done) = (&deployment, &done);
         for caller in 0..16 {
-            scope.spawn(move || send_until_done(stage, "/lookups/x", caller, done));
+            scope.spawn(move || send_until_done(deployment, "/lookups/x", caller, done));
         }
         thread::sleep(Duration::from_secs(1));
-        let limited_engine = busiest_engine(stage, "desk");
-        stage.world().set_limit(&limited_engine, Some(LIMIT));
+        let limited_engine = busiest_engine(deployment, "desk");
+        deployment
+            .engine_state()
+            .set_limit(&limited_engine, Some(LIMIT));
         let announced = Instant::now();
         thread::sleep(GRACE_PERIOD);
-        let lead = wait_for("a leader", || stage.leader());
-        stage.controllers[lead].signal(Signal::KILL);
-        stage.entries[1].signal(Signal::KILL);
-        stage.entries[0].freeze();
+        let lead = wait_for("a leader", || deployment.leader());
+        deployment.controllers[lead].signal(Signal::KILL);
+        deployment.entries[1].signal(Signal::KILL);
+        deployment.entries[0].freeze();
         thread::sleep(Duration::from_secs(1));
-        let _restarted = stage.entry(1);
-        stage.entries[0].thaw();
+        let _restarted = deployment.start_entry(1);
+        deployment.entries[0].thaw();
         thread::sleep(MEASURE_TIME);
         done.store(true, Ordering::Relaxed);
-        let arrivals = stage.world().arrivals(&limited_engine);
+        let arrivals = deployment.engine_state().arrivals(&limited_engine);
         let limited = max_per_window(&arrivals, announced + GRACE_PERIOD);
         let allowed = allowed_per_window();
         assert!(
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,14 +1,14 @@
-//! The roles of the users' platform as real processes, between an operator,
-//! callers and engines that these tests stand in for.
+//! Tests of the platform's roles, `controller` and `entry`, as real processes. The
+//! tests act as operator, callers and engines.
 
 #[path = "../common/mod.rs"]
 mod common;
 
-mod copy;
 mod crash;
+mod deployment;
+mod end_to_end;
 mod engine;
 mod faults;
 mod limit;
-mod observe;
-mod path;
-mod stage;
+mod metrics;
+mod restore;
--- a/tests/platform/observe.rs
+++ b/tests/platform/metrics.rs
@@ -1,6 +1,6 @@
 //! What an engineer on call sees: metrics and log lines.
 
-use crate::stage::{KEY, Stage};
+use crate::deployment::{Deployment, KEY};
 
 /// The value of a metric with exactly these labels, or 0.
 fn value(text: &str, name: &str) -> f64 {
@@ -14,11 +14,14 @@
 /// more people than the keys are given to.
 #[test]
 fn metrics_tell_state() {
-    let stage = Stage::start();
-    assert_eq!(stage.ask(0, "/letters/x", "m-1", KEY).0, 200);
-    assert_eq!(stage.ask(0, "/bookings/x", "m-2", KEY).0, 200);
-    assert_eq!(stage.ask(0, "/lookups/x", "m-3", "no such key").0, 401);
-    let read = stage.metrics();
+    let deployment = Deployment::start();
+    assert_eq!(deployment.request(0, "/letters/x", "m-1", KEY).0, 200);
+    assert_eq!(deployment.request(0, "/bookings/x", "m-2", KEY).0, 200);
+    assert_eq!(
+        deployment.request(0, "/lookups/x", "m-3", "no such key").0,
+        401
+    );
+    let read = deployment.metrics();
     let (controllers, entries) = read.split_at(3);
     let sum = |name: &str| controllers.iter().map(|c| value(c, name)).sum::<f64>();
     assert_eq!(sum("controller_leads"), 1.0);
@@ -30,7 +33,7 @@
     assert_eq!(value(leader, "controller_voters"), 3.0);
     let known = "controller_upstreams{service=\"models\",state=\"sound\"}";
     assert_eq!(value(leader, known), 5.0);
-    for domain in crate::stage::DOMAINS {
+    for domain in crate::deployment::DOMAINS {
         let missing =
             format!("controller_missing_layers{{service=\"models\",domain=\"{domain}\"}}");
         assert!(leader.contains(&missing), "{leader}");
--- a/tests/platform/copy.rs
+++ b/tests/platform/restore.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use crate::common::wait_for;
-use crate::stage::{KEY, Stage};
+use crate::deployment::{Deployment, KEY};
 
 /// Copies the files of a data folder into an empty one.
 fn copy(from: &Path, to: &Path) {
@@ -20,42 +20,47 @@
 /// and elects a leader with two controllers that were down meanwhile.
 #[test]
 fn copied_folder_keeps_configuration() {
-    let mut stage = Stage::founded(5);
+    let mut deployment = Deployment::controllers_only(5);
     wait_for("first configuration", || {
-        stage.replace(1, &[KEY]).then_some(())
+        deployment.replace_configuration(1, &[KEY]).then_some(())
     });
-    let leader = wait_for("a leader", || stage.leader());
+    let leader = wait_for("a leader", || deployment.leader());
     let [second, third, fourth, fifth] = [1, 2, 3, 4].map(|n| (leader + n) % 5);
     for i in [second, third, fourth, fifth] {
         let i = u8::try_from(i).unwrap();
         wait_for("first configuration everywhere", || {
-            stage.fetch(i).filter(|&v| v == 1)
+            deployment.fetch_version(i).filter(|&v| v == 1)
         });
     }
-    let data = stage.data(u8::try_from(second).unwrap());
+    let data = deployment.data_dir(u8::try_from(second).unwrap());
     let kept = tempfile::tempdir().unwrap();
     copy(&data, kept.path());
-    stage.controllers[fourth].kill();
-    stage.controllers[fifth].kill();
+    deployment.controllers[fourth].kill();
+    deployment.controllers[fifth].kill();
     let at = u8::try_from(leader).unwrap();
     for version in 2..=6 {
-        assert!(stage.replace_at(at, version), "configuration {version}");
+        assert!(
+            deployment.replace_configuration_at(at, version),
+            "configuration {version}"
+        );
     }
-    stage.controllers[second].kill();
+    deployment.controllers[second].kill();
     fs::remove_dir_all(&data).unwrap();
     copy(kept.path(), &data);
-    stage.controllers[leader].freeze();
+    deployment.controllers[leader].freeze();
     for i in [second, fourth, fifth] {
-        stage.controllers[i] = stage.controller(u8::try_from(i).unwrap(), false);
+        deployment.controllers[i] = deployment.start_controller(u8::try_from(i).unwrap(), false);
     }
     let third = u8::try_from(third).unwrap();
-    let read = wait_for("a read after the change of leader", || stage.fetch(third));
+    let read = wait_for("a read after the change of leader", || {
+        deployment.fetch_version(third)
+    });
     assert_eq!(read, 6);
-    stage.controllers[leader].thaw();
+    deployment.controllers[leader].thaw();
     for i in 0..5 {
         wait_for("the configuration everywhere", || {
-            stage.fetch(i).filter(|&v| v == 6)
+            deployment.fetch_version(i).filter(|&v| v == 6)
         });
-        assert!(stage.controllers[usize::from(i)].is_running());
+        assert!(deployment.controllers[usize::from(i)].is_running());
     }
 }
