--- a/tests/platform/end_to_end.rs
+++ b/tests/platform/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path: configuration, keys, plain requests, streams.
+//! Configuration, keys, plain requests and streams from caller to engine.
 
 use std::thread;
 
@@ -6,9 +6,8 @@
 use crate::deployment::{APPLY_TIME, Deployment, KEY};
 use crate::engine::expected_stream;
 
-/// A fitter asks for a quotation, an officer books a visit; someone without a
-/// key and someone on an unknown path are turned away. Each answer is the
-/// engine's own, and every path covers each layer once and in order.
+/// Guards against responses that aren't the engine's own, requests that reach an engine
+/// without a valid key or route, and paths that don't cover each layer once and in order.
 #[test]
 fn entry_serves_all_kinds() {
     let deployment = Deployment::start();
@@ -27,8 +26,8 @@
     assert_eq!(state.invalid_paths(), [""; 0]);
 }
 
-/// Operators take a key away. It must be refused on all instances within
-/// seconds, and what was acknowledged is read back from every controller.
+/// Guards against a removed key that some instance still accepts after a few seconds, and
+/// against a controller that doesn't return an acknowledged configuration.
 #[test]
 fn replace_revokes_key() {
     let deployment = Deployment::start();
@@ -41,18 +40,19 @@
             200
         );
     }
-    // An older change arrives late: acknowledged, and without effect.
+    // A late configuration with an older version is acknowledged and has no effect.
     assert!(deployment.replace_configuration(4, &[KEY]));
     for i in 0..3 {
         wait_for("a read", || deployment.fetch_version(i))
             .eq(&5)
             .then_some(())
-            .expect("the newest");
+            .expect("the newest configuration");
     }
 }
 
-/// The leading controller is killed. What was acknowledged is still read, a
-/// new change is taken, and callers are served meanwhile.
+/// Guards against losing an acknowledged configuration, refusing a new one or refusing
+/// callers when a controller is killed. Each controller is killed in turn, the leader among
+/// them.
 #[test]
 fn replace_survives_kill() {
     let mut deployment = Deployment::start();
@@ -77,7 +77,7 @@
             version
         );
         deployment.controllers[usize::from(i)] = deployment.start_controller(i, false);
-        wait_for("a read by the one that is back", || {
+        wait_for("a read by the restarted controller", || {
             deployment.fetch_version(i).filter(|&v| v == version)
         });
     }
--- a/tests/platform/faults.rs
+++ b/tests/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Engines and instances that fail in the middle of requests.
+//! Failures of engines and instances while requests run.
 
 use std::fs;
 use std::thread;
@@ -8,12 +8,12 @@
 use crate::deployment::{Deployment, KEY};
 use crate::engine::{Fault, expected_stream};
 
-/// Engines reset their streams in the middle of an event. The officer on the
-/// line must get every event once, in order, in one answer.
+/// Guards against lost, repeated or reordered events when engines break off their streams
+/// in the middle of an event: the stream is resumed within the same response.
 #[test]
 fn stream_resumed_within_answer() {
     let deployment = Deployment::start();
-    // In both domains: engines of nearly equal cost take turns by chance.
+    // Engines of both domains: the choice among engines of nearly equal cost is random.
     let models = deployment.engines.iter().filter(|e| e.service == "models");
     for engine in models {
         deployment
@@ -26,14 +26,13 @@
     assert_eq!(deployment.engine_state().invalid_paths(), [""; 0]);
 }
 
-/// The engines of every domain reset a part of their streams and answer the rest.
-/// An officer's next letters must be written all the same. The instance left out
-/// each engine that had reset one, for 1.5 to 6 s; with all holders of a layer
-/// left out it saw no path and refused every letter at once: 282 refusals with
-/// `no_upstream` (407) in 8 s while no layer was missing (307), after `cut` (408)
-/// had named the first engine of each domain.
+/// Guards against refused requests when engines of every domain break off some streams and
+/// serve the rest. The instance excluded each such engine for 1.5 to 6 s; with all engines
+/// that hold a layer excluded it found no path and refused every request at once: 282
+/// refusals with `no_upstream` (407) in 8 s while no layer was missing (307), after `cut`
+/// (408) had named the first engine of each domain.
 #[test]
-fn letters_written_by_failing_engines() {
+fn streams_served_by_failing_engines() {
     let deployment = Deployment::start();
     let models = deployment.engines.iter().filter(|e| e.service == "models");
     for engine in models {
@@ -44,15 +43,15 @@
     for i in 0..12 {
         let attempt = format!("f-{i}");
         let (status, body) = deployment.request(0, "/letters/x", &attempt, KEY);
-        assert_eq!((status, body), (200, expected_stream()), "letter {i}");
+        assert_eq!((status, body), (200, expected_stream()), "stream {i}");
     }
     assert_eq!(deployment.engine_state().invalid_paths(), [""; 0]);
 }
 
-/// Engines take a booking and say nothing more. It may have run, so it must
-/// not be sent again, and the caller must not be told that it did not run.
+/// Guards against a non-idempotent request that is sent again, or reported as not run,
+/// after an engine accepted it and never responded: it may have run.
 #[test]
-fn booking_runs_once() {
+fn non_idempotent_runs_once() {
     let deployment = Deployment::start();
     for engine in deployment.engines.iter().filter(|e| e.service == "desk") {
         deployment
@@ -60,10 +59,10 @@
             .set_fault(&engine.id, Fault::HangOnce);
     }
     let address = deployment.caller_addr(0);
-    let ask = ureq::Agent::config_builder()
+    let config = ureq::Agent::config_builder()
         .http_status_as_error(false)
         .build();
-    let reply = ureq::Agent::from(ask)
+    let reply = ureq::Agent::from(config)
         .post(format!("http://{address}/bookings/x"))
         .header("host", crate::deployment::HOST)
         .header("x-attempt-id", "b-1")
@@ -74,18 +73,18 @@
     assert_eq!(deployment.engine_state().runs("b-1"), 1);
 }
 
-/// An engine of a domain dies without a word. Its layers must come back on
-/// another engine, and requests are served all the while by the other domain.
+/// Guards against layers that stay missing after an engine was killed, and against wrong
+/// responses meanwhile, when the engines of the other domain serve the requests.
 #[test]
-fn layers_come_back() {
+fn lost_layers_restored() {
     let deployment = Deployment::start();
     let lost = deployment.engines[0].clone();
     deployment.engine_state().kill(&lost);
     let rest: Vec<_> = deployment.engines[1..3].iter().map(|e| e.address).collect();
-    let mut asked = 0;
+    let mut sent = 0;
     wait_for("the lost layers", || {
-        asked += 1;
-        let (status, body) = deployment.request(0, "/letters/x", &format!("l-{asked}"), KEY);
+        sent += 1;
+        let (status, body) = deployment.request(0, "/letters/x", &format!("l-{sent}"), KEY);
         assert!(status != 200 || body == expected_stream());
         deployment.engine_state().covers(&rest).then_some(())
     });
@@ -94,12 +93,12 @@
     assert_eq!(deployment.engine_state().invalid_paths(), [""; 0]);
 }
 
-/// Many engines join in one moment, as in a new fleet. Each must get its layers
-/// soon. The leader gave all orders at once, with a connection for each: of 2,925
-/// engines none answered within 0.6 s, 16 times over (306 without `status`), it ran
-/// out of descriptors, and callers were refused until all was lost.
+/// Guards against unbounded concurrent orders when many engines join at once, as in a new
+/// fleet. The leader sent all orders at once, each on its own connection: of 2,925 engines none
+/// answered within 0.6 s, 16 times over (306 without `status`), the leader ran out of file
+/// descriptors, and callers were refused until all was lost.
 #[test]
-fn orders_given_by_turns() {
+fn orders_limited_when_many_join() {
     const JOINING: u8 = 100;
     let mut deployment = Deployment::start();
     let before = deployment.engine_state().layer_holders();
@@ -109,17 +108,16 @@
     for host in 20..20 + JOINING {
         deployment.start_engine(host, "models", "north");
     }
-    wait_for("layers of all", || {
+    wait_for("layers on all engines", || {
         let joined = deployment.engine_state().layer_holders() - before;
         (joined == usize::from(JOINING)).then_some(())
     });
     let most = deployment.engine_state().max_pending_orders();
-    assert!((2..=64).contains(&most), "{most} orders at once");
+    assert!((2..=64).contains(&most), "{most} concurrent orders");
 }
 
-/// A controller's disk is lost right after an acknowledgement. It must come
-/// back as a new store, catch up and vote, so that the loss of another one
-/// loses nothing.
+/// Guards against losing an acknowledged configuration when controllers lose their disks
+/// one after another: each must rejoin with an empty store, catch up and vote again.
 #[test]
 fn wiped_controller_rejoins() {
     let mut deployment = Deployment::start();
@@ -128,28 +126,28 @@
         deployment.controllers[usize::from(i)].kill();
         fs::remove_dir_all(deployment.data_dir(i)).unwrap();
         deployment.controllers[usize::from(i)] = deployment.start_controller(i, false);
-        wait_for("the newcomer's read", || {
+        wait_for("a read by the wiped controller", || {
             deployment.fetch_version(i).filter(|&v| v == 9)
         });
-        // It reads before it votes; the next disk may go only after that.
+        // It can read before it votes again; the next disk may be wiped only after it votes.
         thread::sleep(Duration::from_secs(2));
     }
     assert!(deployment.replace_configuration(10, &[KEY]));
 }
 
-/// An entry instance is stopped for an update while letters are being
-/// written. They end whole, and the process ends by itself.
+/// Guards against an entry instance that breaks off running streams when it is terminated,
+/// or that doesn't exit once they have ended.
 #[test]
 fn entry_drains() {
     let mut deployment = Deployment::start();
     let running = thread::scope(|scope| {
         let deployment_ref = &deployment;
-        let asks: Vec<_> = (0..4)
+        let requests: Vec<_> = (0..4)
             .map(|i| {
                 scope.spawn(move || deployment_ref.request(0, "/letters/x", &format!("d-{i}"), KEY))
             })
             .collect();
-        wait_for("running letters", || {
+        wait_for("running streams", || {
             (0..4)
                 .all(|i| deployment_ref.engine_state().runs(&format!("d-{i}")) == 1)
                 .then_some(())
@@ -158,8 +156,9 @@
         wait_for("an entry that isn't ready", || {
             (!deployment_ref.is_ready(0)).then_some(())
         });
-        asks.into_iter()
-            .map(|a| a.join().unwrap())
+        requests
+            .into_iter()
+            .map(|r| r.join().unwrap())
             .collect::<Vec<_>>()
     });
     for (status, body) in running {
@@ -168,7 +167,7 @@
     assert!(deployment.entries[0].wait_for_exit().success());
 }
 
-/// Logs and metrics must show no key, whatever fails.
+/// Guards against logs that contain a key, valid or not.
 #[test]
 fn logs_hold_no_key() {
     let deployment = Deployment::start();
@@ -178,16 +177,16 @@
         let processes = deployment.entries.iter().chain(&deployment.controllers);
         processes.map(|p| p.log()).collect()
     };
-    // A thread of its own writes the lines, after the answers.
-    let logs = wait_for("the lines of both requests", || {
+    // Log lines are written by a separate thread, after the responses.
+    let logs = wait_for("the log lines of both requests", || {
         let logs = read();
         (logs.contains("n-1") && logs.contains("n-2")).then_some(logs)
     });
     assert!(!logs.contains(KEY) && !logs.contains("secret"));
 }
 
-/// Whoever reads an instance's log stops reading. The pipe is full after some
-/// hundred lines, and from then on every request would wait for it.
+/// Guards against requests that wait for the log: when an instance's output isn't read, the
+/// pipe is full after some hundred lines.
 #[test]
 fn unread_log_delays_nothing() {
     let mut deployment = Deployment::start();
@@ -195,21 +194,20 @@
     deployment.entries[0] = deployment.start_unread_entry(0);
     wait_for("ready entry", || deployment.is_ready(0).then_some(()));
     for i in 0..400 {
-        let began = Instant::now();
+        let start = Instant::now();
         let (status, _) = deployment.request(0, "/lookups/x", &format!("u-{i}"), KEY);
         assert!(status == 200 || i < 20, "{status} at request {i}");
         assert!(
-            began.elapsed() < Duration::from_secs(3),
+            start.elapsed() < Duration::from_secs(3),
             "request {i} waited"
         );
     }
 }
 
-/// An engine runs a look-up and answers with a failure of its own; the only
-/// other one is dead. Nobody else can be asked, and the caller must get the
-/// engine's answer, which says what is wrong, and not be told that none came.
+/// Guards against replacing an engine's error response, which names the cause, by one of
+/// the instance's own when no other engine is left to retry: the only other one was killed.
 #[test]
-fn error_passed_on_without_other() {
+fn error_forwarded_without_other_engine() {
     let deployment = Deployment::start();
     let desks: Vec<_> = deployment
         .engines
@@ -226,10 +224,10 @@
     }
 }
 
-/// One of two engines takes requests and says nothing, with good heartbeats. A
-/// second attempt at the same one is as silent; the other one answers at once.
+/// Guards against retries at an engine that never responds although its heartbeats arrive:
+/// a second attempt there hangs as well, while the other engine responds at once.
 #[test]
-fn silent_upstream_not_asked_again() {
+fn unresponsive_upstream_not_retried() {
     let deployment = Deployment::start();
     let desk = deployment
         .engines
--- a/tests/platform/limit.rs
+++ b/tests/platform/limit.rs
@@ -11,7 +11,7 @@
 use crate::deployment::{Deployment, KEY};
 
 /// Announced limit in requests per second.
-const LIMIT: f64 = 1.5;
+const RATE_LIMIT: f64 = 1.5;
 
 /// Time after the announcement from which the limit must be respected.
 const GRACE_PERIOD: Duration = Duration::from_secs(3);
@@ -37,7 +37,7 @@
     failed
 }
 
-/// Maximum number of arrivals in any window that begins at `from` or later.
+/// Returns the maximum number of arrivals in any window that begins at `from` or later.
 fn max_per_window(arrivals: &[Instant], from: Instant) -> usize {
     let arrivals: Vec<_> = arrivals.iter().filter(|at| **at >= from).collect();
     let within = |first: &Instant| {
@@ -53,7 +53,7 @@
 
 /// Returns the maximum number of arrivals in a window that is accepted under the limit.
 fn allowed_per_window() -> usize {
-    (1.5 * LIMIT * WINDOW.as_secs_f64()) as usize + 5
+    (1.5 * RATE_LIMIT * WINDOW.as_secs_f64()) as usize + 5
 }
 
 /// Returns the ID of the service's engine that has received the most requests.
@@ -81,7 +81,9 @@
         // A limit on the busiest engine displaces the most requests.
         thread::sleep(Duration::from_secs(2));
         let busiest = busiest_engine(deployment, service);
-        deployment.engine_state().set_limit(&busiest, Some(LIMIT));
+        deployment
+            .engine_state()
+            .set_limit(&busiest, Some(RATE_LIMIT));
         let announced = Instant::now();
         thread::sleep(GRACE_PERIOD + MEASURE_TIME);
         let arrivals = deployment.engine_state().arrivals(&busiest);
@@ -128,11 +130,11 @@
         let limited_engine = busiest_engine(deployment, "desk");
         deployment
             .engine_state()
-            .set_limit(&limited_engine, Some(LIMIT));
+            .set_limit(&limited_engine, Some(RATE_LIMIT));
         let announced = Instant::now();
         thread::sleep(GRACE_PERIOD);
-        let lead = wait_for("a leader", || deployment.leader());
-        deployment.controllers[lead].signal(Signal::KILL);
+        let leader = wait_for("a leader", || deployment.leader());
+        deployment.controllers[leader].signal(Signal::KILL);
         deployment.entries[1].signal(Signal::KILL);
         deployment.entries[0].freeze();
         thread::sleep(Duration::from_secs(1));
--- a/tests/platform/metrics.rs
+++ b/tests/platform/metrics.rs
@@ -1,17 +1,17 @@
-//! What an engineer on call sees: metrics and log lines.
+//! Metrics of controllers and entry instances.
 
 use crate::deployment::{Deployment, KEY};
 
-/// The value of a metric with exactly these labels, or 0.
+/// Value of the metric with exactly this name and these labels, or 0.
 fn value(text: &str, name: &str) -> f64 {
     let mut lines = text.lines().filter_map(|l| l.split_once(' '));
     let found = lines.find(|(n, _)| *n == name);
     found.map_or(0.0, |(_, v)| v.parse().expect("a number"))
 }
 
-/// Someone complains that requests fail. The metrics must tell what was served
-/// and refused, who leads, and whether all layers are held; and they are read by
-/// more people than the keys are given to.
+/// Guards against metrics that don't show which requests were served, which controller
+/// leads and whether all layers are loaded, and against keys or attempt IDs in them: more
+/// people can read metrics than may know the keys.
 #[test]
 fn metrics_tell_state() {
     let deployment = Deployment::start();
@@ -54,8 +54,8 @@
     for text in &read {
         assert!(
             !text.contains(KEY) && !text.contains("no such key"),
-            "a key is shown"
+            "the metrics contain a key"
         );
-        assert!(!text.contains("m-1"), "an id is shown");
+        assert!(!text.contains("m-1"), "the metrics contain an attempt ID");
     }
 }
--- a/tests/platform/restore.rs
+++ b/tests/platform/restore.rs
@@ -1,4 +1,4 @@
-//! Controllers whose data folder is put back from a copy.
+//! Controllers whose data folder is restored from a copy.
 
 use std::fs;
 use std::path::Path;
@@ -15,11 +15,11 @@
     }
 }
 
-/// Guards against an acknowledged configuration that is replaced by the one
-/// before: a controller is put back on a copy of its folder, taken while it ran,
-/// and elects a leader with two controllers that were down meanwhile.
+/// Guards against an acknowledged configuration that is replaced by an earlier one: the
+/// data folder of a controller is restored from a copy taken while it ran, and the
+/// controller elects a leader with two others that were down meanwhile.
 #[test]
-fn copied_folder_keeps_configuration() {
+fn restored_folder_keeps_configuration() {
     let mut deployment = Deployment::controllers_only(5);
     wait_for("first configuration", || {
         deployment.replace_configuration(1, &[KEY]).then_some(())
@@ -33,20 +33,20 @@
         });
     }
     let data = deployment.data_dir(u8::try_from(second).unwrap());
-    let kept = tempfile::tempdir().unwrap();
-    copy(&data, kept.path());
+    let backup = tempfile::tempdir().unwrap();
+    copy(&data, backup.path());
     deployment.controllers[fourth].kill();
     deployment.controllers[fifth].kill();
-    let at = u8::try_from(leader).unwrap();
+    let leader_id = u8::try_from(leader).unwrap();
     for version in 2..=6 {
         assert!(
-            deployment.replace_configuration_at(at, version),
+            deployment.replace_configuration_at(leader_id, version),
             "configuration {version}"
         );
     }
     deployment.controllers[second].kill();
     fs::remove_dir_all(&data).unwrap();
-    copy(kept.path(), &data);
+    copy(backup.path(), &data);
     deployment.controllers[leader].freeze();
     for i in [second, fourth, fifth] {
         deployment.controllers[i] = deployment.start_controller(u8::try_from(i).unwrap(), false);
