--- a/tests/common/caller.rs
+++ b/tests/common/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: whole and streamed requests, and raw bytes for bad input.
+//! Callers: complete and streamed responses, and raw bytes for invalid input.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,7 +8,7 @@
 
 use super::TIMEOUT;
 
-/// An HTTP agent that hands every status on and repeats nothing.
+/// Returns an HTTP agent that treats no status as an error and sends no request twice.
 pub(crate) fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
@@ -18,7 +18,7 @@
         .into()
 }
 
-/// A completion request under construction.
+/// A completion request and its expected answer.
 #[derive(Clone)]
 pub(crate) struct CompletionRequest {
     pub(crate) prompt: String,
@@ -28,11 +28,11 @@
     route: String,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub(crate) struct Response {
     pub(crate) status: u16,
-    /// The body as JSON; null when it is none.
+    /// The body as JSON, or null if it isn't JSON.
     pub(crate) body: Value,
     /// `Retry-After` in seconds.
     pub(crate) retry_after: Option<u64>,
@@ -73,15 +73,15 @@
         self
     }
 
-    /// Marks the request as non-idempotent under a key.
+    /// Marks the request as non-idempotent, with an idempotency key.
     pub(crate) fn non_idempotent(self, key: &str) -> Self {
         self.header("x-non-idempotent", "true")
             .header("idempotency-key", key)
     }
 
-    /// The exact answer of the emulated model with `total` layers.
-    pub(crate) fn expected(&self, total: u32) -> String {
-        super::model::answer(&self.prompt, total, self.tokens).concat()
+    /// Answer of the emulated model with this number of layers.
+    pub(crate) fn expected(&self, layers: u32) -> String {
+        super::model::answer(&self.prompt, layers, self.tokens).concat()
     }
 
     fn body(&self, stream: bool) -> String {
@@ -92,7 +92,7 @@
         .to_string()
     }
 
-    /// Sends and reads the whole answer; the error is that of the connection.
+    /// Sends the request and reads the complete response; an error is one of the connection.
     pub(crate) fn send(&self, to: SocketAddr) -> Result<Response, ureq::Error> {
         let uri = format!("http://{to}/v1/completions");
         let request = agent()
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Sends and hands back the stream while it comes.
+    /// Sends the request and returns the stream as soon as it is sent.
     pub(crate) fn stream(&self, to: SocketAddr) -> EventStream {
         let body = self.body(true);
         let extra: String = self
@@ -122,7 +122,7 @@
             .iter()
             .map(|(name, value)| format!("{name}: {value}\r\n"))
             .collect();
-        let head = format!(
+        let header = format!(
             "POST /v1/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
              content-type: application/json\r\nauthorization: Bearer {}\r\n\
              content-length: {}\r\n{extra}\r\n",
@@ -130,7 +130,9 @@
             body.len()
         );
         let mut socket = connect(to);
-        socket.write_all(head.as_bytes()).expect("send the head");
+        socket
+            .write_all(header.as_bytes())
+            .expect("send the header");
         socket.write_all(body.as_bytes()).expect("send the body");
         EventStream {
             lines: BufReader::new(socket),
@@ -138,26 +140,26 @@
     }
 }
 
-/// Connects with a bound on each read.
+/// Connects, with a timeout for each read.
 pub(crate) fn connect(to: SocketAddr) -> TcpStream {
     let socket = TcpStream::connect_timeout(&to, Duration::from_secs(5)).expect("connect");
     socket
         .set_read_timeout(Some(TIMEOUT))
-        .expect("bound the reads");
+        .expect("set the read timeout");
     socket
 }
 
 /// Sends raw bytes and reads until the connection ends.
 pub(crate) fn send_raw(to: SocketAddr, bytes: &[u8]) -> String {
     let mut socket = connect(to);
-    // The answer may come, and the connection close, before all is sent.
+    // The instance may respond and close the connection before all bytes are sent.
     let _ = socket.write_all(bytes);
     let mut answer = Vec::new();
     let _ = socket.read_to_end(&mut answer);
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// A streamed answer; dropping it closes the connection.
+/// A streamed response; dropping it closes the connection.
 pub(crate) struct EventStream {
     lines: BufReader<TcpStream>,
 }
@@ -166,18 +168,18 @@
 #[derive(Debug, PartialEq)]
 pub(crate) enum Event {
     Token(String),
-    /// The answer is whole; only the closing marker follows.
+    /// The answer is complete; only `[DONE]` follows.
     Finished,
     Failed(Value),
-    /// The closing marker.
+    /// `[DONE]`, which ends the stream.
     Done,
-    /// The connection ended, with or without a marker.
+    /// The connection was closed, whether or not `[DONE]` came before.
     Closed,
 }
 
 impl EventStream {
-    /// The next event; head lines and chunk sizes are passed over. A refusal
-    /// in place of a stream is a failure.
+    /// Reads the next event and skips header lines and chunk sizes. A refusal in place of a
+    /// stream counts as [`Event::Failed`].
     pub(crate) fn next(&mut self) -> Event {
         loop {
             let mut line = String::new();
@@ -194,14 +196,14 @@
         }
     }
 
-    /// Reads to the end: the text, and how it ended.
+    /// Reads to the end; returns the text and the event that ended the stream.
     pub(crate) fn read_to_end(&mut self) -> (String, Event) {
         let mut text = String::new();
         loop {
             match self.next() {
                 Event::Token(token) => text.push_str(&token),
                 Event::Finished => {}
-                end => return (text, end),
+                last => return (text, last),
             }
         }
     }
--- a/tests/common/emulator.rs
+++ b/tests/common/emulator.rs
@@ -1,4 +1,4 @@
-//! Emulated upstreams as separate processes.
+//! Emulated upstreams that run as separate processes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 use super::process::Process;
 use super::wait_for;
 
-/// How to start an emulator.
+/// Command-line arguments of an emulator that isn't started yet.
 pub(crate) struct EmulatorBuilder {
     id: String,
     args: Vec<String>,
@@ -24,7 +24,7 @@
 }
 
 impl EmulatorBuilder {
-    /// An engine that holds `layers` ("0..16") of the emulated model.
+    /// An engine that holds `layers` of the emulated model, such as "0..16".
     pub(crate) fn engine(id: &str, layers: &str) -> Self {
         Self::new(id).flag("layers", layers).flag("rate", "0")
     }
@@ -35,22 +35,22 @@
     }
 
     fn new(id: &str) -> Self {
-        let plan = Self {
+        let builder = Self {
             id: id.to_owned(),
             args: Vec::new(),
         };
-        plan.flag("id", id).flag("listen", "127.0.0.1:0")
+        builder.flag("id", id).flag("listen", "127.0.0.1:0")
     }
 
     /// Sets a flag of the emulator.
-    pub(crate) fn flag(mut self, flag: &str, value: impl ToString) -> Self {
-        self.args.push(format!("--{flag}={}", value.to_string()));
+    pub(crate) fn flag(mut self, name: &str, value: impl ToString) -> Self {
+        self.args.push(format!("--{name}={}", value.to_string()));
         self
     }
 
-    /// Sets the control addresses to announce to.
-    pub(crate) fn announce(self, to: &[SocketAddr]) -> Self {
-        let list: Vec<_> = to.iter().map(SocketAddr::to_string).collect();
+    /// Sets the control addresses that the emulator announces itself to.
+    pub(crate) fn announce(self, addresses: &[SocketAddr]) -> Self {
+        let list: Vec<_> = addresses.iter().map(SocketAddr::to_string).collect();
         self.flag("announce", list.join(","))
     }
 
@@ -70,40 +70,40 @@
     }
 }
 
-/// Path of a cargo example: cargo puts it beside the binary, and builds it
-/// before the tests unless a single test target is asked for.
+/// Returns the path of a cargo example. Cargo puts examples beside the binary, and builds them
+/// before the tests unless a single test target is selected.
 pub(crate) fn example_path(name: &str) -> PathBuf {
     let binary = PathBuf::from(env!("CARGO_BIN_EXE_laburnumquay"));
-    let folder = binary.parent().expect("the binary lies in a folder");
-    folder.join("examples").join(name)
+    let directory = binary.parent().expect("the binary's path has a parent");
+    directory.join("examples").join(name)
 }
 
 impl Emulator {
-    /// Asks for a fault, see examples/emulator/fault.rs.
+    /// Requests a fault; `examples/emulator/fault.rs` describes its fields.
     pub(crate) fn inject_fault(&self, fault: &Value) {
         let uri = format!("http://{}/emulator/fault", self.address);
         let reply = agent().post(uri).send(fault.to_string());
-        assert_eq!(reply.expect("ask for a fault").status(), 200);
+        assert_eq!(reply.expect("request a fault").status(), 200);
     }
 
-    /// Takes back the faults that haven't struck yet.
+    /// Cancels the faults that haven't occurred yet.
     pub(crate) fn clear_faults(&self) {
         let uri = format!("http://{}/emulator/fault", self.address);
         let reply = agent().delete(uri).call();
         assert_eq!(reply.expect("clear the faults").status(), 200);
     }
 
-    /// The totals that an emulator logs when it is gone.
+    /// Totals that the emulator logs when it exits.
     pub(crate) fn final_totals(&self) -> Value {
         let log = self.process.log();
         let line = log.lines().find_map(|l| l.strip_prefix("gone "));
-        serde_json::from_str(line.expect("a last line")).expect("totals are JSON")
+        serde_json::from_str(line.expect("a log line with the totals")).expect("totals are JSON")
     }
 
-    /// What was executed so far.
+    /// Requests that were executed so far, and their totals.
     pub(crate) fn executions(&self) -> Value {
         let uri = format!("http://{}/emulator/executions", self.address);
-        let mut reply = agent().get(uri).call().expect("ask for the executions");
+        let mut reply = agent().get(uri).call().expect("request the executions");
         let text = reply
             .body_mut()
             .with_config()
@@ -112,20 +112,19 @@
         serde_json::from_str(&text.expect("read the executions")).expect("executions are JSON")
     }
 
-    /// One of the totals.
     pub(crate) fn total(&self, name: &str) -> u64 {
         self.executions()["totals"][name]
             .as_u64()
             .unwrap_or_else(|| panic!("no total {name}"))
     }
 
-    /// Waits until a total has reached a value.
+    /// Waits until a total has reached at least a value.
     pub(crate) fn wait_for_total(&self, name: &str, value: u64) {
         let what = format!("{name} = {value} at {}", self.id);
         wait_for(&what, || (self.total(name) >= value).then_some(()));
     }
 
-    /// Attempts that began with this prompt.
+    /// Number of attempts that started with this prompt.
     pub(crate) fn attempts(&self, prompt: &str) -> u64 {
         let hash = format!("{:016x}", super::model::Context::new(prompt).state());
         let executions = self.executions();
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of real instances on loopback, with a catalogue in force.
+//! Fleets of real instances on loopback addresses, with a catalogue applied.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -15,19 +15,19 @@
 use super::proxy::Proxy;
 use super::{port, wait_for};
 
-/// Key of the organisation kouvertoura, which owns "quotations", "narrow" and
-/// the service "orders".
+/// Key of the organisation kouvertoura, which owns the routes "quotations", "narrow" and
+/// "orders"; "orders" leads to a service.
 pub(crate) const KEY: &str = "caller-secret-of-kouvertoura";
-/// Key of the organisation fosseway, which owns "letters".
+/// Key of the organisation fosseway, which owns the route "letters".
 pub(crate) const OTHER_KEY: &str = "caller-secret-of-fosseway";
-/// Pools of the two organisations' engines.
+/// Pools of the two organisations' engines; a pool's name is also its credential.
 pub(crate) const POOL: &str = "attiki";
 pub(crate) const OTHER_POOL: &str = "midlands";
 
-/// Tries to start a fleet.
-const STARTS: usize = 5;
+/// Maximum number of attempts to start a fleet.
+const START_ATTEMPTS: usize = 5;
 const DOMAINS: [&str; 3] = ["peristeri", "marousi", "pireas"];
-/// Instances with a data folder.
+/// Maximum number of voters. Only voters have a data directory.
 const VOTERS: usize = 3;
 const BINARY: &str = env!("CARGO_BIN_EXE_laburnumquay");
 
@@ -38,60 +38,60 @@
     control: SocketAddr,
 }
 
-/// A fleet; all its processes end with it.
+/// A running fleet; dropping it ends its processes.
 pub(crate) struct Fleet {
     instances: Vec<Instance>,
-    /// Where the others find each instance.
-    peers: Vec<SocketAddr>,
-    /// Relays before the instances, in a fleet that can be cut.
+    /// Address at which other instances reach each instance.
+    peer_addrs: Vec<SocketAddr>,
+    /// Proxies in front of the instances' peer addresses, if the fleet has any.
     proxies: Vec<Proxy>,
-    /// Where each instance listens behind its relay.
-    binds: Vec<SocketAddr>,
-    folder: TempDir,
+    /// Address that each instance binds for peers, behind its proxy if there is one.
+    bind_addrs: Vec<SocketAddr>,
+    directory: TempDir,
     flags: Vec<String>,
-    /// Id and pool of the engines started for it.
+    /// ID and pool of the engines and services that were started for the fleet.
     engines: Mutex<Vec<(String, String)>>,
 }
 
 impl Fleet {
-    /// One instance that is its own quorum.
+    /// Starts one instance, which is the only voter.
     pub(crate) fn single() -> Self {
         Self::with_instances(1)
     }
 
-    /// `count` instances, up to three of them voters.
+    /// Starts `count` instances, of which up to [`VOTERS`] are voters.
     pub(crate) fn with_instances(count: usize) -> Self {
         Self::with_flags(count, &[])
     }
 
-    /// `count` instances with a relay before each, so that what others send to
-    /// one can be cut in silence.
+    /// Like [`Fleet::with_instances`], with a proxy in front of each instance that can block
+    /// what the others send to it.
     pub(crate) fn with_proxies(count: usize) -> Self {
-        let fleet = (0..STARTS)
-            .find_map(|_| Self::launched(count, &[], true))
-            .expect("addresses that no other process takes meanwhile");
+        let fleet = (0..START_ATTEMPTS)
+            .find_map(|_| Self::try_start(count, &[], true))
+            .expect("addresses that no other process takes before they are bound");
         fleet.apply_catalogue(&fleet.catalogue());
         fleet
     }
 
-    /// The relay before an instance.
-    pub(crate) fn proxy(&self, at: usize) -> &Proxy {
-        &self.proxies[at]
+    /// Proxy in front of an instance.
+    pub(crate) fn proxy(&self, index: usize) -> &Proxy {
+        &self.proxies[index]
     }
 
-    /// The same with further flags of `serve`.
+    /// Like [`Fleet::with_instances`], with further flags of `serve`.
     pub(crate) fn with_flags(count: usize, flags: &[&str]) -> Self {
-        let fleet = (0..STARTS)
-            .find_map(|_| Self::launched(count, flags, false))
-            .expect("addresses that no other process takes meanwhile");
+        let fleet = (0..START_ATTEMPTS)
+            .find_map(|_| Self::try_start(count, flags, false))
+            .expect("addresses that no other process takes before they are bound");
         fleet.apply_catalogue(&fleet.catalogue());
         fleet
     }
 
-    /// Starts all instances; none when another process took an address between
-    /// the look at it and the bind.
-    fn launched(count: usize, flags: &[&str], relayed: bool) -> Option<Self> {
-        let folder = tempfile::tempdir().expect("make a folder");
+    /// Starts all instances. Returns none if another process took an address after it was
+    /// found free and before an instance bound it.
+    fn try_start(count: usize, flags: &[&str], proxied: bool) -> Option<Self> {
+        let directory = tempfile::tempdir().expect("create a directory");
         for (name, text) in [
             ("fleet", "fleet-secret-of-the-tests-0123456789"),
             ("operator", "operator-secret-of-the-tests"),
@@ -100,40 +100,43 @@
             (POOL, POOL),
             (OTHER_POOL, OTHER_POOL),
         ] {
-            fs::write(folder.path().join(name), text).expect("write a secret");
+            fs::write(directory.path().join(name), text).expect("write a secret");
         }
-        let binds: Vec<_> = (0..count).map(|_| port::free()).collect();
-        let relays = binds.iter().filter(|_| relayed);
-        let proxies: Vec<_> = relays.map(|bind| Proxy::new(*bind)).collect();
-        let peers = match relayed {
-            true => proxies.iter().map(|s| s.address).collect(),
-            false => binds.clone(),
+        let bind_addrs: Vec<_> = (0..count).map(|_| port::free()).collect();
+        let targets = bind_addrs.iter().filter(|_| proxied);
+        let proxies: Vec<_> = targets.map(|target| Proxy::new(*target)).collect();
+        let peer_addrs = match proxied {
+            true => proxies.iter().map(|p| p.address).collect(),
+            false => bind_addrs.clone(),
         };
         let mut fleet = Self {
             instances: Vec::new(),
-            peers,
+            peer_addrs,
             proxies,
-            binds,
-            folder,
+            bind_addrs,
+            directory,
             flags: flags.iter().map(|f| (*f).to_owned()).collect(),
             engines: Mutex::default(),
         };
-        for at in 0..count {
+        for index in 0..count {
             let (caller, control) = (port::free(), port::free());
-            let process = fleet.start(at, caller, control);
+            let process = fleet.start_instance(index, caller, control);
             fleet.instances.push(Instance {
                 process,
                 caller,
                 control,
             });
         }
-        (0..count).all(|at| fleet.begun(at)).then_some(fleet)
+        (0..count)
+            .all(|index| fleet.wait_until_started(index))
+            .then_some(fleet)
     }
 
-    /// Waits until an instance is ready or found an address in use.
-    fn begun(&mut self, at: usize) -> bool {
-        let uri = format!("http://{}/readyz", self.caller_addr(at));
-        let process = &mut self.instances[at].process;
+    /// Waits until an instance is ready, or has exited because an address was in use; returns
+    /// whether it is ready.
+    fn wait_until_started(&mut self, index: usize) -> bool {
+        let uri = format!("http://{}/readyz", self.caller_addr(index));
+        let process = &mut self.instances[index].process;
         wait_for("a ready instance", || {
             if !process.is_running() && process.log().contains("in use") {
                 return Some(false);
@@ -143,70 +146,70 @@
         })
     }
 
-    fn start(&self, at: usize, caller: SocketAddr, control: SocketAddr) -> Process {
-        let voters = self.peers.iter().take(VOTERS).enumerate();
+    fn start_instance(&self, index: usize, caller: SocketAddr, control: SocketAddr) -> Process {
+        let voters = self.peer_addrs.iter().take(VOTERS).enumerate();
         let voters: Vec<_> = voters.map(|(i, a)| format!("{}={a}", i + 1)).collect();
         let mut command = Command::new(BINARY);
         command
             .arg("serve")
-            .arg(format!("--instance-id={}", at + 1))
-            .arg(format!("--domain={}", DOMAINS[at % DOMAINS.len()]))
+            .arg(format!("--instance-id={}", index + 1))
+            .arg(format!("--domain={}", DOMAINS[index % DOMAINS.len()]))
             .arg(format!("--voters={}", voters.join(",")))
             .arg(format!("--caller-addr={caller}"))
             .arg(format!("--control-addr={control}"))
-            .arg(format!("--peer-addr={}", self.binds[at]))
-            .arg(format!("--peer-advertise={}", self.peers[at]))
+            .arg(format!("--peer-addr={}", self.bind_addrs[index]))
+            .arg(format!("--peer-advertise={}", self.peer_addrs[index]))
             .arg(path_flag("fleet-key-file", &self.file("fleet")))
             .arg(path_flag("operator-key-file", &self.file("operator")))
             .args(&self.flags);
-        if at < VOTERS {
-            let data = self.file(&format!("data-{}", at + 1));
+        if index < VOTERS {
+            let data = self.file(&format!("data-{}", index + 1));
             command.arg(path_flag("data-dir", &data));
         }
-        let mut process = Process::start(&format!("instance {}", at + 1), &mut command);
+        let mut process = Process::start(&format!("instance {}", index + 1), &mut command);
         process.discard_output();
         process
     }
 
-    /// Starts an instance again that was killed, on its addresses and data.
-    pub(crate) fn restart(&mut self, at: usize) {
+    /// Restarts a killed instance with the same addresses and data.
+    pub(crate) fn restart(&mut self, index: usize) {
         let Instance {
             caller, control, ..
-        } = self.instances[at];
-        self.instances[at].process = self.start(at, caller, control);
+        } = self.instances[index];
+        self.instances[index].process = self.start_instance(index, caller, control);
     }
 
-    /// Waits until an instance is ready for work.
-    pub(crate) fn wait_until_ready(&self, at: usize) {
-        let uri = format!("http://{}/readyz", self.caller_addr(at));
+    /// Waits until an instance reports that it is ready.
+    pub(crate) fn wait_until_ready(&self, index: usize) {
+        let uri = format!("http://{}/readyz", self.caller_addr(index));
         wait_for("a ready instance", || {
             let reply = agent().get(&uri).call().ok()?;
             (reply.status() == 200).then_some(())
         });
     }
 
-    /// Where an instance takes requests.
-    pub(crate) fn caller_addr(&self, at: usize) -> SocketAddr {
-        self.instances[at].caller
+    /// Address at which an instance accepts callers' requests.
+    pub(crate) fn caller_addr(&self, index: usize) -> SocketAddr {
+        self.instances[index].caller
     }
 
-    pub(crate) fn control_addr(&self, at: usize) -> SocketAddr {
-        self.instances[at].control
+    pub(crate) fn control_addr(&self, index: usize) -> SocketAddr {
+        self.instances[index].control
     }
 
-    pub(crate) fn instance(&mut self, at: usize) -> &mut Instance {
-        &mut self.instances[at]
+    pub(crate) fn instance(&mut self, index: usize) -> &mut Instance {
+        &mut self.instances[index]
     }
 
-    /// Kills an instance while other threads use the fleet; [`Fleet::restart`]
-    /// reaps it.
-    pub(crate) fn kill_instance(&self, at: usize) {
-        self.instances[at].process.signal(Signal::KILL);
+    /// Kills an instance while other threads use the fleet; [`Fleet::restart`] collects its exit
+    /// status.
+    pub(crate) fn kill_instance(&self, index: usize) {
+        self.instances[index].process.signal(Signal::KILL);
     }
 
-    /// Data folder of a voter.
-    pub(crate) fn data_dir(&self, at: usize) -> PathBuf {
-        self.file(&format!("data-{}", at + 1))
+    /// Data directory of a voter.
+    pub(crate) fn data_dir(&self, index: usize) -> PathBuf {
+        self.file(&format!("data-{}", index + 1))
     }
 
     /// Value of the operators' `Authorization` header.
@@ -215,54 +218,55 @@
         format!("Bearer {}", key.trim())
     }
 
-    /// An engine for kouvertoura's routes.
+    /// Starts an engine for kouvertoura's routes.
     pub(crate) fn start_engine(&self, id: &str, layers: &str) -> Emulator {
         self.start_engine_in(id, layers, POOL)
     }
 
     pub(crate) fn start_engine_in(&self, id: &str, layers: &str, pool: &str) -> Emulator {
-        self.launch(EmulatorBuilder::engine(id, layers), id, pool)
+        self.start_emulator(EmulatorBuilder::engine(id, layers), id, pool)
     }
 
     pub(crate) fn start_engine_with(
         &self,
         id: &str,
         layers: &str,
-        change: impl FnOnce(EmulatorBuilder) -> EmulatorBuilder,
+        configure: impl FnOnce(EmulatorBuilder) -> EmulatorBuilder,
     ) -> Emulator {
-        self.launch(change(EmulatorBuilder::engine(id, layers)), id, POOL)
+        self.start_emulator(configure(EmulatorBuilder::engine(id, layers)), id, POOL)
     }
 
     pub(crate) fn start_service(&self, id: &str, name: &str) -> Emulator {
-        self.launch(EmulatorBuilder::service(id, name), id, POOL)
+        self.start_emulator(EmulatorBuilder::service(id, name), id, POOL)
     }
 
-    fn launch(&self, plan: EmulatorBuilder, id: &str, pool: &str) -> Emulator {
-        let known = (id.to_owned(), pool.to_owned());
+    fn start_emulator(&self, builder: EmulatorBuilder, id: &str, pool: &str) -> Emulator {
+        let engine = (id.to_owned(), pool.to_owned());
         let mut engines = self.engines.lock().unwrap();
-        if !engines.contains(&known) {
-            engines.push(known);
+        if !engines.contains(&engine) {
+            engines.push(engine);
         }
         let control: Vec<_> = self.instances.iter().map(|i| i.control).collect();
-        let plan = plan.flag("pool", pool).flag("credential", pool);
-        plan.announce(&control).start()
+        let builder = builder.flag("pool", pool).flag("credential", pool);
+        builder.announce(&control).start()
     }
 
-    /// Waits until every instance knows every engine and answers through them.
+    /// Waits until every instance knows every engine and answers a request through each pool
+    /// that has engines.
     pub(crate) fn wait_until_serving(&self) {
-        for at in 0..self.instances.len() {
+        for index in 0..self.instances.len() {
             let engines = self.engines.lock().unwrap();
-            wait_for("all engines in the view", || {
-                let state = self.state_json(at);
+            wait_for("all engines in the state", || {
+                let state = self.state_json(index);
                 let known = |id: &String| state.contains(&format!("\"{id}\""));
                 engines.iter().all(|(id, _)| known(id)).then_some(())
             });
             let probe = CompletionRequest::new(KEY, "probe", 1);
             let other = CompletionRequest::new(OTHER_KEY, "probe", 1).route("letters");
-            for (ask, pool) in [(probe, POOL), (other, OTHER_POOL)] {
+            for (request, pool) in [(probe, POOL), (other, OTHER_POOL)] {
                 if engines.iter().any(|(_, p)| p == pool) {
                     wait_for("an answer to a probe", || {
-                        let reply = ask.send(self.caller_addr(at)).ok()?;
+                        let reply = request.send(self.caller_addr(index)).ok()?;
                         (reply.status == 200).then_some(())
                     });
                 }
@@ -270,40 +274,40 @@
         }
     }
 
-    /// The state dump of an instance, in JSON.
-    pub(crate) fn state_json(&self, at: usize) -> String {
-        let target = self.control_addr(at).to_string();
+    /// State dump of an instance as JSON; empty if the command fails.
+    pub(crate) fn state_json(&self, index: usize) -> String {
+        let target = self.control_addr(index).to_string();
         self.run_command(&["state", "--json", "--target", &target])
             .unwrap_or_default()
     }
 
-    /// Applies a catalogue file through any instance that accepts it.
+    /// Applies a catalogue through the first instance that accepts it.
     pub(crate) fn apply_catalogue(&self, text: &str) {
         let file = self.file("catalogue.toml");
         fs::write(&file, text).expect("write the catalogue");
         let file = file.display().to_string();
         wait_for("an accepted catalogue", || {
-            (0..self.instances.len()).find_map(|at| {
-                let target = self.control_addr(at).to_string();
+            (0..self.instances.len()).find_map(|index| {
+                let target = self.control_addr(index).to_string();
                 self.run_command(&["catalogue", "apply", "--target", &target, &file])
             })
         });
     }
 
-    /// Runs the program's command line; its output when it exits with 0.
+    /// Runs `laburnumquay` with these arguments; returns its standard output if it exits with 0.
     pub(crate) fn run_command(&self, args: &[&str]) -> Option<String> {
         let output = Command::new(BINARY)
             .args(args)
             .env("LQ_OPERATOR_KEY_FILE", self.file("operator"))
             .stdin(Stdio::null())
             .output()
-            .expect("run the command line");
+            .expect("run laburnumquay");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         output.status.success().then_some(text)
     }
 
     fn file(&self, name: &str) -> PathBuf {
-        self.folder.path().join(name)
+        self.directory.path().join(name)
     }
 
     fn digest(&self, name: &str) -> String {
@@ -327,7 +331,7 @@
                 "kouvertoura",
                 "model = \"quote-7b\"",
                 POOL,
-                WIDE,
+                HIGH_LIMITS,
                 true,
             ),
             route(
@@ -335,7 +339,7 @@
                 "kouvertoura",
                 "model = \"quote-7b\"",
                 POOL,
-                NARROW,
+                LOW_LIMITS,
                 true,
             ),
             route(
@@ -343,7 +347,7 @@
                 "kouvertoura",
                 "service = \"orders\"",
                 POOL,
-                WIDE,
+                HIGH_LIMITS,
                 false,
             ),
             route(
@@ -351,7 +355,7 @@
                 "fosseway",
                 "model = \"quote-7b\"",
                 OTHER_POOL,
-                WIDE,
+                HIGH_LIMITS,
                 true,
             ),
         ];
@@ -359,8 +363,9 @@
     }
 }
 
-const WIDE: &str = "requests = 100000, tokens = 10000000, concurrent = 10000, queued = 10000";
-const NARROW: &str = "requests = 100000, tokens = 10000000, concurrent = 1, queued = 0";
+const HIGH_LIMITS: &str =
+    "requests = 100000, tokens = 10000000, concurrent = 10000, queued = 10000";
+const LOW_LIMITS: &str = "requests = 100000, tokens = 10000000, concurrent = 1, queued = 0";
 
 fn route(
     name: &str,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! Helpers of the end-to-end tests: processes, emulators, callers, cut links.
-#![allow(dead_code)] // each test binary uses a part
+//! Helpers for tests with real processes: instances, emulators, callers and a
+//! proxy that interrupts connections.
+#![allow(dead_code)] // no test binary uses all helpers
 
 pub(crate) mod caller;
 pub(crate) mod emulator;
@@ -13,22 +14,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A bound that only a fault reaches; no verdict hangs on how fast things are.
+/// Timeout that only a fault reaches, so that no test depends on the machine's speed.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Polls until there is a value.
+/// Polls until there is a value, and returns it.
 ///
 /// # Panics
-/// When there is none within [`TIMEOUT`]; the message names `what`.
+/// If there is none within [`TIMEOUT`]; the message names `what`.
 pub(crate) fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
-    let begin = Instant::now();
+    let start = Instant::now();
     loop {
         if let Some(value) = poll() {
             return value;
         }
-        assert!(begin.elapsed() < TIMEOUT, "no {what} within {TIMEOUT:?}");
+        assert!(start.elapsed() < TIMEOUT, "no {what} within {TIMEOUT:?}");
         thread::sleep(POLL_INTERVAL);
     }
 }
--- a/tests/common/port.rs
+++ b/tests/common/port.rs
@@ -7,25 +7,25 @@
 use std::sync::Mutex;
 
 const LOWEST: u16 = 10_000;
-/// Distance between the first ports of processes with neighbouring ids.
+/// Distance between the first ports that processes with consecutive IDs try.
 const STRIDE: u32 = 131;
 
-static GIVEN: Mutex<Option<HashSet<u16>>> = Mutex::new(None);
+static RESERVED: Mutex<Option<HashSet<u16>>> = Mutex::new(None);
 
-/// An address that nobody listens on by TCP or UDP.
+/// Returns an address whose port is unused for TCP and UDP.
 ///
-/// It lies below the range from which the kernel takes ports for outgoing
-/// connections: a port from inside that range may be taken by any connection
-/// between this look and the bind, which shows as a rare "address in use".
+/// The port lies below the kernel's ephemeral range. An outgoing connection can take a
+/// port of that range between this check and the bind, which then fails now and then with
+/// "address in use".
 pub(crate) fn free() -> SocketAddr {
     let highest = ephemeral_start();
     let span = u32::from(highest - LOWEST);
-    let mut given = GIVEN.lock().unwrap();
-    let given = given.get_or_insert_default();
-    let begin = process::id().wrapping_mul(STRIDE) % span;
+    let mut reserved = RESERVED.lock().unwrap();
+    let reserved = reserved.get_or_insert_default();
+    let first = process::id().wrapping_mul(STRIDE) % span;
     (0..span)
-        .map(|step| LOWEST + ((begin + step) % span) as u16)
-        .find(|port| !given.contains(port) && is_free(*port) && given.insert(*port))
+        .map(|step| LOWEST + ((first + step) % span) as u16)
+        .find(|port| !reserved.contains(port) && is_free(*port) && reserved.insert(*port))
         .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
         .expect("a free port")
 }
--- a/tests/common/process.rs
+++ b/tests/common/process.rs
@@ -11,34 +11,37 @@
 
 use super::wait_for;
 
-/// A running child; killed when dropped, its log shown when the test failed.
+/// A child process that is killed when dropped; if the test failed, the end of its log
+/// is printed.
 pub(crate) struct Process {
     name: String,
     child: Child,
     log: PathBuf,
-    _folder: TempDir,
+    _log_dir: TempDir,
 }
 
-/// Lines of the log that a failed test shows.
-const SHOWN: usize = 40;
+/// Number of log lines that are printed when a test failed.
+const TAIL_LINES: usize = 40;
 
 impl Process {
-    /// Starts a program with its standard error in a log file.
+    /// Starts a program with its standard error written to a log file.
     pub(crate) fn start(name: &str, command: &mut Command) -> Self {
         Self::start_with(name, command, |_| Stdio::piped())
     }
 
-    /// Starts a program with all that it writes in a log file.
+    /// Starts a program with its standard output and standard error written to a log file.
     pub(crate) fn start_logged(name: &str, command: &mut Command) -> Self {
         Self::start_with(name, command, |log| {
-            log.try_clone().expect("share the log").into()
+            log.try_clone()
+                .expect("duplicate the log file's descriptor")
+                .into()
         })
     }
 
     fn start_with(name: &str, command: &mut Command, output: fn(&File) -> Stdio) -> Self {
-        let folder = tempfile::tempdir().expect("make a folder for the log");
-        let log = folder.path().join("log");
-        let file = File::create(&log).expect("make the log");
+        let log_dir = tempfile::tempdir().expect("create the log directory");
+        let log = log_dir.path().join("log");
+        let file = File::create(&log).expect("create the log file");
         let child = command
             .stdin(Stdio::null())
             .stdout(output(&file))
@@ -49,20 +52,24 @@
             name: name.to_owned(),
             child,
             log,
-            _folder: folder,
+            _log_dir: log_dir,
         }
     }
 
-    /// The first `count` lines of standard output; the rest is read and dropped.
+    /// Returns the first `count` lines of standard output; the rest is read and discarded.
     pub(crate) fn read_lines(&mut self, count: usize) -> Vec<String> {
-        let output = self.child.stdout.take().expect("output is read once");
+        let output = self
+            .child
+            .stdout
+            .take()
+            .expect("standard output is read only once");
         let mut lines = BufReader::new(output).lines();
         let first = lines.by_ref().take(count).map_while(Result::ok).collect();
         thread::spawn(move || lines.map_while(Result::ok).for_each(drop));
         first
     }
 
-    /// Reads and drops standard output, so that the child never blocks on it.
+    /// Reads and discards standard output, so that the child never blocks on a full pipe.
     pub(crate) fn discard_output(&mut self) {
         self.read_lines(0);
     }
@@ -72,16 +79,17 @@
         kill_process(pid, signal).unwrap_or_else(|e| panic!("signal {}: {e}", self.name));
     }
 
-    /// Ends the process without warning, as a power cut would.
+    /// Kills the process with `SIGKILL` and waits for its end.
     pub(crate) fn kill(&mut self) {
         self.signal(Signal::KILL);
-        self.child.wait().expect("reap the child");
+        self.child.wait().expect("wait for the child");
     }
 
     pub(crate) fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
+    /// Suspends the process with `SIGSTOP`.
     pub(crate) fn freeze(&self) {
         self.signal(Signal::STOP);
     }
@@ -90,14 +98,13 @@
         self.signal(Signal::CONT);
     }
 
-    /// Waits for the end of the process.
     pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
-        let what = format!("end of {}", self.name);
-        wait_for(&what, || self.child.try_wait().expect("look at the child"))
+        let what = format!("exit of {}", self.name);
+        wait_for(&what, || self.child.try_wait().expect("poll the child"))
     }
 
     pub(crate) fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("look at the child").is_none()
+        self.child.try_wait().expect("poll the child").is_none()
     }
 
     pub(crate) fn log(&self) -> String {
@@ -110,7 +117,7 @@
         if thread::panicking() {
             let log = self.log();
             let lines: Vec<_> = log.lines().collect();
-            let tail = &lines[lines.len().saturating_sub(SHOWN)..];
+            let tail = &lines[lines.len().saturating_sub(TAIL_LINES)..];
             eprintln!("--- log of {}\n{}", self.name, tail.join("\n"));
         }
         let _ = self.child.kill();
--- a/tests/common/proxy.rs
+++ b/tests/common/proxy.rs
@@ -1,5 +1,5 @@
-//! A forwarding proxy in front of an address (TCP and UDP on one port) that can
-//! go silent, as a partition does: nothing passes and nothing is closed.
+//! A proxy in front of an address, for TCP and UDP on one port, that can simulate a
+//! network partition: it forwards nothing and closes no connection.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
@@ -11,92 +11,92 @@
 
 use super::port;
 
-const TICK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Default)]
-struct Switch {
-    silent: AtomicBool,
-    ended: AtomicBool,
+struct ProxyState {
+    blocked: AtomicBool,
+    stopped: AtomicBool,
 }
 
-impl Switch {
-    fn is_silent(&self) -> bool {
-        self.silent.load(Ordering::SeqCst)
+impl ProxyState {
+    fn is_blocked(&self) -> bool {
+        self.blocked.load(Ordering::SeqCst)
     }
 
-    fn is_ended(&self) -> bool {
-        self.ended.load(Ordering::SeqCst)
+    fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::SeqCst)
     }
 }
 
-/// The proxy; its threads end with it.
+/// A running proxy; dropping it stops its threads.
 pub(crate) struct Proxy {
-    /// Where to send instead of the target.
+    /// Address to connect to in place of the target's.
     pub(crate) address: SocketAddr,
-    switch: Arc<Switch>,
+    state: Arc<ProxyState>,
 }
 
 impl Proxy {
     /// Forwards to `target`, which need not listen yet.
     pub(crate) fn new(target: SocketAddr) -> Self {
         let address = port::free();
-        let switch = Arc::new(Switch::default());
+        let state = Arc::new(ProxyState::default());
         let listener = TcpListener::bind(address).expect("bind the proxy");
         let socket = UdpSocket::bind(address).expect("bind the proxy");
-        let (tcp, udp) = (switch.clone(), switch.clone());
-        thread::spawn(move || accept(&listener, target, &tcp));
-        thread::spawn(move || datagrams(socket, target, &udp));
-        Self { address, switch }
+        let (tcp, udp) = (state.clone(), state.clone());
+        thread::spawn(move || accept_connections(&listener, target, &tcp));
+        thread::spawn(move || forward_datagrams(socket, target, &udp));
+        Self { address, state }
     }
 
-    /// Nothing passes any more; connections stay open.
+    /// Stops forwarding; connections stay open.
     pub(crate) fn block(&self) {
-        self.switch.silent.store(true, Ordering::SeqCst);
+        self.state.blocked.store(true, Ordering::SeqCst);
     }
 
-    /// All passes again; what was sent by TCP meanwhile comes late.
+    /// Forwards again; what was sent by TCP meanwhile is delivered late.
     pub(crate) fn unblock(&self) {
-        self.switch.silent.store(false, Ordering::SeqCst);
+        self.state.blocked.store(false, Ordering::SeqCst);
     }
 }
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.switch.ended.store(true, Ordering::SeqCst);
+        self.state.stopped.store(true, Ordering::SeqCst);
     }
 }
 
-fn accept(listener: &TcpListener, target: SocketAddr, switch: &Arc<Switch>) {
+fn accept_connections(listener: &TcpListener, target: SocketAddr, state: &Arc<ProxyState>) {
     listener.set_nonblocking(true).expect("set non-blocking");
-    while !switch.is_ended() {
-        if switch.is_silent() {
-            thread::sleep(TICK);
+    while !state.is_stopped() {
+        if state.is_blocked() {
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
-        let Ok((near, _)) = listener.accept() else {
-            thread::sleep(TICK);
+        let Ok((client, _)) = listener.accept() else {
+            thread::sleep(POLL_INTERVAL);
             continue;
         };
-        near.set_nonblocking(false).expect("set blocking");
-        let Ok(far) = TcpStream::connect(target) else {
+        client.set_nonblocking(false).expect("set blocking");
+        let Ok(server) = TcpStream::connect(target) else {
             continue;
         };
-        for (from, to) in [(&near, &far), (&far, &near)] {
+        for (from, to) in [(&client, &server), (&server, &client)] {
             let _ = from.set_nodelay(true);
-            let from = from.try_clone().expect("share the socket");
-            let to = to.try_clone().expect("share the socket");
-            let switch = switch.clone();
-            thread::spawn(move || pump(from, to, &switch));
+            let from = from.try_clone().expect("duplicate the socket");
+            let to = to.try_clone().expect("duplicate the socket");
+            let state = state.clone();
+            thread::spawn(move || forward_stream(from, to, &state));
         }
     }
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, switch: &Switch) {
-    let _ = from.set_read_timeout(Some(TICK));
+fn forward_stream(mut from: TcpStream, mut to: TcpStream, state: &ProxyState) {
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let mut buffer = [0; 16 * 1024];
-    while !switch.is_ended() {
-        if switch.is_silent() {
-            thread::sleep(TICK);
+    while !state.is_stopped() {
+        if state.is_blocked() {
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
         let size = match from.read(&mut buffer) {
@@ -105,9 +105,9 @@
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
             Err(_) => break,
         };
-        // What was read while the proxy went silent must not pass.
-        while switch.is_silent() && !switch.is_ended() {
-            thread::sleep(TICK);
+        // Data that was read just before the proxy was blocked must not pass.
+        while state.is_blocked() && !state.is_stopped() {
+            thread::sleep(POLL_INTERVAL);
         }
         if to.write_all(&buffer[..size]).is_err() {
             break;
@@ -116,40 +116,40 @@
     let _ = to.shutdown(Shutdown::Write);
 }
 
-/// Forwards datagrams; each sender gets a socket of its own for the way back.
-fn datagrams(socket: UdpSocket, target: SocketAddr, switch: &Arc<Switch>) {
+/// Forwards datagrams, through one socket per sender so that answers can be returned to it.
+fn forward_datagrams(socket: UdpSocket, target: SocketAddr, state: &Arc<ProxyState>) {
     socket
-        .set_read_timeout(Some(TICK))
-        .expect("bound the reads");
+        .set_read_timeout(Some(POLL_INTERVAL))
+        .expect("set the read timeout");
     let mut senders: HashMap<SocketAddr, UdpSocket> = HashMap::new();
     let mut buffer = [0; 64 * 1024];
-    while !switch.is_ended() {
+    while !state.is_stopped() {
         let Ok((size, sender)) = socket.recv_from(&mut buffer) else {
             continue;
         };
-        if switch.is_silent() {
+        if state.is_blocked() {
             continue;
         }
         let out = senders.entry(sender).or_insert_with(|| {
             let out = UdpSocket::bind("127.0.0.1:0").expect("bind a datagram socket");
-            let back = out.try_clone().expect("share the socket");
-            let near = socket.try_clone().expect("share the socket");
-            let switch = switch.clone();
-            thread::spawn(move || backwards(&back, &near, sender, &switch));
+            let back = out.try_clone().expect("duplicate the socket");
+            let client = socket.try_clone().expect("duplicate the socket");
+            let state = state.clone();
+            thread::spawn(move || return_datagrams(&back, &client, sender, &state));
             out
         });
         let _ = out.send_to(&buffer[..size], target);
     }
 }
 
-fn backwards(from: &UdpSocket, to: &UdpSocket, sender: SocketAddr, switch: &Switch) {
-    let _ = from.set_read_timeout(Some(TICK));
+fn return_datagrams(from: &UdpSocket, to: &UdpSocket, sender: SocketAddr, state: &ProxyState) {
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let mut buffer = [0; 64 * 1024];
-    while !switch.is_ended() {
+    while !state.is_stopped() {
         let Ok((size, _)) = from.recv_from(&mut buffer) else {
             continue;
         };
-        if !switch.is_silent() {
+        if !state.is_blocked() {
             let _ = to.send_to(&buffer[..size], sender);
         }
     }
--- a/tests/emulator.rs
+++ b/tests/emulator.rs
@@ -1,4 +1,4 @@
-//! The emulator itself: other tests rest on what it answers and counts.
+//! Tests of the emulator, since other tests rely on its answers and totals.
 
 mod common;
 
@@ -13,10 +13,10 @@
 use common::emulator::{Emulator, EmulatorBuilder};
 use common::{TIMEOUT, model, wait_for};
 
-fn call(stages: &[&Emulator], request: &str, limit: usize) -> Value {
+fn pipeline_call(stages: &[&Emulator], request: &str, limit: usize) -> Value {
     let width = 32 / stages.len();
-    let hop = |(i, e): (usize, &&Emulator)| json!({"upstream": e.id, "address": e.address, "first": i * width, "end": (i + 1) * width});
-    let path: Vec<_> = stages.iter().enumerate().map(hop).collect();
+    let stage = |(i, e): (usize, &&Emulator)| json!({"upstream": e.id, "address": e.address, "first": i * width, "end": (i + 1) * width});
+    let path: Vec<_> = stages.iter().enumerate().map(stage).collect();
     json!({
         "request": request, "attempt": 1, "organisation": "kouvertoura", "model": "quote-7b",
         "prompt": request, "tokens": [], "limit": limit, "priority": 0,
@@ -24,8 +24,9 @@
     })
 }
 
-/// Reads all events; the flag says whether the stream ended as HTTP wants it.
-fn events(to: SocketAddr, body: &Value) -> (Vec<Value>, bool) {
+/// Sends a pipeline call and reads all events; returns whether the response body was complete
+/// as well.
+fn read_events(to: SocketAddr, body: &Value) -> (Vec<Value>, bool) {
     let reply = agent().post(format!("http://{to}/v1/pipeline"));
     let reply = reply.send(body.to_string()).expect("call the engine");
     let mut reader = BufReader::new(reply.into_body().into_reader());
@@ -45,15 +46,18 @@
 }
 
 #[test]
-fn pipeline_of_two_stages_answers_as_the_model() {
+fn pipeline_of_two_stages_matches_model() {
     let first = EmulatorBuilder::engine("eng-1", "0..16").start();
     let second = EmulatorBuilder::engine("eng-2", "16..32").start();
-    let (events, whole) = events(first.address, &call(&[&first, &second], "1-1-1", 5));
+    let (events, complete) = read_events(
+        first.address,
+        &pipeline_call(&[&first, &second], "1-1-1", 5),
+    );
     let texts: Vec<_> = events[..5]
         .iter()
         .filter_map(|e| e["text"].as_str())
         .collect();
-    assert!(whole);
+    assert!(complete);
     assert_eq!(texts, model::answer("1-1-1", 32, 5));
     assert_eq!(events[5]["done"], true);
     assert_eq!(
@@ -74,12 +78,12 @@
 }
 
 #[test]
-fn pipeline_resumed_goes_on_behind_the_given_tokens() {
+fn pipeline_resumed_continues_after_given_tokens() {
     let engine = EmulatorBuilder::engine("eng-1", "0..32").start();
     let expected = model::answer("1-1-2", 32, 6);
-    let mut body = call(&[&engine], "1-1-2", 6);
+    let mut body = pipeline_call(&[&engine], "1-1-2", 6);
     body["tokens"] = json!(expected[..4]);
-    let (events, _) = events(engine.address, &body);
+    let (events, _) = read_events(engine.address, &body);
     assert_eq!(events[0]["index"], 4);
     assert_eq!(events[0]["text"], expected[4]);
     assert_eq!(events[1]["text"], expected[5]);
@@ -90,15 +94,15 @@
 }
 
 #[test]
-fn fault_cut_comes_behind_the_tokens_asked_for() {
+fn fault_cut_follows_requested_tokens() {
     let engine = EmulatorBuilder::engine("eng-1", "0..32")
         .flag("token-ms", 0)
         .start();
     engine.inject_fault(&json!({"mode": "cut", "count": 1, "after": 3}));
-    let (cut, whole) = events(engine.address, &call(&[&engine], "1-1-3", 6));
-    assert_eq!((cut.len(), whole), (3, false));
-    let (healthy, whole) = events(engine.address, &call(&[&engine], "1-1-4", 6));
-    assert_eq!((healthy.len(), whole), (7, true));
+    let (cut, complete) = read_events(engine.address, &pipeline_call(&[&engine], "1-1-3", 6));
+    assert_eq!((cut.len(), complete), (3, false));
+    let (healthy, complete) = read_events(engine.address, &pipeline_call(&[&engine], "1-1-4", 6));
+    assert_eq!((healthy.len(), complete), (7, true));
 }
 
 #[test]
@@ -106,14 +110,14 @@
     let first = EmulatorBuilder::engine("eng-1", "0..16").start();
     let second = EmulatorBuilder::engine("eng-2", "16..32").start();
     first.inject_fault(&json!({"mode": "stall", "count": 1, "after": 2}));
-    let body = call(&[&first, &second], "1-1-5", 6).to_string();
+    let body = pipeline_call(&[&first, &second], "1-1-5", 6).to_string();
     let mut socket = connect(first.address);
-    let head = format!(
+    let header = format!(
         "POST /v1/pipeline HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
     socket
-        .write_all((head + &body).as_bytes())
+        .write_all((header + &body).as_bytes())
         .expect("send the call");
     wait_for("two tokens at the second stage", || {
         (second.total("tokens") == 2).then_some(())
@@ -125,11 +129,11 @@
     });
 }
 
-/// A control address that takes every announcement and hands it on.
-fn control() -> (SocketAddr, Receiver<Value>) {
+/// Starts a server that accepts every announcement at its address and sends it to the receiver.
+fn start_control() -> (SocketAddr, Receiver<Value>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = listener.local_addr().expect("read the bound address");
-    let (out, announcements) = channel();
+    let (sender, announcements) = channel();
     thread::spawn(move || {
         for stream in listener.incoming() {
             let mut reader = BufReader::new(stream.expect("accept"));
@@ -147,7 +151,7 @@
             let reply =
                 b"HTTP/1.1 200 OK\r\ncontent-length: 12\r\nconnection: close\r\n\r\n{\"renew\":50}";
             let _ = reader.get_mut().write_all(reply);
-            if out
+            if sender
                 .send(serde_json::from_slice(&body).expect("JSON"))
                 .is_err()
             {
@@ -159,11 +163,11 @@
 }
 
 #[test]
-fn terminate_announces_leaving_and_gone_and_ends_the_work() {
-    let (address, announcements) = control();
-    let dead = common::port::free();
-    let plan = EmulatorBuilder::engine("eng-1", "0..32").flag("linger-ms", 0);
-    let mut engine = plan.announce(&[dead, address]).start();
+fn terminate_announces_and_finishes_requests() {
+    let (address, announcements) = start_control();
+    let unreachable = common::port::free();
+    let builder = EmulatorBuilder::engine("eng-1", "0..32").flag("linger-ms", 0);
+    let mut engine = builder.announce(&[unreachable, address]).start();
     let up = announcements
         .recv_timeout(TIMEOUT)
         .expect("an announcement");
@@ -172,19 +176,20 @@
         (&json!("up"), &json!(32))
     );
     engine.inject_fault(&json!({"mode": "slow", "ms": 50}));
-    let (to, body) = (engine.address, call(&[&engine], "1-1-6", 8));
-    let running = thread::spawn(move || events(to, &body));
+    let (to, body) = (engine.address, pipeline_call(&[&engine], "1-1-6", 8));
+    let running = thread::spawn(move || read_events(to, &body));
     engine.wait_for_total("tokens", 1);
     engine.process.terminate();
-    let (answer, whole) = running.join().expect("join the caller");
-    assert_eq!((answer.len(), whole), (9, true));
+    let (answer, complete) = running.join().expect("join the caller");
+    assert_eq!((answer.len(), complete), (9, true));
     assert!(engine.process.wait_for_exit().success());
-    let rest: Vec<Value> = announcements.try_iter().collect();
-    let states: Vec<_> = rest.iter().filter_map(|a| a["state"].as_str()).collect();
+    let later: Vec<Value> = announcements.try_iter().collect();
+    let states: Vec<_> = later.iter().filter_map(|a| a["state"].as_str()).collect();
     assert!(states.contains(&"leaving"), "{states:?}");
     assert_eq!(states.last(), Some(&"gone"));
     assert!(
-        rest.windows(2)
+        later
+            .windows(2)
             .all(|w| w[0]["sequence"].as_u64() < w[1]["sequence"].as_u64())
     );
 }
