--- a/tests/platform/faults.rs
+++ b/tests/platform/faults.rs
@@ -224,8 +224,8 @@
     }
 }
 
-/// Guards against retries at an engine that never responds although its heartbeats arrive:
-/// a second attempt there hangs as well, while the other engine responds at once.
+/// Guards against a retry at the one of two engines that never responds although its heartbeats
+/// arrive: a second attempt there hangs as well, while the other engine responds at once.
 #[test]
 fn unresponsive_upstream_not_retried() {
     let deployment = Deployment::start();
