--- a/tests/platform/deployment.rs
+++ b/tests/platform/deployment.rs
@@ -53,7 +53,7 @@
     engine_state: SharedState,
     subnet: u8,
     ports: Ports,
-    folder: TempDir,
+    directory: TempDir,
 }
 
 impl Deployment {
@@ -114,7 +114,7 @@
                 peers: port(),
                 metrics: port(),
             },
-            folder: tempfile::tempdir().unwrap(),
+            directory: tempfile::tempdir().unwrap(),
         };
         for i in 0..voters {
             let process = deployment.start_controller(i, true);
@@ -158,7 +158,7 @@
         models.map(|e| e.address).collect()
     }
 
-    /// Starts a controller, with its earlier data folder if there is one.
+    /// Starts a controller, with its earlier data directory if there is one.
     pub(crate) fn start_controller(&self, i: u8, first_start: bool) -> Process {
         let data = self.data_dir(i);
         fs::create_dir_all(&data).unwrap();
@@ -174,9 +174,9 @@
         )
     }
 
-    /// Data folder of a controller.
+    /// Data directory of a controller.
     pub(crate) fn data_dir(&self, i: u8) -> PathBuf {
-        self.folder.path().join(format!("data-{i}"))
+        self.directory.path().join(format!("data-{i}"))
     }
 
     pub(crate) fn start_entry(&self, i: usize) -> Process {
@@ -189,7 +189,7 @@
     /// Starts an entry instance whose output is never read.
     pub(crate) fn start_unread_entry(&self, i: usize) -> Process {
         let file = self
-            .folder
+            .directory
             .path()
             .join(format!("entry-{}.toml", entry_host(i)));
         let mut command = Command::new(env!("CARGO_BIN_EXE_laburnumquay"));
@@ -217,7 +217,7 @@
              [bounds]\ngraceS = 8\nrevokeMs = 5000\nretrySlack = 200\nstall_ms = 2500\n",
             HEARTBEAT_PERIOD.as_millis()
         );
-        let file = self.folder.path().join(format!("{role}-{host}.toml"));
+        let file = self.directory.path().join(format!("{role}-{host}.toml"));
         fs::write(&file, text).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_laburnumquay"));
         command.arg(role).arg("--boot-file").arg(&file);
--- a/tests/platform/engine.rs
+++ b/tests/platform/engine.rs
@@ -62,7 +62,7 @@
 /// State that all engines of a test share, and the record of what they received.
 #[derive(Default)]
 pub(crate) struct EngineState {
-    /// First (inclusive) and last (exclusive) loaded layer, by engine address.
+    /// Range of loaded layers, its end exclusive, by engine address.
     layers: HashMap<SocketAddr, (u32, u32)>,
     /// Number of runs, by the caller's attempt ID.
     runs: HashMap<String, u32>,
--- a/tests/platform/restore.rs
+++ b/tests/platform/restore.rs
@@ -1,4 +1,4 @@
-//! Controllers whose data folder is restored from a copy.
+//! Controllers whose data directory is restored from a copy.
 
 use std::fs;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use crate::common::wait_for;
 use crate::deployment::{Deployment, KEY};
 
-/// Copies the files of a data folder into an empty one.
+/// Copies the files of a data directory into an empty one.
 fn copy(from: &Path, to: &Path) {
     fs::create_dir_all(to).unwrap();
     for entry in fs::read_dir(from).unwrap() {
@@ -16,10 +16,10 @@
 }
 
 /// Guards against an acknowledged configuration that is replaced by an earlier one: the
-/// data folder of a controller is restored from a copy taken while it ran, and the
+/// data directory of a controller is restored from a copy taken while it ran, and the
 /// controller elects a leader with two others that were down meanwhile.
 #[test]
-fn restored_folder_keeps_configuration() {
+fn restored_directory_keeps_configuration() {
     let mut deployment = Deployment::controllers_only(5);
     wait_for("first configuration", || {
         deployment.replace_configuration(1, &[KEY]).then_some(())
