--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,8 +1,8 @@
-//! Which instances are alive: a SWIM-style failure detector.
+//! SWIM-style membership and failure detection.
 //!
-//! Every period an instance probes one other, so that its cost doesn't grow
-//! with the fleet. A probe that fails, also through helpers, makes the target
-//! suspect; a suspect that doesn't refute in time is dead.
+//! Each instance probes one other per period, so its cost doesn't grow with
+//! the fleet. A target that answers neither a direct nor an indirect probe
+//! becomes suspect; a suspect that doesn't refute in time is declared dead.
 
 mod detector;
 mod member;
@@ -13,7 +13,7 @@
 
 pub use member::{Member, MemberDump, MemberState, MemberView};
 
-pub(crate) use detector::{DetectorSettings, MemberEffect, Membership, STALL};
-pub(crate) use merge::Source;
+pub(crate) use detector::{DetectorSettings, MemberEffect, Membership, SUSPEND_GAP};
+pub(crate) use merge::RecordSource;
 pub(crate) use probe::ProbeEvent;
 pub(crate) use wire::{MemberRecord, decode_address, encode_address};
