--- a/tests/common/caller.rs
+++ b/tests/common/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: whole and streamed requests, and raw bytes for bad input.
+//! Callers: complete and streamed responses, and raw bytes for invalid input.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,21 +6,21 @@
 
 use serde_json::{Value, json};
 
-use super::LIMIT;
+use super::TIMEOUT;
 
-/// An HTTP agent that hands every status on and repeats nothing.
+/// Returns an HTTP agent that treats no status as an error and sends no request twice.
 pub(crate) fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_per_read(Some(LIMIT))
+        .timeout_per_read(Some(TIMEOUT))
         .max_idle_connections(0)
         .build()
         .into()
 }
 
-/// A completion request under construction.
+/// A completion request and its expected answer.
 #[derive(Clone)]
-pub(crate) struct Ask {
+pub(crate) struct CompletionRequest {
     pub(crate) prompt: String,
     pub(crate) key: String,
     pub(crate) tokens: usize,
@@ -28,17 +28,17 @@
     route: String,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
-pub(crate) struct Reply {
+pub(crate) struct Response {
     pub(crate) status: u16,
-    /// The body as JSON; null when it is none.
+    /// The body as JSON, or null if it isn't JSON.
     pub(crate) body: Value,
     /// `Retry-After` in seconds.
-    pub(crate) pause: Option<u64>,
+    pub(crate) retry_after: Option<u64>,
 }
 
-impl Reply {
+impl Response {
     pub(crate) fn text(&self) -> &str {
         self.body["choices"][0]["text"].as_str().unwrap_or("")
     }
@@ -52,7 +52,7 @@
     }
 }
 
-impl Ask {
+impl CompletionRequest {
     pub(crate) fn new(key: &str, prompt: &str, tokens: usize) -> Self {
         Self {
             prompt: prompt.to_owned(),
@@ -73,15 +73,15 @@
         self
     }
 
-    /// Marks the request as non-idempotent under a key.
-    pub(crate) fn once(self, key: &str) -> Self {
+    /// Marks the request as non-idempotent, with an idempotency key.
+    pub(crate) fn non_idempotent(self, key: &str) -> Self {
         self.header("x-non-idempotent", "true")
             .header("idempotency-key", key)
     }
 
-    /// The exact answer of the emulated model with `total` layers.
-    pub(crate) fn expected(&self, total: u32) -> String {
-        super::model::answer(&self.prompt, total, self.tokens).concat()
+    /// Answer of the emulated model with this number of layers.
+    pub(crate) fn expected(&self, layers: u32) -> String {
+        super::model::answer(&self.prompt, layers, self.tokens).concat()
     }
 
     fn body(&self, stream: bool) -> String {
@@ -92,8 +92,8 @@
         .to_string()
     }
 
-    /// Sends and reads the whole answer; the error is that of the connection.
-    pub(crate) fn send(&self, to: SocketAddr) -> Result<Reply, ureq::Error> {
+    /// Sends the request and reads the complete response; an error is one of the connection.
+    pub(crate) fn send(&self, to: SocketAddr) -> Result<Response, ureq::Error> {
         let uri = format!("http://{to}/v1/completions");
         let request = agent()
             .post(uri)
@@ -104,25 +104,25 @@
             .iter()
             .fold(request, |r, (name, value)| r.header(name, value));
         let mut reply = request.send(self.body(false))?;
-        let pause = reply.headers().get("retry-after");
-        let pause = pause.and_then(|v| v.to_str().ok()?.parse().ok());
+        let retry_after = reply.headers().get("retry-after");
+        let retry_after = retry_after.and_then(|v| v.to_str().ok()?.parse().ok());
         let text = reply.body_mut().read_to_string()?;
-        Ok(Reply {
+        Ok(Response {
             status: reply.status().as_u16(),
             body: serde_json::from_str(&text).unwrap_or(Value::Null),
-            pause,
+            retry_after,
         })
     }
 
-    /// Sends and hands back the stream while it comes.
-    pub(crate) fn stream(&self, to: SocketAddr) -> Stream {
+    /// Sends the request and returns the stream as soon as it is sent.
+    pub(crate) fn stream(&self, to: SocketAddr) -> EventStream {
         let body = self.body(true);
         let extra: String = self
             .headers
             .iter()
             .map(|(name, value)| format!("{name}: {value}\r\n"))
             .collect();
-        let head = format!(
+        let header = format!(
             "POST /v1/completions HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
              content-type: application/json\r\nauthorization: Bearer {}\r\n\
              content-length: {}\r\n{extra}\r\n",
@@ -130,35 +130,37 @@
             body.len()
         );
         let mut socket = connect(to);
-        socket.write_all(head.as_bytes()).expect("send the head");
+        socket
+            .write_all(header.as_bytes())
+            .expect("send the header");
         socket.write_all(body.as_bytes()).expect("send the body");
-        Stream {
+        EventStream {
             lines: BufReader::new(socket),
         }
     }
 }
 
-/// Connects with a bound on each read.
+/// Connects, with a timeout for each read.
 pub(crate) fn connect(to: SocketAddr) -> TcpStream {
     let socket = TcpStream::connect_timeout(&to, Duration::from_secs(5)).expect("connect");
     socket
-        .set_read_timeout(Some(LIMIT))
-        .expect("bound the reads");
+        .set_read_timeout(Some(TIMEOUT))
+        .expect("set the read timeout");
     socket
 }
 
 /// Sends raw bytes and reads until the connection ends.
-pub(crate) fn raw(to: SocketAddr, bytes: &[u8]) -> String {
+pub(crate) fn send_raw(to: SocketAddr, bytes: &[u8]) -> String {
     let mut socket = connect(to);
-    // The answer may come, and the connection close, before all is sent.
+    // The instance may respond and close the connection before all bytes are sent.
     let _ = socket.write_all(bytes);
     let mut answer = Vec::new();
     let _ = socket.read_to_end(&mut answer);
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// A streamed answer; dropping it closes the connection.
-pub(crate) struct Stream {
+/// A streamed response; dropping it closes the connection.
+pub(crate) struct EventStream {
     lines: BufReader<TcpStream>,
 }
 
@@ -166,48 +168,48 @@
 #[derive(Debug, PartialEq)]
 pub(crate) enum Event {
     Token(String),
-    /// The answer is whole; only the closing marker follows.
+    /// The answer is complete; only `[DONE]` follows.
     Finished,
     Failed(Value),
-    /// The closing marker.
+    /// `[DONE]`, which ends the stream.
     Done,
-    /// The connection ended, with or without a marker.
-    End,
+    /// The connection was closed, whether or not `[DONE]` came before.
+    Closed,
 }
 
-impl Stream {
-    /// The next event; head lines and chunk sizes are passed over. A refusal
-    /// in place of a stream is a failure.
+impl EventStream {
+    /// Reads the next event and skips header lines and chunk sizes. A refusal in place of a
+    /// stream counts as [`Event::Failed`].
     pub(crate) fn next(&mut self) -> Event {
         loop {
             let mut line = String::new();
             match self.lines.read_line(&mut line) {
-                Ok(0) | Err(_) => return Event::End,
+                Ok(0) | Err(_) => return Event::Closed,
                 Ok(_) => {}
             }
             if let Some(data) = line.trim().strip_prefix("data: ") {
-                return parse(data);
+                return parse_event(data);
             }
             if line.starts_with("{\"error\"") {
-                return parse(line.trim());
+                return parse_event(line.trim());
             }
         }
     }
 
-    /// Reads to the end: the text, and how it ended.
-    pub(crate) fn rest(&mut self) -> (String, Event) {
+    /// Reads to the end; returns the text and the event that ended the stream.
+    pub(crate) fn read_to_end(&mut self) -> (String, Event) {
         let mut text = String::new();
         loop {
             match self.next() {
                 Event::Token(token) => text.push_str(&token),
                 Event::Finished => {}
-                end => return (text, end),
+                last => return (text, last),
             }
         }
     }
 }
 
-fn parse(data: &str) -> Event {
+fn parse_event(data: &str) -> Event {
     if data == "[DONE]" {
         return Event::Done;
     }
--- a/tests/common/emulator.rs
+++ b/tests/common/emulator.rs
@@ -1,4 +1,4 @@
-//! Emulated upstreams as separate processes.
+//! Emulated upstreams that run as separate processes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,10 +8,10 @@
 
 use super::caller::agent;
 use super::process::Process;
-use super::until;
+use super::wait_for;
 
-/// How to start an emulator.
-pub(crate) struct Plan {
+/// Command-line arguments of an emulator that isn't started yet.
+pub(crate) struct EmulatorBuilder {
     id: String,
     args: Vec<String>,
 }
@@ -23,42 +23,44 @@
     pub(crate) process: Process,
 }
 
-impl Plan {
-    /// An engine that holds `layers` ("0..16") of the emulated model.
+impl EmulatorBuilder {
+    /// An engine that holds `layers` of the emulated model, such as "0..16".
     pub(crate) fn engine(id: &str, layers: &str) -> Self {
-        Self::new(id).with("layers", layers).with("rate", "0")
+        Self::new(id).flag("layers", layers).flag("rate", "0")
     }
 
     /// A plain service.
     pub(crate) fn service(id: &str, name: &str) -> Self {
-        Self::new(id).with("service", name)
+        Self::new(id).flag("service", name)
     }
 
     fn new(id: &str) -> Self {
-        let plan = Self {
+        let builder = Self {
             id: id.to_owned(),
             args: Vec::new(),
         };
-        plan.with("id", id).with("listen", "127.0.0.1:0")
+        builder.flag("id", id).flag("listen", "127.0.0.1:0")
     }
 
     /// Sets a flag of the emulator.
-    pub(crate) fn with(mut self, flag: &str, value: impl ToString) -> Self {
-        self.args.push(format!("--{flag}={}", value.to_string()));
+    pub(crate) fn flag(mut self, name: &str, value: impl ToString) -> Self {
+        self.args.push(format!("--{name}={}", value.to_string()));
         self
     }
 
-    /// Sets the control addresses to announce to.
-    pub(crate) fn announce(self, to: &[SocketAddr]) -> Self {
-        let list: Vec<_> = to.iter().map(SocketAddr::to_string).collect();
-        self.with("announce", list.join(","))
+    /// Sets the control addresses that the emulator announces itself to.
+    pub(crate) fn announce(self, addresses: &[SocketAddr]) -> Self {
+        let list: Vec<_> = addresses.iter().map(SocketAddr::to_string).collect();
+        self.flag("announce", list.join(","))
     }
 
     /// Starts the emulator and waits until it listens.
     pub(crate) fn start(self) -> Emulator {
-        let mut process =
-            Process::start(&self.id, Command::new(example("emulator")).args(&self.args));
-        let line = process.lines(1).pop().unwrap_or_default();
+        let mut process = Process::start(
+            &self.id,
+            Command::new(example_path("emulator")).args(&self.args),
+        );
+        let line = process.read_lines(1).pop().unwrap_or_default();
         let address = line.strip_prefix("ready ").and_then(|a| a.parse().ok());
         Emulator {
             id: self.id,
@@ -68,40 +70,40 @@
     }
 }
 
-/// Path of a cargo example: cargo puts it beside the binary, and builds it
-/// before the tests unless a single test target is asked for.
-pub(crate) fn example(name: &str) -> PathBuf {
+/// Returns the path of a cargo example. Cargo puts examples beside the binary, and builds them
+/// before the tests unless a single test target is selected.
+pub(crate) fn example_path(name: &str) -> PathBuf {
     let binary = PathBuf::from(env!("CARGO_BIN_EXE_laburnumquay"));
-    let folder = binary.parent().expect("the binary lies in a folder");
-    folder.join("examples").join(name)
+    let directory = binary.parent().expect("the binary's path has a parent");
+    directory.join("examples").join(name)
 }
 
 impl Emulator {
-    /// Asks for a fault, see examples/emulator/fault.rs.
-    pub(crate) fn fault(&self, fault: &Value) {
+    /// Requests a fault; `examples/emulator/fault.rs` describes its fields.
+    pub(crate) fn inject_fault(&self, fault: &Value) {
         let uri = format!("http://{}/emulator/fault", self.address);
         let reply = agent().post(uri).send(fault.to_string());
-        assert_eq!(reply.expect("ask for a fault").status(), 200);
+        assert_eq!(reply.expect("request a fault").status(), 200);
     }
 
-    /// Takes back the faults that haven't struck yet.
-    pub(crate) fn clear(&self) {
+    /// Cancels the faults that haven't occurred yet.
+    pub(crate) fn clear_faults(&self) {
         let uri = format!("http://{}/emulator/fault", self.address);
         let reply = agent().delete(uri).call();
         assert_eq!(reply.expect("clear the faults").status(), 200);
     }
 
-    /// The totals that an emulator logs when it is gone.
-    pub(crate) fn last_totals(&self) -> Value {
+    /// Totals that the emulator logs when it exits.
+    pub(crate) fn final_totals(&self) -> Value {
         let log = self.process.log();
         let line = log.lines().find_map(|l| l.strip_prefix("gone "));
-        serde_json::from_str(line.expect("a last line")).expect("totals are JSON")
+        serde_json::from_str(line.expect("a log line with the totals")).expect("totals are JSON")
     }
 
-    /// What was executed so far.
+    /// Requests that were executed so far, and their totals.
     pub(crate) fn executions(&self) -> Value {
         let uri = format!("http://{}/emulator/executions", self.address);
-        let mut reply = agent().get(uri).call().expect("ask for the executions");
+        let mut reply = agent().get(uri).call().expect("request the executions");
         let text = reply
             .body_mut()
             .with_config()
@@ -110,20 +112,19 @@
         serde_json::from_str(&text.expect("read the executions")).expect("executions are JSON")
     }
 
-    /// One of the totals.
     pub(crate) fn total(&self, name: &str) -> u64 {
         self.executions()["totals"][name]
             .as_u64()
             .unwrap_or_else(|| panic!("no total {name}"))
     }
 
-    /// Waits until a total has reached a value.
-    pub(crate) fn reach(&self, name: &str, value: u64) {
+    /// Waits until a total has reached at least a value.
+    pub(crate) fn wait_for_total(&self, name: &str, value: u64) {
         let what = format!("{name} = {value} at {}", self.id);
-        until(&what, || (self.total(name) >= value).then_some(()));
+        wait_for(&what, || (self.total(name) >= value).then_some(()));
     }
 
-    /// Attempts that began with this prompt.
+    /// Number of attempts that started with this prompt.
     pub(crate) fn attempts(&self, prompt: &str) -> u64 {
         let hash = format!("{:016x}", super::model::Context::new(prompt).state());
         let executions = self.executions();
--- a/tests/e2e/catalogue.rs
+++ b/tests/e2e/catalogue.rs
@@ -6,22 +6,22 @@
 
 use serde_json::{Value, json};
 
-use crate::common::caller::{Ask, agent};
+use crate::common::caller::{CompletionRequest, agent};
 use crate::common::fleet::{Fleet, KEY, POOL};
-use crate::common::until;
+use crate::common::wait_for;
 
 /// Longer than the default catalogue lease.
 const PAST_LEASE: Duration = Duration::from_millis(4500);
 
 /// Sends a change to an instance. Returns its outcome, or `None` if the change wasn't decided.
 fn send_change(fleet: &Fleet, at: usize, body: &Value) -> Option<Value> {
-    let uri = format!("http://{}/v1/catalogue/changes", fleet.control(at));
+    let uri = format!("http://{}/v1/catalogue/changes", fleet.control_addr(at));
     let mut reply = agent()
         .post(uri)
         .config()
         .timeout_global(Some(Duration::from_secs(10)))
         .build()
-        .header("Authorization", fleet.operator())
+        .header("Authorization", fleet.operator_auth())
         .send_json(body)
         .ok()?;
     let status = reply.status().as_u16();
@@ -43,16 +43,16 @@
 
 /// Sends a change to one instance after the other until it is decided. Returns the outcome.
 fn decide(fleet: &Fleet, alive: &[usize], body: &Value) -> Value {
-    until("a decision", || {
+    wait_for("a decision", || {
         alive.iter().find_map(|at| send_change(fleet, *at, body))
     })
 }
 
 /// Returns the names of the pools in the catalogue, read from one instance.
 fn pools(fleet: &Fleet, at: usize) -> Vec<String> {
-    until("a confirmed catalogue", || {
-        let target = fleet.control(at).to_string();
-        let text = fleet.command(&["catalogue", "list", "--json", "--target", &target])?;
+    wait_for("a confirmed catalogue", || {
+        let target = fleet.control_addr(at).to_string();
+        let text = fleet.run_command(&["catalogue", "list", "--json", "--target", &target])?;
         let listing: Value = serde_json::from_str(&text).ok()?;
         let records = listing["records"].as_array()?;
         let entries = records.iter().map(|r| &r["entry"]);
@@ -67,8 +67,8 @@
 
 /// Returns the index of the leader of the catalogue group, according to instance `at`.
 fn leader(fleet: &Fleet, at: usize) -> usize {
-    until("a leader", || {
-        let state: Value = serde_json::from_str(&fleet.state(at)).ok()?;
+    wait_for("a leader", || {
+        let state: Value = serde_json::from_str(&fleet.state_json(at)).ok()?;
         let id = state["groups"][0]["leader"].as_u64()?;
         Some(usize::try_from(id).ok()? - 1)
     })
@@ -79,7 +79,7 @@
 /// instances, applied once, at the revision reported first.
 #[test]
 fn change_leader_killed_in_mid_change() {
-    let mut fleet = Fleet::of(3);
+    let mut fleet = Fleet::with_instances(3);
     let mut accepted = Vec::new();
     for round in 0..3 {
         let victim = leader(&fleet, (round + 1) % 3);
@@ -98,13 +98,13 @@
                 done
             });
             thread::sleep(Duration::from_millis(200));
-            fleet.kill_now(victim);
+            fleet.kill_instance(victim);
             thread::sleep(Duration::from_millis(500));
             ended.store(true, Ordering::SeqCst);
             accepted.extend(operator.join().expect("an operator"));
         });
         fleet.restart(victim);
-        fleet.ready(victim);
+        fleet.wait_until_ready(victim);
     }
     let mut revisions: Vec<u64> = accepted.iter().map(|(_, revision)| *revision).collect();
     for (body, revision) in &accepted {
@@ -131,12 +131,12 @@
 /// was frozen.
 #[test]
 fn serve_instance_frozen_past_its_lease() {
-    let mut fleet = Fleet::of(4);
-    let _engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
-    let ask = Ask::new(KEY, "before the change", 2).route("narrow");
-    until("an answer", || {
-        let reply = ask.send(fleet.caller(3)).ok()?;
+    let mut fleet = Fleet::with_instances(4);
+    let _engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
+    let ask = CompletionRequest::new(KEY, "before the change", 2).route("narrow");
+    wait_for("an answer", || {
+        let reply = ask.send(fleet.caller_addr(3)).ok()?;
         (reply.status == 200).then_some(())
     });
     fleet.instance(3).process.freeze();
@@ -145,7 +145,7 @@
     let outcome = decide(&fleet, &[0, 1, 2], &retire);
     assert_eq!(outcome["outcome"], "accepted", "{outcome}");
     thread::sleep(PAST_LEASE);
-    let address = fleet.caller(3);
+    let address = fleet.caller_addr(3);
     let caller = thread::spawn(move || ask.send(address).map(|r| (r.status, r.code().to_owned())));
     thread::sleep(Duration::from_millis(200));
     fleet.instance(3).process.thaw();
@@ -154,8 +154,8 @@
         matches!(code.as_str(), "catalogue_lease" | "unknown_route"),
         "{status} {code}"
     );
-    until("the change in force", || {
-        let reply = Ask::new(KEY, "after", 2)
+    wait_for("the change in force", || {
+        let reply = CompletionRequest::new(KEY, "after", 2)
             .route("narrow")
             .send(address)
             .ok()?;
@@ -169,32 +169,32 @@
 /// run and be unready. With the quorum restored, all must serve again.
 #[test]
 fn serve_quorum_frozen_and_back() {
-    let mut fleet = Fleet::of(4);
-    let _engine = fleet.engine("eng-1", "0..32");
-    fleet.serving();
+    let mut fleet = Fleet::with_instances(4);
+    let _engine = fleet.start_engine("eng-1", "0..32");
+    fleet.wait_until_serving();
     for at in [0, 1] {
         fleet.instance(at).process.freeze();
     }
-    let ask = Ask::new(KEY, "while cut off", 2);
+    let ask = CompletionRequest::new(KEY, "while cut off", 2);
     for at in [2, 3] {
-        until("a refusal", || {
-            let reply = ask.send(fleet.caller(at)).ok()?;
+        wait_for("a refusal", || {
+            let reply = ask.send(fleet.caller_addr(at)).ok()?;
             if reply.code() != "catalogue_lease" {
                 return None;
             }
             assert_eq!(reply.ran(), "no");
-            assert!(reply.pause.is_some(), "no time to come back");
+            assert!(reply.retry_after.is_some(), "no time to come back");
             Some(())
         });
-        let uri = format!("http://{}/readyz", fleet.caller(at));
+        let uri = format!("http://{}/readyz", fleet.caller_addr(at));
         assert_eq!(agent().get(&uri).call().expect("a probe").status(), 503);
     }
     for at in [0, 1] {
         fleet.instance(at).process.thaw();
     }
     for at in 0..4 {
-        until("an answer again", || {
-            let reply = ask.send(fleet.caller(at)).ok()?;
+        wait_for("an answer again", || {
+            let reply = ask.send(fleet.caller_addr(at)).ok()?;
             (reply.status == 200).then_some(())
         });
     }
@@ -204,18 +204,18 @@
 /// is lost permanently. No accepted change may be lost, and changes must still be possible.
 #[test]
 fn change_disk_replaced_then_second_loss() {
-    let mut fleet = Fleet::of(3);
+    let mut fleet = Fleet::with_instances(3);
     let accepted = decide(&fleet, &[0, 1, 2], &put_pool("early", "early"));
     assert_eq!(accepted["outcome"], "accepted");
     fleet.instance(2).process.kill();
-    fs::remove_dir_all(fleet.data(2)).expect("wipe the disk");
+    fs::remove_dir_all(fleet.data_dir(2)).expect("wipe the disk");
     fleet.restart(2);
-    let target = fleet.control(0).to_string();
-    until("the new store in every group", || {
-        fleet.command(&["voters", "add", "--target", &target, "3"])
+    let target = fleet.control_addr(0).to_string();
+    wait_for("the new store in every group", || {
+        fleet.run_command(&["voters", "add", "--target", &target, "3"])
     });
     let all_vote = || {
-        let text = fleet.command(&["voters", "list", "--json", "--target", &target])?;
+        let text = fleet.run_command(&["voters", "list", "--json", "--target", &target])?;
         let groups: Value = serde_json::from_str(&text).ok()?;
         let complete = |g: &Value| {
             let members = g["members"].as_array().map_or(0, Vec::len);
@@ -227,7 +227,7 @@
         };
         groups.as_array()?.iter().all(complete).then_some(())
     };
-    until("three voters", all_vote);
+    wait_for("three voters", all_vote);
     let middle = decide(&fleet, &[0, 1, 2], &put_pool("middle", "middle"));
     assert_eq!(middle["outcome"], "accepted");
     fleet.instance(0).process.kill();
@@ -249,21 +249,21 @@
 /// must still be in force when the connection is restored.
 #[test]
 fn change_leader_inbound_dropped() {
-    let fleet = Fleet::relayed(3);
+    let fleet = Fleet::with_proxies(3);
     let before = decide(&fleet, &[0, 1, 2], &put_pool("before", "before"));
     assert_eq!(before["outcome"], "accepted");
     let former = leader(&fleet, 0);
     let others: Vec<usize> = (0..3).filter(|at| *at != former).collect();
-    fleet.shim(former).silence();
-    until("another leader", || {
+    fleet.proxy(former).block();
+    wait_for("another leader", || {
         let current = leader(&fleet, others[0]);
         (current != former).then_some(())
     });
     let during = decide(&fleet, &others, &put_pool("during", "during"));
     assert_eq!(during["outcome"], "accepted", "{during}");
     thread::sleep(PAST_LEASE);
-    fleet.shim(former).heal();
-    until("the change in force on the former leader", || {
+    fleet.proxy(former).unblock();
+    wait_for("the change in force on the former leader", || {
         pools(&fleet, former)
             .iter()
             .any(|p| p == "during")
@@ -283,30 +283,30 @@
 /// when the request arrived.
 #[test]
 fn completions_route_retired_while_waiting() {
-    let fleet = Fleet::with(1, &["--first-ms=60000"]);
-    let engine = fleet.engine_with("eng-1", "0..32", |p| p.with("slots", 1));
-    fleet.serving();
-    engine.fault(&json!({"mode": "slow", "count": 4, "ms": 2000}));
-    let address = fleet.caller(0);
+    let fleet = Fleet::with_flags(1, &["--first-ms=60000"]);
+    let engine = fleet.start_engine_with("eng-1", "0..32", |p| p.flag("slots", 1));
+    fleet.wait_until_serving();
+    engine.inject_fault(&json!({"mode": "slow", "count": 4, "ms": 2000}));
+    let address = fleet.caller_addr(0);
     let asks: Vec<_> = (0..12)
-        .map(|i| Ask::new(KEY, &format!("waiting {i}"), 3).route("narrow-wide"))
+        .map(|i| CompletionRequest::new(KEY, &format!("waiting {i}"), 3).route("narrow-wide"))
         .collect();
     let widen = json!({"id": "widen", "expect": "any", "operations": [{"put": {
         "kind": "route", "name": "narrow-wide", "organisation": "kouvertoura",
         "target": {"model": "quote-7b"}, "pools": [POOL], "idempotent": true,
         "limits": {"requests": 1000, "tokens": 100_000, "concurrent": 1000, "queued": 1000}}}]});
     assert_eq!(decide(&fleet, &[0], &widen)["outcome"], "accepted");
-    until("the route in force", || {
+    wait_for("the route in force", || {
         let reply = asks[0].send(address).ok()?;
         (reply.status == 200).then_some(())
     });
-    engine.fault(&json!({"mode": "slow", "count": 4, "ms": 2000}));
+    engine.inject_fault(&json!({"mode": "slow", "count": 4, "ms": 2000}));
     let waiting: Vec<_> = asks
         .into_iter()
         .map(|ask| thread::spawn(move || ask.send(address)))
         .collect();
-    until("waiting requests", || {
-        let state: Value = serde_json::from_str(&fleet.state(0)).ok()?;
+    wait_for("waiting requests", || {
+        let state: Value = serde_json::from_str(&fleet.state_json(0)).ok()?;
         (state["requests"]["queued"].as_u64()? > 0).then_some(())
     });
     let retire = json!({"id": "retire", "expect": "any",
--- a/tests/e2e/control.rs
+++ b/tests/e2e/control.rs
@@ -2,7 +2,7 @@
 
 use std::thread;
 
-use crate::common::caller::raw;
+use crate::common::caller::send_raw;
 use crate::common::fleet::Fleet;
 
 /// On a busy machine, an operator's change sometimes hung until the command timed out: the
@@ -11,13 +11,13 @@
 #[test]
 fn control_many_connections_all_answered() {
     let fleet = Fleet::single();
-    let address = fleet.control(0);
+    let address = fleet.control_addr(0);
     let callers: Vec<_> = (0..16)
         .map(|_| {
             thread::spawn(move || {
                 let request = b"GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
                 (0..50)
-                    .filter(|_| raw(address, request).starts_with("HTTP/1.1 200"))
+                    .filter(|_| send_raw(address, request).starts_with("HTTP/1.1 200"))
                     .count()
             })
         })
