--- a/examples/emulator/engine.rs
+++ b/examples/emulator/engine.rs
@@ -152,7 +152,7 @@
             run_range(self.upstream, &call.request, index, state, own, skip).await;
         let mut passed = vec![passed];
         if self.strikes(Mode::RepeatLayer, made) {
-            state = model::run(state, own.end - 1, own.end);
+            state = model::run_layers(state, own.end - 1, own.end);
             passed.push(part(&passed[0], own.end - 1, own.end));
         }
         if self.strikes(Mode::Disorder, made) {
@@ -184,7 +184,7 @@
             request: call.request.clone(),
             attempt: call.attempt,
             index,
-            text: model::text(state),
+            text: model::token_text(state),
             passed,
         })
     }
@@ -281,7 +281,7 @@
         first: hop.first,
         end,
     };
-    (model::run(state, hop.first, end), passed)
+    (model::run_layers(state, hop.first, end), passed)
 }
 
 /// Answers one call as a later stage.
--- a/examples/emulator/model.rs
+++ b/examples/emulator/model.rs
@@ -1,7 +1,7 @@
-//! The emulated model: a deterministic function whose answer changes when a
-//! layer is left out, run twice, run out of order or fed another prompt.
+//! Emulated model: a deterministic function whose output changes if a layer is
+//! skipped, repeated or run out of order, or if the prompt differs.
 
-/// A running FNV-1a hash (64 bits) over the prompt and the tokens so far.
+/// 64-bit FNV-1a hash of the prompt and the tokens generated so far.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Context(u64);
 
@@ -10,7 +10,7 @@
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl Context {
-    /// The context that a prompt opens.
+    /// Starts a context with the prompt.
     pub(crate) fn new(prompt: &str) -> Self {
         let mut context = Self(FNV_BASIS);
         context.push(prompt);
@@ -24,36 +24,36 @@
         }
     }
 
-    /// The hidden state that enters layer 0.
+    /// Hidden state that is the input of layer 0.
     pub(crate) fn state(self) -> u64 {
         self.0
     }
 }
 
-/// Runs the layers `first` (inclusive) to `end` (exclusive) over a hidden state.
-pub(crate) fn run(state: u64, first: u32, end: u32) -> u64 {
+/// Applies the layers `first..end` to a hidden state.
+pub(crate) fn run_layers(state: u64, first: u32, end: u32) -> u64 {
     (first..end).fold(state, |h, layer| splitmix64(h ^ (u64::from(layer) + 1)))
 }
 
-/// The text of the token that the last layer's output stands for.
-pub(crate) fn text(state: u64) -> String {
+/// Text of the token for the output of the last layer.
+pub(crate) fn token_text(state: u64) -> String {
     format!("{:04x} ", state & 0xffff)
 }
 
-/// The whole answer to a prompt: `limit` tokens through `total` layers.
-#[allow(dead_code)] // used by the load tool and the tests, not by the emulator
-pub(crate) fn answer(prompt: &str, total: u32, limit: usize) -> Vec<String> {
+/// Generates `limit` tokens for a prompt with all `total` layers.
+#[allow(dead_code)] // only the load tool and the tests use it
+pub(crate) fn generate(prompt: &str, total: u32, limit: usize) -> Vec<String> {
     let mut context = Context::new(prompt);
     (0..limit)
         .map(|_| {
-            let token = text(run(context.state(), 0, total));
+            let token = token_text(run_layers(context.state(), 0, total));
             context.push(&token);
             token
         })
         .collect()
 }
 
-/// Steele, Lea and Flood's SplitMix64 step.
+/// Output function of SplitMix64 (Steele, Lea and Flood).
 fn splitmix64(x: u64) -> u64 {
     let mut z = x.wrapping_add(GOLDEN_GAMMA);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/examples/load/call.rs
+++ b/examples/load/call.rs
@@ -64,7 +64,7 @@
     };
     let outcome = failure.unwrap_or_else(|| {
         let text = prompt(options.seed, job.index);
-        let expected = model::answer(&text, options.total, options.tokens);
+        let expected = model::generate(&text, options.total, options.tokens);
         judge(
             &answer.tokens,
             &expected,
--- a/examples/load/outcome.rs
+++ b/examples/load/outcome.rs
@@ -81,7 +81,7 @@
     }
     let around = index.saturating_sub(NEIGHBOURS)..index + NEIGHBOURS;
     let crossed = around.filter(|other| *other != index).any(|other| {
-        let answer = model::answer(&prompt(seed, other), total, expected.len());
+        let answer = model::generate(&prompt(seed, other), total, expected.len());
         answer.windows(TELLING).any(|w| w == &foreign[..TELLING])
     });
     if crossed {
--- a/tests/common/caller.rs
+++ b/tests/common/caller.rs
@@ -81,7 +81,7 @@
 
     /// The exact answer of the emulated model with `total` layers.
     pub(crate) fn expected(&self, total: u32) -> String {
-        super::model::answer(&self.prompt, total, self.tokens).concat()
+        super::model::generate(&self.prompt, total, self.tokens).concat()
     }
 
     fn body(&self, stream: bool) -> String {
--- a/tests/emulator.rs
+++ b/tests/emulator.rs
@@ -54,7 +54,7 @@
         .filter_map(|e| e["text"].as_str())
         .collect();
     assert!(whole);
-    assert_eq!(texts, model::answer("1-1-1", 32, 5));
+    assert_eq!(texts, model::generate("1-1-1", 32, 5));
     assert_eq!(events[5]["done"], true);
     assert_eq!(
         first.executions()["requests"]["1-1-1"]["tokens"],
@@ -76,7 +76,7 @@
 #[test]
 fn pipeline_resumed_goes_on_behind_the_given_tokens() {
     let engine = Plan::engine("eng-1", "0..32").start();
-    let expected = model::answer("1-1-2", 32, 6);
+    let expected = model::generate("1-1-2", 32, 6);
     let mut body = call(&[&engine], "1-1-2", 6);
     body["tokens"] = json!(expected[..4]);
     let (events, _) = events(engine.address, &body);
