--- a/examples/emulator/count.rs
+++ b/examples/emulator/count.rs
@@ -1,4 +1,4 @@
-//! What was really executed, so that doubles are counted and not guessed.
+//! Execution counts, from which tests detect duplicate runs.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -12,52 +12,52 @@
 pub(crate) struct Executions {
     /// Hash of the prompt, in hexadecimal; empty on later stages.
     pub(crate) prompt: String,
-    /// Attempts that began here as first stage.
+    /// Attempts begun with this engine as the first stage.
     pub(crate) attempts: u32,
     pub(crate) finished: u32,
     pub(crate) cancelled: u32,
-    /// How often the whole own range ran, by token index.
+    /// Runs of the engine's whole layer range, by token index.
     pub(crate) tokens: Vec<u32>,
-    /// Runs of a part of the range: (index, first, end).
+    /// Runs of a part of the range: (token index, first layer, end layer).
     pub(crate) partial: Vec<(usize, u32, u32)>,
 }
 
 /// Totals over all requests.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct Totals {
-    /// Attempts begun as first stage, or calls to a service.
+    /// Attempts begun as the first stage, or calls to a service.
     pub(crate) began: u64,
     pub(crate) finished: u64,
     pub(crate) cancelled: u64,
-    /// Answers 503 before the first token.
+    /// Requests answered with 503 before the first token.
     pub(crate) busy: u64,
-    /// Attempts begun more than [`LEAVE_GRACE_MS`] after `leaving` was announced.
+    /// Work begun more than [`LEAVE_GRACE_MS`] after `leaving` was announced.
     pub(crate) late: u64,
-    /// Tokens run through the own range.
+    /// Tokens processed by the engine's layer range.
     pub(crate) tokens: u64,
 }
 
-/// After so many milliseconds a leaving upstream expects no new work.
+/// Time after announcing `leaving` during which new work may still arrive, in milliseconds.
 pub(crate) const LEAVE_GRACE_MS: u128 = 3_000;
 
-/// All counts of one upstream.
+/// Counts of one upstream.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct Counts {
     pub(crate) totals: Totals,
-    /// Engines: by request id.
+    /// Executions on an engine, by request id.
     pub(crate) requests: BTreeMap<String, Executions>,
-    /// Services: calls by `X-Request-Id`.
+    /// Calls to a service, by `X-Request-Id`.
     pub(crate) ids: BTreeMap<String, u64>,
-    /// Services: calls by `Idempotency-Key`.
+    /// Calls to a service, by `Idempotency-Key`.
     pub(crate) keys: BTreeMap<String, u64>,
-    /// Where begun attempts are kept for a restart after a kill.
+    /// File in which begun attempts survive a kill of the process.
     #[serde(skip)]
     journal: Option<File>,
 }
 
 impl Counts {
-    /// Counts that outlive a kill of the process: a second run of a request
-    /// whose first one died with the engine must still show as a second run.
+    /// Loads the counts from a journal file, so that a request that runs again after its first
+    /// run died with the engine still counts as a second run.
     pub(crate) fn with_journal(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new()
             .create(true)
@@ -70,31 +70,31 @@
             let Some((request, prompt)) = line.split_once(' ') else {
                 continue;
             };
-            counts.count(request, prompt.to_owned());
+            counts.add_attempt(request, prompt.to_owned());
         }
         counts.journal = Some(file);
         Ok(counts)
     }
 
-    /// An attempt begins as first stage.
-    pub(crate) fn begin(&mut self, request: &str, prompt: u64) {
+    /// Records the start of an attempt as the first stage.
+    pub(crate) fn begin_attempt(&mut self, request: &str, prompt: u64) {
         let prompt = format!("{prompt:016x}");
         if let Some(file) = &mut self.journal {
             let line = format!("{request} {prompt}\n");
             file.write_all(line.as_bytes()).expect("write the journal");
         }
-        self.count(request, prompt);
+        self.add_attempt(request, prompt);
     }
 
-    fn count(&mut self, request: &str, prompt: String) {
+    fn add_attempt(&mut self, request: &str, prompt: String) {
         self.totals.began += 1;
         let entry = self.requests.entry(request.to_owned()).or_default();
         entry.prompt = prompt;
         entry.attempts += 1;
     }
 
-    /// An attempt ended, whole or not.
-    pub(crate) fn end(&mut self, request: &str, whole: bool) {
+    /// Records the end of an attempt, `whole` if it wasn't cancelled.
+    pub(crate) fn end_attempt(&mut self, request: &str, whole: bool) {
         let entry = self.requests.entry(request.to_owned()).or_default();
         if whole {
             self.totals.finished += 1;
@@ -105,8 +105,8 @@
         }
     }
 
-    /// The whole range ran for a token.
-    pub(crate) fn token(&mut self, request: &str, index: usize) {
+    /// Records a run of the whole range for a token.
+    pub(crate) fn record_token(&mut self, request: &str, index: usize) {
         self.totals.tokens += 1;
         let entry = self.requests.entry(request.to_owned()).or_default();
         if entry.tokens.len() <= index {
@@ -115,14 +115,15 @@
         entry.tokens[index] += 1;
     }
 
-    /// Only a part of the range ran for a token.
-    pub(crate) fn part(&mut self, request: &str, index: usize, first: u32, end: u32) {
+    /// Records a run of a part of the range for a token.
+    pub(crate) fn record_partial(&mut self, request: &str, index: usize, first: u32, end: u32) {
         let entry = self.requests.entry(request.to_owned()).or_default();
         entry.partial.push((index, first, end));
     }
 
-    /// A call reached the service; returns how many came under its key or id.
-    pub(crate) fn call(&mut self, id: Option<&str>, key: Option<&str>) -> u64 {
+    /// Records a call to the service. Returns the number of calls with its idempotency key, or
+    /// with its request id if it has no key.
+    pub(crate) fn record_call(&mut self, id: Option<&str>, key: Option<&str>) -> u64 {
         self.totals.began += 1;
         let add = |map: &mut BTreeMap<String, u64>, name: &str| {
             let count = map.entry(name.to_owned()).or_default();
--- a/examples/emulator/engine.rs
+++ b/examples/emulator/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: leads a pipeline as its first stage, serves as a later one.
+//! Emulated engine: runs a pipeline as its first stage, or serves as a later stage.
 
 use std::io;
 use std::sync::Arc;
@@ -10,55 +10,59 @@
 
 use crate::fault::{Fault, Mode};
 use crate::model::{self, Context};
-use crate::protocol::{Done, Generate, Hop, Passed, StageCall, StageEnd, StageReply, Token};
+use crate::protocol::{
+    DoneEvent, Hop, LayerRange, PipelineRequest, StageCall, StageEnd, StageReply, TokenEvent,
+};
 use crate::spec::Kind;
-use crate::upstream::{Key, Upstream};
+use crate::upstream::{AttemptKey, Upstream};
 
-/// Pieces of a streamed body; an error closes the connection.
-pub(crate) type Pieces = Sender<io::Result<Bytes>>;
+/// Sender of a streamed body. An error closes the connection.
+pub(crate) type BodySender = Sender<io::Result<Bytes>>;
 
-/// The other party went away, or the stream has to be cut.
-struct Cut;
+/// The caller or a later stage is gone, or a fault closes the stream.
+struct Aborted;
 
-/// How a stage call is answered.
-pub(crate) enum StageAnswer {
+/// Response to a stage call.
+pub(crate) enum StageOutcome {
     Reply(StageReply),
     Status(StatusCode),
     Garbage,
     Close,
 }
 
-/// How long the cut of a stream waits for a caller that reads nothing.
-const CUT_TIMEOUT: Duration = Duration::from_secs(2);
-const CRASH_CODE: i32 = 101;
+/// Limit on waiting for a caller that reads nothing before its stream is closed.
+const ABORT_TIMEOUT: Duration = Duration::from_secs(2);
+const CRASH_EXIT_CODE: i32 = 101;
 
-/// Whether a path begins here and its first range lies in what this engine holds.
-pub(crate) fn fits(upstream: &Upstream, call: &Generate) -> bool {
+/// Whether the path starts at this engine with layers that it holds.
+pub(crate) fn accepts(upstream: &Upstream, call: &PipelineRequest) -> bool {
     let Kind::Engine { model, .. } = &upstream.spec.kind else {
         return false;
     };
     let Some(hop) = call.path.first() else {
         return false;
     };
-    call.model == *model && hop.upstream == upstream.spec.id && holds(upstream, hop.first, hop.end)
+    call.model == *model
+        && hop.upstream == upstream.spec.id
+        && holds_layers(upstream, hop.first, hop.end)
 }
 
-fn holds(upstream: &Upstream, from: u32, to: u32) -> bool {
+fn holds_layers(upstream: &Upstream, from: u32, to: u32) -> bool {
     let Kind::Engine { first, end, .. } = upstream.spec.kind else {
         return false;
     };
     first <= from && from < to && to <= end
 }
 
-/// Runs one attempt to its end, its deadline or its cancellation.
-pub(crate) async fn lead(
+/// Runs an attempt until it ends, reaches its deadline or is cancelled.
+pub(crate) async fn run_pipeline(
     upstream: Arc<Upstream>,
-    call: Generate,
+    call: PipelineRequest,
     fault: Option<Fault>,
-    out: Pieces,
+    out: BodySender,
 ) {
     let key = (call.request.clone(), call.attempt);
-    let run = Lead {
+    let run = PipelineRun {
         upstream: &upstream,
         call: &call,
         fault: fault.as_ref(),
@@ -66,21 +70,25 @@
     };
     let deadline = Duration::from_millis(call.remaining);
     let whole = tokio::select! {
-        result = run.tokens() => result.is_ok(),
+        result = run.generate() => result.is_ok(),
         () = out.closed() => false,
         () = tokio::time::sleep(deadline) => false,
     };
-    upstream.stop(&key);
-    upstream.counts.lock().unwrap().end(&call.request, whole);
+    upstream.release_slot(&key);
+    upstream
+        .counts
+        .lock()
+        .unwrap()
+        .end_attempt(&call.request, whole);
     if whole {
         return;
     }
-    let cut = io::Error::new(io::ErrorKind::ConnectionAborted, "cut");
-    let _ = out.send_timeout(Err(cut), CUT_TIMEOUT).await;
+    let aborted = io::Error::new(io::ErrorKind::ConnectionAborted, "attempt aborted");
+    let _ = out.send_timeout(Err(aborted), ABORT_TIMEOUT).await;
     end_stages(&upstream, &call).await;
 }
 
-async fn end_stages(upstream: &Upstream, call: &Generate) {
+async fn end_stages(upstream: &Upstream, call: &PipelineRequest) {
     let end = StageEnd {
         request: call.request.clone(),
         attempt: call.attempt,
@@ -91,31 +99,31 @@
     }
 }
 
-struct Lead<'a> {
+struct PipelineRun<'a> {
     upstream: &'a Upstream,
-    call: &'a Generate,
+    call: &'a PipelineRequest,
     fault: Option<&'a Fault>,
-    out: &'a Pieces,
+    out: &'a BodySender,
 }
 
-impl Lead<'_> {
-    async fn tokens(&self) -> Result<(), Cut> {
+impl PipelineRun<'_> {
+    async fn generate(&self) -> Result<(), Aborted> {
         let call = self.call;
         let mut context = Context::new(&call.prompt);
         call.tokens.iter().for_each(|t| context.push(t));
         let mut sent = Vec::new();
         for index in call.tokens.len()..call.limit {
-            let made = sent.len();
-            if self.strikes(Mode::EarlyDone, made) {
+            let generated = sent.len();
+            if self.triggers(Mode::EarlyDone, generated) {
                 break;
             }
-            self.before(made).await?;
-            let token = self.token(index, made, context.state()).await?;
+            self.apply_fault(generated).await?;
+            let token = self.run_token(index, generated, context.state()).await?;
             context.push(&token.text);
-            self.emit(made, &token, &sent).await?;
+            self.emit(generated, &token, &sent).await?;
             sent.push(token);
         }
-        self.event(&Done {
+        self.send_event(&DoneEvent {
             request: &call.request,
             attempt: call.attempt,
             done: true,
@@ -125,41 +133,46 @@
         .await
     }
 
-    fn strikes(&self, mode: Mode, made: usize) -> bool {
+    fn triggers(&self, mode: Mode, generated: usize) -> bool {
         self.fault
-            .is_some_and(|f| f.mode == mode && f.after == made)
+            .is_some_and(|f| f.mode == mode && f.after == generated)
     }
 
-    async fn before(&self, made: usize) -> Result<(), Cut> {
-        let Some(fault) = self.fault.filter(|f| f.after <= made) else {
+    async fn apply_fault(&self, generated: usize) -> Result<(), Aborted> {
+        let Some(fault) = self.fault.filter(|f| f.after <= generated) else {
             return Ok(());
         };
         match fault.mode {
             Mode::Slow => tokio::time::sleep(Duration::from_millis(fault.ms)).await,
-            Mode::Crash => std::process::exit(CRASH_CODE),
+            Mode::Crash => std::process::exit(CRASH_EXIT_CODE),
             Mode::Stall => std::future::pending().await,
-            Mode::Cut => return Err(Cut),
+            Mode::Cut => return Err(Aborted),
             _ => {}
         }
         Ok(())
     }
 
-    async fn token(&self, index: usize, made: usize, state: u64) -> Result<Token, Cut> {
+    async fn run_token(
+        &self,
+        index: usize,
+        generated: usize,
+        state: u64,
+    ) -> Result<TokenEvent, Aborted> {
         let call = self.call;
         let own = &call.path[0];
-        let skip = self.strikes(Mode::SkipLayer, made);
+        let skip = self.triggers(Mode::SkipLayer, generated);
         let (mut state, passed) =
-            run_range(self.upstream, &call.request, index, state, own, skip).await;
+            run_own_range(self.upstream, &call.request, index, state, own, skip).await;
         let mut passed = vec![passed];
-        if self.strikes(Mode::RepeatLayer, made) {
+        if self.triggers(Mode::RepeatLayer, generated) {
             state = model::run_layers(state, own.end - 1, own.end);
-            passed.push(part(&passed[0], own.end - 1, own.end));
+            passed.push(sub_range(&passed[0], own.end - 1, own.end));
         }
-        if self.strikes(Mode::Disorder, made) {
+        if self.triggers(Mode::Disorder, generated) {
             let middle = u32::midpoint(own.first, own.end);
             let halves = [(middle, own.end), (own.first, middle)];
             passed = halves
-                .map(|(first, end)| part(&passed[0], first, end))
+                .map(|(first, end)| sub_range(&passed[0], first, end))
                 .into();
         }
         for hop in &call.path[1..] {
@@ -175,12 +188,12 @@
             let reply = self
                 .upstream
                 .post::<StageReply>(hop.address, "/v1/stage", &step);
-            let (_, reply) = reply.await.map_err(|_| Cut)?;
-            let reply = reply.ok_or(Cut)?;
+            let (_, reply) = reply.await.map_err(|_| Aborted)?;
+            let reply = reply.ok_or(Aborted)?;
             state = reply.state;
             passed.push(reply.passed);
         }
-        Ok(Token {
+        Ok(TokenEvent {
             request: call.request.clone(),
             attempt: call.attempt,
             index,
@@ -189,94 +202,101 @@
         })
     }
 
-    async fn emit(&self, made: usize, token: &Token, sent: &[Token]) -> Result<(), Cut> {
-        if self.strikes(Mode::Garbage, made) {
-            return self.piece("data: {\"request\": no json\n\n".into()).await;
+    async fn emit(
+        &self,
+        generated: usize,
+        token: &TokenEvent,
+        sent: &[TokenEvent],
+    ) -> Result<(), Aborted> {
+        if self.triggers(Mode::Garbage, generated) {
+            return self
+                .send_raw("data: {\"request\": no json\n\n".into())
+                .await;
         }
-        if self.strikes(Mode::Reorder, made) {
+        if self.triggers(Mode::Reorder, generated) {
             return Ok(());
         }
-        if self.strikes(Mode::LateDuplicate, made.wrapping_sub(2)) {
-            self.event(&sent[made - 2]).await?;
+        if self.triggers(Mode::LateDuplicate, generated.wrapping_sub(2)) {
+            self.send_event(&sent[generated - 2]).await?;
         }
-        if self.strikes(Mode::RepeatToken, made) {
-            self.event(token).await?;
+        if self.triggers(Mode::RepeatToken, generated) {
+            self.send_event(token).await?;
         }
-        if self.strikes(Mode::StaleAttempt, made) {
+        if self.triggers(Mode::StaleAttempt, generated) {
             let attempt = token.attempt.saturating_sub(1);
             let text = "0000 ".to_owned();
             let stale = token.clone();
-            self.event(&Token {
+            self.send_event(&TokenEvent {
                 attempt,
                 text,
                 ..stale
             })
             .await?;
         }
-        if self.strikes(Mode::Reorder, made.wrapping_sub(1)) {
-            self.event(token).await?;
-            return self.event(&sent[made - 1]).await;
+        if self.triggers(Mode::Reorder, generated.wrapping_sub(1)) {
+            self.send_event(token).await?;
+            return self.send_event(&sent[generated - 1]).await;
         }
         let swaps = self
             .fault
-            .is_some_and(|f| f.mode == Mode::SwapIds && f.after <= made);
+            .is_some_and(|f| f.mode == Mode::SwapIds && f.after <= generated);
         if !swaps {
-            return self.event(token).await;
+            return self.send_event(token).await;
         }
-        let (request, attempt) = self.other();
+        let (request, attempt) = self.other_attempt();
         let token = token.clone();
-        let swapped = Token {
+        let swapped = TokenEvent {
             request,
             attempt,
             ..token
         };
-        self.event(&swapped).await
+        self.send_event(&swapped).await
     }
 
-    /// Another request that runs here, or an invented one.
-    fn other(&self) -> Key {
+    /// Another attempt that is running on this engine, or a made-up one.
+    fn other_attempt(&self) -> AttemptKey {
         let own = (self.call.request.clone(), self.call.attempt);
         let running = self.upstream.running.lock().unwrap();
         let other = running.keys().find(|key| **key != own).cloned();
         other.unwrap_or_else(|| ("0-0-0".to_owned(), 1))
     }
 
-    async fn event(&self, event: &impl serde::Serialize) -> Result<(), Cut> {
-        let json = serde_json::to_string(event).map_err(|_| Cut)?;
-        self.piece(format!("data: {json}\n\n")).await
+    async fn send_event(&self, event: &impl serde::Serialize) -> Result<(), Aborted> {
+        let json = serde_json::to_string(event).map_err(|_| Aborted)?;
+        self.send_raw(format!("data: {json}\n\n")).await
     }
 
-    async fn piece(&self, text: String) -> Result<(), Cut> {
-        self.out.send(Ok(text.into())).await.map_err(|_| Cut)
+    async fn send_raw(&self, text: String) -> Result<(), Aborted> {
+        self.out.send(Ok(text.into())).await.map_err(|_| Aborted)
     }
 }
 
-fn part(whole: &Passed, first: u32, end: u32) -> Passed {
+fn sub_range(whole: &LayerRange, first: u32, end: u32) -> LayerRange {
     let upstream = whole.upstream.clone();
-    Passed {
+    LayerRange {
         upstream,
         first,
         end,
     }
 }
 
-async fn run_range(
+async fn run_own_range(
     upstream: &Upstream,
     request: &str,
     index: usize,
     state: u64,
     hop: &Hop,
     skip: bool,
-) -> (u64, Passed) {
+) -> (u64, LayerRange) {
     upstream.compute().await;
     let end = if skip { hop.end - 1 } else { hop.end };
     let mut counts = upstream.counts.lock().unwrap();
     if skip {
-        counts.part(request, index, hop.first, end);
+        counts.record_partial(request, index, hop.first, end);
     } else {
-        counts.token(request, index);
+        counts.record_token(request, index);
     }
-    let passed = Passed {
+    let passed = LayerRange {
         upstream: upstream.spec.id.clone(),
         first: hop.first,
         end,
@@ -284,30 +304,33 @@
     (model::run_layers(state, hop.first, end), passed)
 }
 
-/// Answers one call as a later stage.
-pub(crate) async fn stage(upstream: &Upstream, call: StageCall) -> StageAnswer {
-    if !holds(upstream, call.first, call.end) {
-        return StageAnswer::Status(StatusCode::BAD_REQUEST);
+/// Runs one token as a later stage.
+pub(crate) async fn run_stage(upstream: &Upstream, call: StageCall) -> StageOutcome {
+    if !holds_layers(upstream, call.first, call.end) {
+        return StageOutcome::Status(StatusCode::BAD_REQUEST);
     }
     let key = (call.request.clone(), call.attempt);
-    let Some((fault, made)) = step(upstream, &key) else {
+    let Some((fault, generated)) = next_step(upstream, &key) else {
         upstream.counts.lock().unwrap().totals.busy += 1;
-        return StageAnswer::Status(StatusCode::SERVICE_UNAVAILABLE);
+        return StageOutcome::Status(StatusCode::SERVICE_UNAVAILABLE);
     };
-    let mode = fault.as_ref().filter(|f| f.after <= made).map(|f| f.mode);
+    let mode = fault
+        .as_ref()
+        .filter(|f| f.after <= generated)
+        .map(|f| f.mode);
     match mode {
-        Some(Mode::Busy) => return StageAnswer::Status(StatusCode::SERVICE_UNAVAILABLE),
-        Some(Mode::Garbage) => return StageAnswer::Garbage,
-        Some(Mode::Cut | Mode::Refuse) => return StageAnswer::Close,
+        Some(Mode::Busy) => return StageOutcome::Status(StatusCode::SERVICE_UNAVAILABLE),
+        Some(Mode::Garbage) => return StageOutcome::Garbage,
+        Some(Mode::Cut | Mode::Refuse) => return StageOutcome::Close,
         Some(Mode::Stall) => std::future::pending().await,
-        Some(Mode::Crash) => std::process::exit(CRASH_CODE),
+        Some(Mode::Crash) => std::process::exit(CRASH_EXIT_CODE),
         Some(Mode::Slow) => {
             let ms = fault.as_ref().map_or(0, |f| f.ms);
             tokio::time::sleep(Duration::from_millis(ms)).await;
         }
         _ => {}
     }
-    let skip = mode == Some(Mode::SkipLayer) && fault.is_some_and(|f| f.after == made);
+    let skip = mode == Some(Mode::SkipLayer) && fault.is_some_and(|f| f.after == generated);
     let hop = Hop {
         upstream: upstream.spec.id.clone(),
         address: upstream.address,
@@ -315,22 +338,22 @@
         end: call.end,
     };
     let (state, passed) =
-        run_range(upstream, &call.request, call.index, call.state, &hop, skip).await;
+        run_own_range(upstream, &call.request, call.index, call.state, &hop, skip).await;
     if call.last {
-        upstream.stop(&key);
+        upstream.release_slot(&key);
     }
-    StageAnswer::Reply(StageReply { state, passed })
+    StageOutcome::Reply(StageReply { state, passed })
 }
 
-/// Counts a step of a sequence, which takes a slot with its first one.
-fn step(upstream: &Upstream, key: &Key) -> Option<(Option<Fault>, usize)> {
+/// Counts a step of a sequence; its first step takes a slot.
+fn next_step(upstream: &Upstream, key: &AttemptKey) -> Option<(Option<Fault>, usize)> {
     if !upstream.running.lock().unwrap().contains_key(key) {
-        upstream.start(key, false)?;
+        upstream.acquire_slot(key, false)?;
     }
     let mut running = upstream.running.lock().unwrap();
     let sequence = running.get_mut(key)?;
-    let made = sequence.steps;
+    let generated = sequence.steps;
     sequence.steps += 1;
-    sequence.seen = std::time::Instant::now();
-    Some((sequence.fault.clone(), made))
+    sequence.last_seen = std::time::Instant::now();
+    Some((sequence.fault.clone(), generated))
 }
--- a/examples/emulator/fault.rs
+++ b/examples/emulator/fault.rs
@@ -1,63 +1,63 @@
-//! Faults that a test asks for by `POST /emulator/fault`.
+//! Faults that tests inject with `POST /emulator/fault`.
 
 use serde::Deserialize;
 
-/// What goes wrong.
+/// Kind of fault.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Mode {
-    /// Answer 503 before the first token.
+    /// Responds with 503 before the first token.
     Busy,
-    /// Emit an event that isn't JSON.
+    /// Emits an event that isn't JSON.
     Garbage,
-    /// Leave out the last layer of the own range, and report so.
+    /// Skips the last layer of the engine's range and reports the shorter range.
     SkipLayer,
-    /// Run the last layer of the own range twice, and report so.
+    /// Runs the last layer of the engine's range twice and reports both runs.
     RepeatLayer,
-    /// Report the two halves of the own range in the wrong order.
+    /// Reports the two halves of the engine's range in the wrong order.
     Disorder,
-    /// Emit a token twice.
+    /// Emits a token twice.
     RepeatToken,
-    /// Close the connection in the middle of the answer.
+    /// Closes the connection in the middle of the response.
     Cut,
-    /// Emit nothing more and keep the connection open.
+    /// Emits nothing more but keeps the connection open.
     Stall,
-    /// Put the identifiers of another running request into the events.
+    /// Puts the identifiers of another running request into the events.
     SwapIds,
-    /// Emit a token once more, two tokens later.
+    /// Emits a token again two tokens later.
     LateDuplicate,
-    /// Emit a token behind its successor.
+    /// Emits a token after its successor.
     Reorder,
-    /// Emit a token of an older attempt first.
+    /// Emits a token of an earlier attempt before the right one.
     StaleAttempt,
-    /// Close the answer as whole before it is.
+    /// Ends the response as complete before all tokens are sent.
     EarlyDone,
-    /// Take `ms` longer for each token or call.
+    /// Delays each token or call by `ms`.
     Slow,
-    /// Close the connection without an answer.
+    /// Closes the connection without a response.
     Refuse,
-    /// Leave out announcements.
+    /// Suppresses announcements.
     SilentAnnounce,
-    /// Exit the process at once.
+    /// Exits the process immediately.
     Crash,
 }
 
-/// A fault as asked for.
+/// Fault to inject.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Fault {
     pub(crate) mode: Mode,
-    /// How many requests (announcements) it strikes; without it, all.
+    /// Number of requests or announcements that are affected; all if absent.
     #[serde(default)]
     pub(crate) count: Option<u64>,
-    /// Tokens of the attempt that come before it.
+    /// Number of tokens that the attempt generates before the fault occurs.
     #[serde(default)]
     pub(crate) after: usize,
-    /// Delay in milliseconds, for `slow`.
+    /// Delay of `slow` in milliseconds.
     #[serde(default)]
     pub(crate) ms: u64,
 }
 
-/// Faults in the order in which they were asked for.
+/// Faults in the order of injection.
 #[derive(Debug, Default)]
 pub(crate) struct Faults(Vec<Fault>);
 
@@ -70,21 +70,22 @@
         self.0.clear();
     }
 
-    /// Takes the fault that strikes the next request.
-    pub(crate) fn strike(&mut self) -> Option<Fault> {
-        self.take(|mode| mode != Mode::SilentAnnounce)
+    /// Returns the fault for the next request and counts its use.
+    pub(crate) fn next_request_fault(&mut self) -> Option<Fault> {
+        self.take_matching(|mode| mode != Mode::SilentAnnounce)
     }
 
-    /// Whether the next announcement is left out.
-    pub(crate) fn mute(&mut self) -> bool {
-        self.take(|mode| mode == Mode::SilentAnnounce).is_some()
+    /// Whether the next announcement is suppressed.
+    pub(crate) fn skip_announcement(&mut self) -> bool {
+        self.take_matching(|mode| mode == Mode::SilentAnnounce)
+            .is_some()
     }
 
-    fn take(&mut self, wanted: impl Fn(Mode) -> bool) -> Option<Fault> {
+    fn take_matching(&mut self, matches: impl Fn(Mode) -> bool) -> Option<Fault> {
         let at = self
             .0
             .iter()
-            .position(|f| wanted(f.mode) && f.count != Some(0))?;
+            .position(|f| matches(f.mode) && f.count != Some(0))?;
         let fault = &mut self.0[at];
         if let Some(count) = &mut fault.count {
             *count -= 1;
--- a/examples/emulator/main.rs
+++ b/examples/emulator/main.rs
@@ -1,10 +1,11 @@
-//! An emulator of model engines and plain services for tests, trials and the
-//! quick start. It speaks docs/UPSTREAMS.md, counts what it really executes
-//! (`GET /emulator/executions`) and fails on request (`POST /emulator/fault`).
+//! Emulator of model engines and plain services for tests, trials and the quick
+//! start. It implements the protocol of docs/UPSTREAMS.md, counts what it
+//! executes (`GET /emulator/executions`) and injects faults on request
+//! (`POST /emulator/fault`).
 //!
 //! Prints `ready ADDRESS` for each upstream. On SIGTERM it announces
-//! `leaving`, ends the running work, announces `gone`, logs `gone TOTALS` and
-//! exits with 0.
+//! `leaving`, waits for the running work to end, announces `gone`, logs
+//! `gone TOTALS` and exits with 0.
 
 mod announce;
 mod count;
@@ -34,7 +35,7 @@
         .get_one::<String>("threads")
         .and_then(|text| text.parse().ok())
         .unwrap_or(2);
-    let outcome = spec::specs(&matches).and_then(|specs| {
+    let outcome = spec::parse_specs(&matches).and_then(|specs| {
         Builder::new_multi_thread()
             .worker_threads(threads)
             .enable_all()
--- a/examples/emulator/protocol.rs
+++ b/examples/emulator/protocol.rs
@@ -1,10 +1,11 @@
-//! JSON messages: docs/UPSTREAMS.md, and the calls between emulated stages.
+//! JSON messages of the upstream protocol (docs/UPSTREAMS.md) and of the calls between
+//! emulated stages.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// One stage of a pipeline and the layers it runs.
+/// Stage of a pipeline and the layers that it runs.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct Hop {
     pub(crate) upstream: String,
@@ -13,9 +14,9 @@
     pub(crate) end: u32,
 }
 
-/// The body of `POST /v1/pipeline`.
+/// Body of `POST /v1/pipeline`.
 #[derive(Clone, Debug, Deserialize)]
-pub(crate) struct Generate {
+pub(crate) struct PipelineRequest {
     pub(crate) request: String,
     pub(crate) attempt: u64,
     pub(crate) model: String,
@@ -23,33 +24,33 @@
     #[serde(default)]
     pub(crate) tokens: Vec<String>,
     pub(crate) limit: usize,
-    /// Time left in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub(crate) remaining: u64,
-    /// Not empty; the first hop is the receiver.
+    /// Stages in order; never empty, and the first one is the receiver.
     pub(crate) path: Vec<Hop>,
 }
 
-/// The layers that one stage reports to have run for a token.
+/// Layers that a stage reports to have run for a token.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub(crate) struct Passed {
+pub(crate) struct LayerRange {
     pub(crate) upstream: String,
     pub(crate) first: u32,
     pub(crate) end: u32,
 }
 
-/// One token event.
+/// Event with one token.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct Token {
+pub(crate) struct TokenEvent {
     pub(crate) request: String,
     pub(crate) attempt: u64,
     pub(crate) index: usize,
     pub(crate) text: String,
-    pub(crate) passed: Vec<Passed>,
+    pub(crate) passed: Vec<LayerRange>,
 }
 
-/// The closing event.
+/// Last event of a complete response.
 #[derive(Debug, Serialize)]
-pub(crate) struct Done<'a> {
+pub(crate) struct DoneEvent<'a> {
     pub(crate) request: &'a str,
     pub(crate) attempt: u64,
     pub(crate) done: bool,
@@ -57,7 +58,7 @@
     pub(crate) reason: &'a str,
 }
 
-/// The body of `POST /v1/stage`: one token through one further stage.
+/// Body of `POST /v1/stage`, which runs one token through a later stage.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct StageCall {
     pub(crate) request: String,
@@ -66,27 +67,27 @@
     pub(crate) state: u64,
     pub(crate) first: u32,
     pub(crate) end: u32,
-    /// The sequence ends behind this token.
+    /// Whether this is the last token of the sequence.
     pub(crate) last: bool,
 }
 
-/// The body of `POST /v1/stage/end`: the sequence was cancelled.
+/// Body of `POST /v1/stage/end`, which cancels a sequence.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct StageEnd {
     pub(crate) request: String,
     pub(crate) attempt: u64,
 }
 
-/// The answer to a stage call.
+/// Response to a stage call.
 #[derive(Debug, Deserialize, Serialize)]
 pub(crate) struct StageReply {
     pub(crate) state: u64,
-    pub(crate) passed: Passed,
+    pub(crate) passed: LayerRange,
 }
 
-/// The answer to an announcement.
+/// Response to an announcement.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Renew {
-    /// Milliseconds to the next announcement.
+pub(crate) struct AnnounceReply {
+    /// Time until the next announcement, in milliseconds.
     pub(crate) renew: u64,
 }
--- a/examples/emulator/server.rs
+++ b/examples/emulator/server.rs
@@ -20,37 +20,37 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-use crate::engine::{self, StageAnswer};
+use crate::engine::{self, StageOutcome};
 use crate::fault::{Fault, Mode};
-use crate::protocol::{Generate, StageCall, StageEnd};
+use crate::protocol::{PipelineRequest, StageCall, StageEnd};
 use crate::spec::Kind;
 use crate::upstream::Upstream;
 
 type Reply = Response<BoxBody<Bytes, io::Error>>;
 
-/// Events that a caller may lag behind.
-const BACKLOG: usize = 64;
+/// Maximum number of events buffered for a slow caller.
+const EVENT_BUFFER: usize = 64;
 
 /// Accepts connections until the process ends.
 pub(crate) async fn serve(upstream: Arc<Upstream>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => drop(tokio::spawn(connection(upstream.clone(), stream))),
+            Ok((stream, _)) => drop(tokio::spawn(serve_connection(upstream.clone(), stream))),
             Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
         }
     }
 }
 
-async fn connection(upstream: Arc<Upstream>, stream: TcpStream) {
+async fn serve_connection(upstream: Arc<Upstream>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let service = service_fn(move |request| answer(upstream.clone(), request));
-    // A closed connection is the other party's wish or a fault asked for.
+    let service = service_fn(move |request| handle(upstream.clone(), request));
+    // An error means that the caller closed the connection or that a fault was injected.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-async fn answer(upstream: Arc<Upstream>, request: Request<Incoming>) -> io::Result<Reply> {
+async fn handle(upstream: Arc<Upstream>, request: Request<Incoming>) -> io::Result<Reply> {
     let path = request.uri().path().to_owned();
     let service = matches!(upstream.spec.kind, Kind::Service { .. });
     match (request.method(), path.as_str()) {
@@ -60,12 +60,12 @@
             upstream.faults.lock().unwrap().clear();
             Ok(json_reply(StatusCode::OK, &json!({})))
         }
-        _ if service => call(&upstream, request).await,
+        _ if service => service_call(&upstream, request).await,
         (&Method::POST, "/v1/pipeline") => pipeline(upstream, request).await,
         (&Method::POST, "/v1/stage") => stage(&upstream, request).await,
         (&Method::POST, "/v1/stage/end") => {
-            let end: StageEnd = read(request).await?;
-            upstream.stop(&(end.request, end.attempt));
+            let end: StageEnd = read_json(request).await?;
+            upstream.release_slot(&(end.request, end.attempt));
             Ok(json_reply(StatusCode::OK, &json!({})))
         }
         _ => Ok(json_reply(StatusCode::NOT_FOUND, &json!({"error": "path"}))),
@@ -86,42 +86,42 @@
 }
 
 async fn fault(upstream: &Upstream, request: Request<Incoming>) -> io::Result<Reply> {
-    let fault: Fault = read(request).await?;
+    let fault: Fault = read_json(request).await?;
     upstream.faults.lock().unwrap().add(fault);
     Ok(json_reply(StatusCode::OK, &json!({})))
 }
 
 async fn pipeline(upstream: Arc<Upstream>, request: Request<Incoming>) -> io::Result<Reply> {
-    let call: Generate = read(request).await?;
-    if !engine::fits(&upstream, &call) {
+    let call: PipelineRequest = read_json(request).await?;
+    if !engine::accepts(&upstream, &call) {
         return Ok(json_reply(
             StatusCode::BAD_REQUEST,
             &json!({"error": "path"}),
         ));
     }
     let key = (call.request.clone(), call.attempt);
-    let Some(fault) = upstream.start(&key, true) else {
+    let Some(fault) = upstream.acquire_slot(&key, true) else {
         return Ok(busy(&upstream));
     };
     let mode = fault.as_ref().map(|f| f.mode);
     if matches!(mode, Some(Mode::Busy | Mode::Refuse)) {
-        upstream.stop(&key);
+        upstream.release_slot(&key);
         return match mode {
             Some(Mode::Busy) => Ok(busy(&upstream)),
-            _ => Err(closed()),
+            _ => Err(connection_closed()),
         };
     }
-    let late = upstream.too_late();
+    let late = upstream.past_grace();
     {
         let mut counts = upstream.counts.lock().unwrap();
         counts.totals.late += u64::from(late);
         let prompt = crate::model::Context::new(&call.prompt).state();
-        counts.begin(&call.request, prompt);
+        counts.begin_attempt(&call.request, prompt);
     }
-    let (out, queue) = mpsc::channel(BACKLOG);
-    tokio::spawn(engine::lead(upstream, call, fault, out));
-    let failure = None;
-    let body = Pieces { queue, failure }.boxed();
+    let (out, queue) = mpsc::channel(EVENT_BUFFER);
+    tokio::spawn(engine::run_pipeline(upstream, call, fault, out));
+    let error = None;
+    let body = ChannelBody { queue, error }.boxed();
     let reply = Response::builder().header("content-type", "text/event-stream");
     reply.body(body).map_err(io::Error::other)
 }
@@ -132,23 +132,23 @@
 }
 
 async fn stage(upstream: &Upstream, request: Request<Incoming>) -> io::Result<Reply> {
-    let call: StageCall = read(request).await?;
-    match engine::stage(upstream, call).await {
-        StageAnswer::Reply(reply) => Ok(json_reply(StatusCode::OK, &json!(reply))),
-        StageAnswer::Status(status) => Ok(json_reply(status, &json!({"error": "busy"}))),
-        StageAnswer::Garbage => Ok(whole(StatusCode::OK, "no json".into())),
-        StageAnswer::Close => Err(closed()),
+    let call: StageCall = read_json(request).await?;
+    match engine::run_stage(upstream, call).await {
+        StageOutcome::Reply(reply) => Ok(json_reply(StatusCode::OK, &json!(reply))),
+        StageOutcome::Status(status) => Ok(json_reply(status, &json!({"error": "busy"}))),
+        StageOutcome::Garbage => Ok(full_reply(StatusCode::OK, "no json".into())),
+        StageOutcome::Close => Err(connection_closed()),
     }
 }
 
 /// Echoes a call to a plain service.
-async fn call(upstream: &Upstream, request: Request<Incoming>) -> io::Result<Reply> {
+async fn service_call(upstream: &Upstream, request: Request<Incoming>) -> io::Result<Reply> {
     let key = ("call".to_owned(), rand::random());
-    let Some(fault) = upstream.start(&key, true) else {
+    let Some(fault) = upstream.acquire_slot(&key, true) else {
         return Ok(busy(upstream));
     };
     let reply = echo(upstream, request, fault.as_ref()).await;
-    upstream.stop(&key);
+    upstream.release_slot(&key);
     reply
 }
 
@@ -160,7 +160,7 @@
     let mode = fault.map(|f| f.mode);
     match mode {
         Some(Mode::Busy) => return Ok(busy(upstream)),
-        Some(Mode::Refuse) => return Err(closed()),
+        Some(Mode::Refuse) => return Err(connection_closed()),
         _ => {}
     }
     let header = |name: &str| {
@@ -172,18 +172,18 @@
     let path = request.uri().path().to_owned();
     let body = request.into_body().collect().await;
     let body = body.map_err(io::Error::other)?.to_bytes();
-    let late = upstream.too_late();
+    let late = upstream.past_grace();
     let count = {
         let mut counts = upstream.counts.lock().unwrap();
         counts.totals.late += u64::from(late);
-        counts.call(id.as_deref(), key.as_deref())
+        counts.record_call(id.as_deref(), key.as_deref())
     };
     upstream.compute().await;
     match mode {
-        Some(Mode::Cut) => return Err(closed()),
+        Some(Mode::Cut) => return Err(connection_closed()),
         Some(Mode::Stall) => std::future::pending().await,
         Some(Mode::Crash) => std::process::exit(101),
-        Some(Mode::Garbage) => return Ok(whole(StatusCode::OK, "no json".into())),
+        Some(Mode::Garbage) => return Ok(full_reply(StatusCode::OK, "no json".into())),
         Some(Mode::Slow) => {
             let ms = fault.map_or(0, |f| f.ms);
             tokio::time::sleep(Duration::from_millis(ms)).await;
@@ -201,18 +201,18 @@
     Ok(json_reply(StatusCode::OK, &value))
 }
 
-/// Parses the body; a wrong one closes the connection.
-async fn read<T: DeserializeOwned>(request: Request<Incoming>) -> io::Result<T> {
+/// Parses the body as JSON; an invalid body closes the connection.
+async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> io::Result<T> {
     let body = request.into_body().collect().await;
     let bytes = body.map_err(io::Error::other)?.to_bytes();
     serde_json::from_slice(&bytes).map_err(io::Error::other)
 }
 
 fn json_reply(status: StatusCode, value: &Value) -> Reply {
-    whole(status, value.to_string().into())
+    full_reply(status, value.to_string().into())
 }
 
-fn whole(status: StatusCode, bytes: Bytes) -> Reply {
+fn full_reply(status: StatusCode, bytes: Bytes) -> Reply {
     let body = Full::new(bytes).map_err(|never: Infallible| match never {});
     let mut reply = Response::new(body.boxed());
     *reply.status_mut() = status;
@@ -221,20 +221,23 @@
     reply
 }
 
-fn closed() -> io::Error {
-    io::Error::new(io::ErrorKind::ConnectionAborted, "closed by a fault")
+fn connection_closed() -> io::Error {
+    io::Error::new(
+        io::ErrorKind::ConnectionAborted,
+        "connection closed by an injected fault",
+    )
 }
 
-/// A body whose pieces come through a channel.
+/// Response body that is fed through a channel.
 ///
-/// Before it fails it is pending once: the server then flushes the pieces that
-/// came before, so that a cut comes behind exactly the tokens asked for.
-struct Pieces {
+/// It returns `Pending` once before an error, so that the server flushes the frames before it
+/// and the connection closes after exactly the requested number of tokens.
+struct ChannelBody {
     queue: mpsc::Receiver<io::Result<Bytes>>,
-    failure: Option<io::Error>,
+    error: Option<io::Error>,
 }
 
-impl Body for Pieces {
+impl Body for ChannelBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -242,16 +245,16 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        if let Some(failure) = self.failure.take() {
-            return Poll::Ready(Some(Err(failure)));
+        if let Some(error) = self.error.take() {
+            return Poll::Ready(Some(Err(error)));
         }
         match self.queue.poll_recv(context) {
-            Poll::Ready(Some(Err(failure))) => {
-                self.failure = Some(failure);
+            Poll::Ready(Some(Err(error))) => {
+                self.error = Some(error);
                 context.waker().wake_by_ref();
                 Poll::Pending
             }
-            piece => piece.map(|next| next.map(|result| result.map(Frame::data))),
+            frame => frame.map(|next| next.map(|result| result.map(Frame::data))),
         }
     }
 }
--- a/examples/emulator/spec.rs
+++ b/examples/emulator/spec.rs
@@ -1,4 +1,4 @@
-//! Command line of the emulator: one upstream, and further ones beside it.
+//! Command line of the emulator, which runs one upstream or several.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,33 +6,33 @@
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use serde_json::{Value, json};
 
-/// What one emulated upstream is and announces.
+/// Properties of one emulated upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Spec {
     pub(crate) listen: SocketAddr,
-    /// Announced in place of the own address.
+    /// Address to announce instead of the one listened on.
     pub(crate) advertise: Option<SocketAddr>,
     pub(crate) id: String,
     pub(crate) pool: String,
     pub(crate) domain: String,
     pub(crate) kind: Kind,
     pub(crate) credential: String,
-    /// Control addresses of instances; may be empty.
+    /// Control addresses of the instances to announce to; may be empty.
     pub(crate) announce: Vec<SocketAddr>,
-    /// Concurrent sequences or calls.
+    /// Maximum number of concurrent sequences or calls.
     pub(crate) slots: usize,
-    /// Latency of a token through the own range, or of a service call, in milliseconds.
-    pub(crate) delay: u64,
-    /// How long a leaving upstream stays at least, in milliseconds.
-    pub(crate) linger: u64,
-    /// File that keeps begun attempts through a kill.
+    /// Latency of a token through the engine's range, or of a service call, in milliseconds.
+    pub(crate) delay_ms: u64,
+    /// Minimum time that a leaving upstream stays, in milliseconds.
+    pub(crate) linger_ms: u64,
+    /// File in which begun attempts survive a kill of the process.
     pub(crate) journal: Option<PathBuf>,
 }
 
-/// An engine or a plain service.
+/// Kind of upstream.
 #[derive(Clone, Debug)]
 pub(crate) enum Kind {
-    /// Holds layers `first` to `end` of `total`.
+    /// Model engine that holds the layers `first..end` of `total`.
     Engine {
         model: String,
         version: String,
@@ -40,9 +40,9 @@
         end: u32,
         total: u32,
         accelerator: String,
-        /// Tokens a second through the range, kept to; 0 announces 1,000,000 and isn't kept to.
+        /// Rate limit in tokens a second; 0 means unlimited, announced as 1,000,000.
         rate: u64,
-        /// Network link in Mbit/s, announced only.
+        /// Network bandwidth in Mbit/s; only announced, not emulated.
         link: u64,
     },
     Service {
@@ -53,7 +53,7 @@
 const UNLIMITED_RATE: u64 = 1_000_000;
 
 impl Spec {
-    /// The `serves` field of an announcement.
+    /// Value of the `serves` field of an announcement.
     pub(crate) fn serves(&self) -> Value {
         match &self.kind {
             Kind::Service { name } => json!({"service": {"name": name, "slots": self.slots}}),
@@ -112,7 +112,7 @@
     ),
 ];
 
-/// The command line.
+/// Defines the command line.
 pub(crate) fn command() -> Command {
     let base = Command::new("emulator")
         .about("Emulates model engines and plain services")
@@ -140,23 +140,27 @@
     })
 }
 
-/// All upstreams that the command line asks for.
-pub(crate) fn specs(matches: &ArgMatches) -> Result<Vec<Spec>, String> {
+/// Parses the upstreams given on the command line.
+pub(crate) fn parse_specs(matches: &ArgMatches) -> Result<Vec<Spec>, String> {
     let also = matches.get_many::<String>("also").unwrap_or_default();
-    let mut specs = vec![spec(matches, &[])?];
+    let mut specs = vec![parse_spec(matches, &[])?];
     for text in also {
-        let over: Vec<_> = text.split(';').filter_map(|p| p.split_once('=')).collect();
-        if let Some((name, _)) = over.iter().find(|(n, _)| FIELDS.iter().all(|f| f.0 != *n)) {
-            return Err(format!("--also: no field {name}"));
+        let overrides: Vec<_> = text.split(';').filter_map(|p| p.split_once('=')).collect();
+        if let Some((name, _)) = overrides
+            .iter()
+            .find(|(n, _)| FIELDS.iter().all(|f| f.0 != *n))
+        {
+            return Err(format!("--also: unknown field {name}"));
         }
-        specs.push(spec(matches, &over)?);
+        specs.push(parse_spec(matches, &overrides)?);
     }
     Ok(specs)
 }
 
-fn spec(matches: &ArgMatches, over: &[(&str, &str)]) -> Result<Spec, String> {
+fn parse_spec(matches: &ArgMatches, overrides: &[(&str, &str)]) -> Result<Spec, String> {
     let text = |name: &str| -> String {
-        over.iter()
+        overrides
+            .iter()
             .find(|(n, _)| *n == name)
             .map(|(_, value)| (*value).to_owned())
             .or_else(|| matches.get_one::<String>(name).cloned())
@@ -165,10 +169,11 @@
     let number = |name: &str| -> Result<u64, String> {
         text(name)
             .parse()
-            .map_err(|_| format!("--{name}: give a whole number"))
+            .map_err(|_| format!("--{name}: expected a whole number"))
     };
     let address = |text: &str| -> Result<SocketAddr, String> {
-        text.parse().map_err(|_| format!("{text:?}: give IP:PORT"))
+        text.parse()
+            .map_err(|_| format!("{text:?}: expected IP:PORT"))
     };
     let announce = text("announce")
         .split(',')
@@ -178,7 +183,7 @@
     let kind = match text("service") {
         name if !name.is_empty() => Kind::Service { name },
         _ => {
-            let (first, end) = range(&text("layers"))?;
+            let (first, end) = parse_range(&text("layers"))?;
             Kind::Engine {
                 model: text("model"),
                 version: text("version"),
@@ -204,17 +209,17 @@
         credential: text("credential"),
         announce,
         slots: number("slots")? as usize,
-        delay: number("token-ms")?,
-        linger: number("linger-ms")?,
+        delay_ms: number("token-ms")?,
+        linger_ms: number("linger-ms")?,
         journal: Some(text("journal"))
             .filter(|path| !path.is_empty())
             .map(PathBuf::from),
     })
 }
 
-fn range(text: &str) -> Result<(u32, u32), String> {
+fn parse_range(text: &str) -> Result<(u32, u32), String> {
     text.split_once("..")
         .and_then(|(first, end)| Some((first.parse().ok()?, end.parse().ok()?)))
         .filter(|(first, end)| first < end)
-        .ok_or_else(|| format!("--layers {text:?}: give FIRST..END"))
+        .ok_or_else(|| format!("--layers {text:?}: expected FIRST..END"))
 }
--- a/examples/emulator/upstream.rs
+++ b/examples/emulator/upstream.rs
@@ -19,21 +19,21 @@
 use crate::fault::{Fault, Faults};
 use crate::spec::{Kind, Spec};
 
-/// Request and attempt.
-pub(crate) type Key = (String, u64);
+/// Request id and attempt number.
+pub(crate) type AttemptKey = (String, u64);
 
-/// A later stage forgets a sequence whose first stage is silent for so long.
-const IDLE: Duration = Duration::from_secs(10);
+/// Time without a call from the first stage after which a later stage drops a sequence.
+const SEQUENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A sequence that runs here.
+/// Sequence that is running on this upstream.
 #[derive(Debug)]
 pub(crate) struct Sequence {
     pub(crate) fault: Option<Fault>,
-    pub(crate) seen: Instant,
-    /// Tokens that went through.
+    pub(crate) last_seen: Instant,
+    /// Number of tokens processed.
     pub(crate) steps: usize,
-    /// Whether this upstream is its first stage.
-    pub(crate) leads: bool,
+    /// Whether this upstream is the first stage of the sequence.
+    pub(crate) is_first: bool,
 }
 
 /// One emulated upstream.
@@ -42,11 +42,11 @@
     pub(crate) address: SocketAddr,
     pub(crate) faults: Mutex<Faults>,
     pub(crate) counts: Mutex<Counts>,
-    pub(crate) running: Mutex<HashMap<Key, Sequence>>,
-    /// When `leaving` was announced.
-    pub(crate) leaving: Mutex<Option<Instant>>,
-    /// When the device has run all tokens that it was given.
-    free: Mutex<Instant>,
+    pub(crate) running: Mutex<HashMap<AttemptKey, Sequence>>,
+    /// Time at which `leaving` was announced.
+    pub(crate) leaving_since: Mutex<Option<Instant>>,
+    /// Time at which the device will have processed all tokens assigned to it.
+    idle_at: Mutex<Instant>,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
@@ -65,73 +65,73 @@
             faults: Mutex::default(),
             counts: Mutex::new(counts),
             running: Mutex::default(),
-            leaving: Mutex::default(),
-            free: Mutex::new(Instant::now()),
+            leaving_since: Mutex::default(),
+            idle_at: Mutex::new(Instant::now()),
             client: Client::builder(TokioExecutor::new()).build(connector),
         })
     }
 
-    /// Takes a slot; the fault that strikes the sequence comes with it.
-    /// None when no slot is free.
-    pub(crate) fn start(&self, key: &Key, leads: bool) -> Option<Option<Fault>> {
+    /// Takes a slot and returns the fault to inject into the sequence, if any. Returns `None`
+    /// if no slot is free or the attempt already runs.
+    pub(crate) fn acquire_slot(&self, key: &AttemptKey, is_first: bool) -> Option<Option<Fault>> {
         let mut running = self.running.lock().unwrap();
         if running.len() >= self.spec.slots {
-            running.retain(|_, s| s.leads || s.seen.elapsed() < IDLE);
+            running.retain(|_, s| s.is_first || s.last_seen.elapsed() < SEQUENCE_TIMEOUT);
         }
         if running.len() >= self.spec.slots || running.contains_key(key) {
             return None;
         }
-        let fault = self.faults.lock().unwrap().strike();
+        let fault = self.faults.lock().unwrap().next_request_fault();
         let sequence = Sequence {
             fault: fault.clone(),
-            seen: Instant::now(),
+            last_seen: Instant::now(),
             steps: 0,
-            leads,
+            is_first,
         };
         running.insert(key.clone(), sequence);
         Some(fault)
     }
 
-    /// Gives the slot back.
-    pub(crate) fn stop(&self, key: &Key) {
+    /// Releases the slot of an attempt.
+    pub(crate) fn release_slot(&self, key: &AttemptKey) {
         self.running.lock().unwrap().remove(key);
     }
 
-    /// Sequences that run here now.
+    /// Number of running sequences.
     pub(crate) fn load(&self) -> usize {
         let mut running = self.running.lock().unwrap();
-        running.retain(|_, s| s.leads || s.seen.elapsed() < IDLE);
+        running.retain(|_, s| s.is_first || s.last_seen.elapsed() < SEQUENCE_TIMEOUT);
         running.len()
     }
 
-    /// Whether work that begins now comes too late after `leaving`.
-    pub(crate) fn too_late(&self) -> bool {
-        let leaving = *self.leaving.lock().unwrap();
+    /// Whether the grace period after announcing `leaving` is over.
+    pub(crate) fn past_grace(&self) -> bool {
+        let leaving = *self.leaving_since.lock().unwrap();
         leaving.is_some_and(|at| at.elapsed().as_millis() > crate::count::LEAVE_GRACE_MS)
     }
 
-    /// Waits as long as the device takes for one token.
+    /// Waits for as long as the device takes to process one token.
     pub(crate) async fn compute(&self) {
-        let due = Instant::now() + Duration::from_millis(self.spec.delay);
-        let due = due.max(self.reserve());
+        let due = Instant::now() + Duration::from_millis(self.spec.delay_ms);
+        let due = due.max(self.reserve_device());
         if due > Instant::now() {
             tokio::time::sleep_until(due.into()).await;
         }
     }
 
-    fn reserve(&self) -> Instant {
+    fn reserve_device(&self) -> Instant {
         let Kind::Engine { rate, .. } = &self.spec.kind else {
             return Instant::now();
         };
         if *rate == 0 {
             return Instant::now();
         }
-        let mut free = self.free.lock().unwrap();
-        *free = (*free).max(Instant::now()) + Duration::from_secs(1) / *rate as u32;
-        *free
+        let mut idle_at = self.idle_at.lock().unwrap();
+        *idle_at = (*idle_at).max(Instant::now()) + Duration::from_secs(1) / *rate as u32;
+        *idle_at
     }
 
-    /// Posts JSON; answers the status and, on success, the parsed body.
+    /// Sends a JSON body. Returns the status and, on success, the parsed response.
     pub(crate) async fn post<T: DeserializeOwned>(
         &self,
         to: SocketAddr,
