--- a/examples/load/call.rs
+++ b/examples/load/call.rs
@@ -1,4 +1,4 @@
-//! One try of one request: sends it, reads the answer, judges it.
+//! Sends one call of a request, reads the answer and verifies it.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,13 +14,13 @@
 
 use crate::model;
 use crate::options::{Options, Stage};
-use crate::outcome::{Breach, Outcome, judge, prompt};
+use crate::outcome::{Defect, Outcome, prompt, verify};
 
-/// A pooled client.
-pub(crate) type Http = Client<HttpConnector, Full<Bytes>>;
+/// HTTP client with a connection pool.
+pub(crate) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// A client that never sends a request again by itself.
-pub(crate) fn client() -> Http {
+/// Creates a client that never resends a request by itself.
+pub(crate) fn client() -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(Duration::from_secs(5)));
@@ -29,34 +29,39 @@
     builder.build(connector)
 }
 
-/// One request of the run.
+/// Request of a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Job {
     pub(crate) index: usize,
-    pub(crate) marked: bool,
+    pub(crate) non_idempotent: bool,
 }
 
-/// Where a try goes.
+/// Destination of a call.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Way<'a> {
+pub(crate) enum Destination<'a> {
     Instance(SocketAddr),
     Direct(&'a [Stage]),
 }
 
-/// A judged try and when its tokens came.
+/// Outcome of a call and the arrival times of its tokens.
 #[derive(Debug)]
-pub(crate) struct Try {
+pub(crate) struct CallResult {
     pub(crate) outcome: Outcome,
-    /// Arrival of each token, from the start of the try.
+    /// Arrival of each token, measured from the start of the call.
     pub(crate) arrivals: Vec<Duration>,
-    pub(crate) whole: Duration,
+    pub(crate) duration: Duration,
 }
 
-/// Sends a job one way, bounded by the timeout.
-pub(crate) async fn send(http: &Http, options: &Options, job: Job, way: Way<'_>) -> Try {
-    let begin = Instant::now();
+/// Calls a destination within the time limit of the options.
+pub(crate) async fn send(
+    http: &HttpClient,
+    options: &Options,
+    job: Job,
+    destination: Destination<'_>,
+) -> CallResult {
+    let start = Instant::now();
     let mut answer = Answer::default();
-    let exchange = exchange(http, options, job, way, begin, &mut answer);
+    let exchange = exchange(http, options, job, destination, start, &mut answer);
     let failure = match tokio::time::timeout(options.timeout, exchange).await {
         Ok(Ok(())) => None,
         Ok(Err(outcome)) => Some(outcome),
@@ -64,19 +69,19 @@
     };
     let outcome = failure.unwrap_or_else(|| {
         let text = prompt(options.seed, job.index);
-        let expected = model::generate(&text, options.total, options.tokens);
-        judge(
+        let expected = model::generate(&text, options.layers, options.tokens);
+        verify(
             &answer.tokens,
             &expected,
             options.seed,
             job.index,
-            options.total,
+            options.layers,
         )
     });
-    Try {
+    CallResult {
         outcome,
         arrivals: answer.arrivals,
-        whole: begin.elapsed(),
+        duration: start.elapsed(),
     }
 }
 
@@ -88,18 +93,18 @@
     closed: bool,
 }
 
-/// Reads a whole answer; anything else is the error.
+/// Sends the call and reads a complete answer. Any other outcome is the error.
 async fn exchange(
-    http: &Http,
+    http: &HttpClient,
     options: &Options,
     job: Job,
-    way: Way<'_>,
-    begin: Instant,
+    destination: Destination<'_>,
+    start: Instant,
     answer: &mut Answer,
 ) -> Result<(), Outcome> {
-    let request = match way {
-        Way::Instance(target) => ask(options, job, target),
-        Way::Direct(stages) => drive(options, job, stages),
+    let request = match destination {
+        Destination::Instance(target) => instance_request(options, job, target),
+        Destination::Direct(stages) => pipeline_request(options, job, stages),
     };
     let reply = http.request(request).await.map_err(|error| {
         if error.is_connect() {
@@ -109,15 +114,17 @@
         }
     })?;
     if !reply.status().is_success() {
-        return Err(refusal(reply).await);
+        return Err(read_refusal(reply).await);
     }
-    match way {
-        Way::Instance(_) if !options.stream => whole(reply, options, begin, answer).await,
-        _ => streamed(reply, begin, answer).await,
+    match destination {
+        Destination::Instance(_) if !options.stream => {
+            read_complete(reply, options, start, answer).await
+        }
+        _ => read_stream(reply, start, answer).await,
     }
 }
 
-fn ask(options: &Options, job: Job, target: SocketAddr) -> Request<Full<Bytes>> {
+fn instance_request(options: &Options, job: Job, target: SocketAddr) -> Request<Full<Bytes>> {
     let text = prompt(options.seed, job.index);
     let (path, mut body) = if options.chat {
         let messages = json!([{"role": "user", "content": text}]);
@@ -132,10 +139,10 @@
     let mut request = Request::post(format!("http://{target}{path}"))
         .header("content-type", "application/json")
         .header("authorization", format!("Bearer {key}"));
-    if job.marked {
+    if job.non_idempotent {
         request = request.header("x-non-idempotent", "true");
     }
-    if job.marked || options.resends > 0 {
+    if job.non_idempotent || options.resends > 0 {
         let key = format!("load-{}-{}", options.seed, job.index);
         request = request.header("idempotency-key", key);
     }
@@ -148,7 +155,7 @@
         .expect("the parts of the request are valid")
 }
 
-fn drive(options: &Options, job: Job, stages: &[Stage]) -> Request<Full<Bytes>> {
+fn pipeline_request(options: &Options, job: Job, stages: &[Stage]) -> Request<Full<Bytes>> {
     let hop = |s: &Stage| json!({"upstream": s.upstream, "address": s.address, "first": s.first, "end": s.end});
     let path: Vec<_> = stages.iter().map(hop).collect();
     let body = json!({
@@ -165,7 +172,7 @@
         .expect("the parts of the request are valid")
 }
 
-async fn refusal(reply: Response<Incoming>) -> Outcome {
+async fn read_refusal(reply: Response<Incoming>) -> Outcome {
     let status = reply.status();
     let Ok(body) = reply.into_body().collect().await else {
         return Outcome::Cut;
@@ -175,49 +182,49 @@
         return Outcome::Refused {
             code: "busy".to_owned(),
             ran: "no".to_owned(),
-            pause: 0,
+            retry_ms: 0,
         };
     }
-    failure(&value["error"]).unwrap_or_else(|| Outcome::Refused {
+    parse_error(&value["error"]).unwrap_or_else(|| Outcome::Refused {
         code: format!("untyped {status}"),
         ran: "unknown".to_owned(),
-        pause: 0,
+        retry_ms: 0,
     })
 }
 
-fn failure(error: &Value) -> Option<Outcome> {
+fn parse_error(error: &Value) -> Option<Outcome> {
     Some(Outcome::Refused {
         code: error["code"].as_str()?.to_owned(),
         ran: error["ran"].as_str()?.to_owned(),
-        pause: error["retry"].as_u64().unwrap_or(0),
+        retry_ms: error["retry"].as_u64().unwrap_or(0),
     })
 }
 
-async fn whole(
+async fn read_complete(
     reply: Response<Incoming>,
     options: &Options,
-    begin: Instant,
+    start: Instant,
     answer: &mut Answer,
 ) -> Result<(), Outcome> {
     let body = reply.into_body().collect().await;
     let bytes = body.map_err(|_| Outcome::Cut)?.to_bytes();
-    let wrong = Outcome::Broken(Breach::Wrong);
-    let value: Value = serde_json::from_slice(&bytes).map_err(|_| wrong.clone())?;
+    let malformed = Outcome::Invalid(Defect::Wrong);
+    let value: Value = serde_json::from_slice(&bytes).map_err(|_| malformed.clone())?;
     let choice = &value["choices"][0];
     let text = if options.chat {
         &choice["message"]["content"]
     } else {
         &choice["text"]
     };
-    let text = text.as_str().ok_or(wrong)?;
+    let text = text.as_str().ok_or(malformed)?;
     answer.tokens = text.split_inclusive(' ').map(str::to_owned).collect();
-    answer.arrivals.push(begin.elapsed());
+    answer.arrivals.push(start.elapsed());
     Ok(())
 }
 
-async fn streamed(
+async fn read_stream(
     reply: Response<Incoming>,
-    begin: Instant,
+    start: Instant,
     answer: &mut Answer,
 ) -> Result<(), Outcome> {
     let mut body = reply.into_body();
@@ -227,7 +234,7 @@
         buffer.extend_from_slice(frame.data_ref().map_or(&[][..], |b| &b[..]));
         while let Some(at) = buffer.windows(2).position(|w| w == b"\n\n") {
             let event: Vec<u8> = buffer.drain(..at + 2).collect();
-            take(&event, begin, answer)?;
+            process_event(&event, start, answer)?;
         }
     }
     if answer.closed {
@@ -237,31 +244,31 @@
     }
 }
 
-/// Takes in one event of an instance's or an engine's stream.
-fn take(event: &[u8], begin: Instant, answer: &mut Answer) -> Result<(), Outcome> {
-    let wrong = || Outcome::Broken(Breach::Wrong);
-    let text = std::str::from_utf8(event).map_err(|_| wrong())?;
+/// Processes one event of the stream of an instance or an engine.
+fn process_event(event: &[u8], start: Instant, answer: &mut Answer) -> Result<(), Outcome> {
+    let malformed = || Outcome::Invalid(Defect::Wrong);
+    let text = std::str::from_utf8(event).map_err(|_| malformed())?;
     let Some(data) = text.trim().strip_prefix("data:") else {
         return if text.starts_with(':') {
             Ok(())
         } else {
-            Err(wrong())
+            Err(malformed())
         };
     };
     if answer.closed {
-        return Err(wrong());
+        return Err(malformed());
     }
     if data.trim() == "[DONE]" {
         answer.closed = true;
         return if answer.finished {
             Ok(())
         } else {
-            Err(wrong())
+            Err(malformed())
         };
     }
-    let value: Value = serde_json::from_str(data).map_err(|_| wrong())?;
+    let value: Value = serde_json::from_str(data).map_err(|_| malformed())?;
     if value.get("error").is_some() {
-        return Err(failure(&value["error"]).unwrap_or_else(wrong));
+        return Err(parse_error(&value["error"]).unwrap_or_else(malformed));
     }
     if value["done"] == true {
         answer.closed = true;
@@ -273,7 +280,7 @@
     let token = candidates.iter().find_map(|v| v.as_str()).unwrap_or("");
     if !token.is_empty() {
         answer.tokens.push(token.to_owned());
-        answer.arrivals.push(begin.elapsed());
+        answer.arrivals.push(start.elapsed());
     }
     Ok(())
 }
--- a/examples/load/main.rs
+++ b/examples/load/main.rs
@@ -1,9 +1,9 @@
-//! A load tool: sends requests to instances in turn, verifies every answer
-//! exactly against the emulated model and, when told where the emulators are,
-//! what was really executed. Exits with 1 when a promise was violated.
+//! Load generator: sends requests to instances in turn and verifies every answer
+//! exactly against the emulated model. With `--emulators` it also verifies what
+//! the emulators executed. Exits with 1 if there are violations.
 //!
-//! With `--direct` every second request goes straight to the stages, so that
-//! the overhead of an instance is measured side by side.
+//! With `--direct`, every second request goes directly to the stages, to measure
+//! the overhead of an instance under the same conditions.
 
 mod audit;
 mod call;
@@ -23,27 +23,28 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-use audit::Promise;
-use call::{Http, Job, Try, Way};
+use audit::Guarantee;
+use call::{CallResult, Destination, HttpClient, Job};
 use options::Options;
 use outcome::Outcome;
 use tally::Tally;
 
-/// Pause before a resend that names none, and bound on one that does.
-const RESEND_PAUSE: Duration = Duration::from_millis(100);
-const RESEND_PAUSE_MAX: Duration = Duration::from_secs(2);
+/// Minimum delay before a resend, used if the answer suggests none.
+const RESEND_DELAY: Duration = Duration::from_millis(100);
+/// Maximum delay before a resend, whatever the answer suggests.
+const RESEND_DELAY_MAX: Duration = Duration::from_secs(2);
 
 struct Run {
     options: Options,
-    http: Http,
-    through: Mutex<Tally>,
+    http: HttpClient,
+    routed: Mutex<Tally>,
     direct: Mutex<Tally>,
-    promises: Mutex<Vec<Promise>>,
+    guarantees: Mutex<Vec<Guarantee>>,
 }
 
 fn main() -> ExitCode {
     let matches = options::command().get_matches();
-    let outcome = options::options(&matches).and_then(|options| {
+    let outcome = options::parse_options(&matches).and_then(|options| {
         if options.targets.is_empty() && options.direct.is_empty() {
             return Err("give --target or --direct".to_owned());
         }
@@ -66,49 +67,52 @@
     }
 }
 
-/// Sends all requests; answers the number of violations.
+/// Sends all requests. Returns the number of violations.
 async fn run(options: Options) -> u64 {
     let run = Arc::new(Run {
         http: call::client(),
-        through: Mutex::new(Tally::new()),
+        routed: Mutex::new(Tally::new()),
         direct: Mutex::new(Tally::new()),
-        promises: Mutex::default(),
+        guarantees: Mutex::default(),
         options,
     });
     let options = &run.options;
-    let mut random = ChaCha8Rng::seed_from_u64(options.seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(options.seed);
     let permits = Arc::new(Semaphore::new(options.concurrency));
     let mut tasks = JoinSet::new();
-    let begin = Instant::now();
+    let start = Instant::now();
     for index in 0..options.requests {
-        let marked = random.random_bool(options.marked);
-        let due = begin + spacing(options.rate, index);
+        let non_idempotent = rng.random_bool(options.non_idempotent);
+        let due = start + start_offset(options.rate, index);
         tokio::time::sleep_until(due.into()).await;
         let permit = permits.clone().acquire_owned().await;
-        if begin.elapsed() > options.duration {
+        if start.elapsed() > options.duration {
             break;
         }
-        let job = Job { index, marked };
+        let job = Job {
+            index,
+            non_idempotent,
+        };
         let run = run.clone();
-        let late = if options.rate > 0.0 {
+        let delay = if options.rate > 0.0 {
             due.elapsed()
         } else {
             Duration::ZERO
         };
         tasks.spawn(async move {
-            one(&run, job, late).await;
+            run_request(&run, job, delay).await;
             drop(permit);
         });
         while tasks.try_join_next().is_some() {}
     }
     while tasks.join_next().await.is_some() {}
-    let elapsed = begin.elapsed();
-    let promises = run.promises.lock().unwrap().clone();
-    let audit = audit::check(&run.http, &options.emulators, options.seed, &promises).await;
+    let elapsed = start.elapsed();
+    let guarantees = run.guarantees.lock().unwrap().clone();
+    let audit = audit::check(&run.http, &options.emulators, options.seed, &guarantees).await;
     report(&run, &audit, elapsed)
 }
 
-fn spacing(rate: f64, index: usize) -> Duration {
+fn start_offset(rate: f64, index: usize) -> Duration {
     if rate > 0.0 {
         Duration::from_secs_f64(index as f64 / rate)
     } else {
@@ -116,71 +120,74 @@
     }
 }
 
-/// One request with its resends.
-async fn one(run: &Run, job: Job, late: Duration) {
+/// Sends one request, with its resends.
+async fn run_request(run: &Run, job: Job, delay: Duration) {
     let options = &run.options;
     let direct = !options.direct.is_empty() && (job.index % 2 == 1 || options.targets.is_empty());
     if direct {
-        let way = Way::Direct(&options.direct);
-        let last = call::send(&run.http, options, job, way).await;
-        run.direct.lock().unwrap().add(&last, 1, late);
+        let destination = Destination::Direct(&options.direct);
+        let last = call::send(&run.http, options, job, destination).await;
+        run.direct.lock().unwrap().record(&last, 1, delay);
         return;
     }
-    let begin = Instant::now();
-    let mut tries = 1;
-    // Only when every try was refused as not run does the promise hold.
-    let mut refused = true;
+    let start = Instant::now();
+    let mut calls = 1;
+    // The request didn't run only if every call was refused as not run.
+    let mut not_run = true;
     let mut waited = Duration::ZERO;
     let last = loop {
-        // With direct calls between them, the indices of the others are even.
+        // With direct calls in between, only even indices go to instances.
         let turn = if options.direct.is_empty() {
             job.index
         } else {
             job.index / 2
         };
-        let target = options.targets[(turn + tries - 1) % options.targets.len()];
-        let last = call::send(&run.http, options, job, Way::Instance(target)).await;
-        refused &= matches!(&last.outcome, Outcome::Refused { ran, .. } if ran == "no");
-        let Some(pause) = again(options, &last, tries) else {
+        let target = options.targets[(turn + calls - 1) % options.targets.len()];
+        let last = call::send(&run.http, options, job, Destination::Instance(target)).await;
+        not_run &= matches!(&last.outcome, Outcome::Refused { ran, .. } if ran == "no");
+        let Some(pause) = resend_delay(options, &last, calls) else {
             break last;
         };
         tokio::time::sleep(pause).await;
-        tries += 1;
-        waited = begin.elapsed();
+        calls += 1;
+        waited = start.elapsed();
     };
-    let promise = Promise {
+    let guarantee = Guarantee {
         index: job.index,
-        marked: job.marked,
-        refused,
+        non_idempotent: job.non_idempotent,
+        not_run,
     };
-    run.promises.lock().unwrap().push(promise);
-    run.through.lock().unwrap().add(&last, tries, late + waited);
+    run.guarantees.lock().unwrap().push(guarantee);
+    run.routed
+        .lock()
+        .unwrap()
+        .record(&last, calls, delay + waited);
 }
 
-/// The pause before another try, if there is to be one.
-fn again(options: &Options, last: &Try, tries: usize) -> Option<Duration> {
-    if tries > options.resends {
+/// Delay before a resend, or `None` if the request isn't resent.
+fn resend_delay(options: &Options, last: &CallResult, calls: usize) -> Option<Duration> {
+    if calls > options.resends {
         return None;
     }
     match &last.outcome {
-        Outcome::Cut | Outcome::Unreachable | Outcome::Timeout => Some(RESEND_PAUSE),
-        Outcome::Refused { ran, pause, .. } if ran == "unknown" || options.refused => {
-            let pause = Duration::from_millis(*pause);
-            Some(pause.clamp(RESEND_PAUSE, RESEND_PAUSE_MAX))
+        Outcome::Cut | Outcome::Unreachable | Outcome::Timeout => Some(RESEND_DELAY),
+        Outcome::Refused { ran, retry_ms, .. } if ran == "unknown" || options.resend_refused => {
+            let delay = Duration::from_millis(*retry_ms);
+            Some(delay.clamp(RESEND_DELAY, RESEND_DELAY_MAX))
         }
         _ => None,
     }
 }
 
 fn report(run: &Run, audit: &audit::Audit, elapsed: Duration) -> u64 {
-    let through = run.through.lock().unwrap();
+    let routed = run.routed.lock().unwrap();
     let direct = run.direct.lock().unwrap();
     let kills = run.options.kills;
-    let violations = through.violations(kills) + direct.violations(kills) + audit.violations();
+    let violations = routed.violations(kills) + direct.violations(kills) + audit.violations();
     let mut value = json!({
         "requests": run.options.requests,
         "seed": run.options.seed,
-        "through": through.json(elapsed),
+        "through": routed.json(elapsed),
         "violations": violations,
     });
     if direct.sent > 0 {
@@ -192,12 +199,12 @@
     if run.options.json {
         println!("{value}");
     } else {
-        show("", &value);
+        print_result("", &value);
     }
     violations
 }
 
-fn show(prefix: &str, value: &Value) {
+fn print_result(prefix: &str, value: &Value) {
     let Some(map) = value.as_object() else {
         println!("{prefix}: {value}");
         return;
@@ -214,6 +221,6 @@
         } else {
             format!("{prefix}.{name}")
         };
-        show(&name, value);
+        print_result(&name, value);
     }
 }
--- a/examples/load/options.rs
+++ b/examples/load/options.rs
@@ -5,7 +5,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 
-/// One stage of a direct call.
+/// Stage of a direct call.
 #[derive(Clone, Debug)]
 pub(crate) struct Stage {
     pub(crate) upstream: String,
@@ -14,43 +14,44 @@
     pub(crate) end: u32,
 }
 
-/// What a run does.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    /// Instances, taken in turn.
+    /// Addresses of instances, used in turn.
     pub(crate) targets: Vec<SocketAddr>,
-    /// Stages to call without an instance; half of the requests go there.
+    /// Stages to call directly. If targets are given, too, every second request goes to these.
     pub(crate) direct: Vec<Stage>,
-    /// Keys of organisations, taken in turn.
+    /// Keys of organisations, used in turn.
     pub(crate) keys: Vec<String>,
     pub(crate) route: String,
-    /// The model that the route stands for, for direct calls.
+    /// Model behind the route, for direct calls.
     pub(crate) model: String,
-    /// Layers of the whole model.
-    pub(crate) total: u32,
+    /// Number of layers of the whole model.
+    pub(crate) layers: u32,
     pub(crate) requests: usize,
-    /// Requests a second; 0 sends as fast as the concurrency allows.
+    /// Requests per second; 0 sends as fast as the concurrency allows.
     pub(crate) rate: f64,
     pub(crate) concurrency: usize,
     pub(crate) tokens: usize,
     pub(crate) stream: bool,
     pub(crate) chat: bool,
-    /// Share of non-idempotent requests, 0 to 1.
-    pub(crate) marked: f64,
-    /// How often a request without a definite answer is sent again.
+    /// Fraction of non-idempotent requests, 0 to 1.
+    pub(crate) non_idempotent: f64,
+    /// Maximum number of resends of a request without a definite answer.
     pub(crate) resends: usize,
-    /// Whether refusals that weren't run are sent again, too.
-    pub(crate) refused: bool,
-    /// Whether cuts and lost connections violate no promise (instances are killed).
+    /// Whether refused requests that weren't run are resent, too.
+    pub(crate) resend_refused: bool,
+    /// Whether instances are killed during the run, so that interrupted answers and failed
+    /// connections are no violations.
     pub(crate) kills: bool,
     pub(crate) seed: u64,
-    /// Bound on one try.
+    /// Time limit of one call.
     pub(crate) timeout: Duration,
-    /// No request begins after so long.
+    /// Time after which no more requests are started.
     pub(crate) duration: Duration,
-    /// `X-Deadline-Ms`, when given.
+    /// Value of `X-Deadline-Ms`, if set.
     pub(crate) deadline: Option<u64>,
-    /// Emulators whose executions are checked at the end.
+    /// Emulators whose execution counts are checked at the end.
     pub(crate) emulators: Vec<SocketAddr>,
     pub(crate) json: bool,
 }
@@ -98,7 +99,7 @@
     ("json", "Print the result as JSON"),
 ];
 
-/// The command line.
+/// Defines the command line.
 pub(crate) fn command() -> Command {
     let base = Command::new("load").about("Loads instances and verifies every answer exactly");
     let base = FIELDS.iter().fold(base, |command, (name, default, help)| {
@@ -111,70 +112,72 @@
     })
 }
 
-/// Reads the command line; the error names the flag.
-pub(crate) fn options(matches: &ArgMatches) -> Result<Options, String> {
+/// Parses the command line. An error names the flag or the value.
+pub(crate) fn parse_options(matches: &ArgMatches) -> Result<Options, String> {
     let text =
         |name: &str| -> String { matches.get_one::<String>(name).cloned().unwrap_or_default() };
-    let millis = |name: &str| number::<u64>(matches, name).map(Duration::from_millis);
-    let resends = number(matches, "resends")?;
+    let millis = |name: &str| parse_number::<u64>(matches, name).map(Duration::from_millis);
+    let resends = parse_number(matches, "resends")?;
     Ok(Options {
-        targets: list(&text("target"), address)?,
-        direct: list(&text("direct"), stage)?,
-        keys: list(&text("key"), |k| Ok(k.to_owned()))?,
+        targets: parse_list(&text("target"), parse_address)?,
+        direct: parse_list(&text("direct"), parse_stage)?,
+        keys: parse_list(&text("key"), |k| Ok(k.to_owned()))?,
         route: text("route"),
         model: text("model"),
-        total: number(matches, "total")?,
-        requests: number(matches, "requests")?,
-        rate: number(matches, "rate")?,
-        concurrency: number(matches, "concurrency")?,
-        tokens: number(matches, "tokens")?,
+        layers: parse_number(matches, "total")?,
+        requests: parse_number(matches, "requests")?,
+        rate: parse_number(matches, "rate")?,
+        concurrency: parse_number(matches, "concurrency")?,
+        tokens: parse_number(matches, "tokens")?,
         stream: matches.get_flag("stream"),
         chat: matches.get_flag("chat"),
-        marked: number(matches, "non-idempotent")?,
+        non_idempotent: parse_number(matches, "non-idempotent")?,
         resends: if matches.get_flag("resend") {
             resends
         } else {
             0
         },
-        refused: matches.get_flag("resend-refused"),
+        resend_refused: matches.get_flag("resend-refused"),
         kills: matches.get_flag("kills"),
-        seed: number(matches, "seed")?,
+        seed: parse_number(matches, "seed")?,
         timeout: millis("timeout-ms")?,
-        duration: Duration::from_secs(number(matches, "seconds")?),
+        duration: Duration::from_secs(parse_number(matches, "seconds")?),
         deadline: match text("deadline-ms") {
             empty if empty.is_empty() => None,
-            _ => Some(number(matches, "deadline-ms")?),
+            _ => Some(parse_number(matches, "deadline-ms")?),
         },
-        emulators: list(&text("emulators"), address)?,
+        emulators: parse_list(&text("emulators"), parse_address)?,
         json: matches.get_flag("json"),
     })
 }
 
-fn number<T: std::str::FromStr>(matches: &ArgMatches, name: &str) -> Result<T, String> {
+fn parse_number<T: std::str::FromStr>(matches: &ArgMatches, name: &str) -> Result<T, String> {
     let text = matches.get_one::<String>(name).map_or("", String::as_str);
-    text.parse().map_err(|_| format!("--{name}: give a number"))
+    text.parse()
+        .map_err(|_| format!("--{name}: expected a number"))
 }
 
-fn list<T>(text: &str, parse: impl Fn(&str) -> Result<T, String>) -> Result<Vec<T>, String> {
+fn parse_list<T>(text: &str, parse: impl Fn(&str) -> Result<T, String>) -> Result<Vec<T>, String> {
     let parts = text.split(',').filter(|part| !part.is_empty());
     parts.map(parse).collect()
 }
 
-fn address(text: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{text:?}: give IP:PORT"))
+fn parse_address(text: &str) -> Result<SocketAddr, String> {
+    text.parse()
+        .map_err(|_| format!("{text:?}: expected IP:PORT"))
 }
 
-fn stage(text: &str) -> Result<Stage, String> {
-    let fault = || format!("{text:?}: give ID@ADDRESS@FIRST..END");
+fn parse_stage(text: &str) -> Result<Stage, String> {
+    let invalid = || format!("{text:?}: expected ID@ADDRESS@FIRST..END");
     let mut parts = text.split('@');
     let (Some(id), Some(at), Some(range)) = (parts.next(), parts.next(), parts.next()) else {
-        return Err(fault());
+        return Err(invalid());
     };
-    let (first, end) = range.split_once("..").ok_or_else(fault)?;
+    let (first, end) = range.split_once("..").ok_or_else(invalid)?;
     Ok(Stage {
         upstream: id.to_owned(),
-        address: address(at)?,
-        first: first.parse().map_err(|_| fault())?,
-        end: end.parse().map_err(|_| fault())?,
+        address: parse_address(at)?,
+        first: first.parse().map_err(|_| invalid())?,
+        end: end.parse().map_err(|_| invalid())?,
     })
 }
--- a/examples/load/outcome.rs
+++ b/examples/load/outcome.rs
@@ -1,44 +1,44 @@
-//! How one try ended, judged against the model.
+//! Outcome of a call, verified against the emulated model.
 
 use crate::model;
 
-/// The end of one try.
+/// Outcome of one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// Exactly the expected answer, whole.
+    /// The complete expected answer.
     Exact,
-    /// A typed refusal or failure.
+    /// A refusal or failure with an error code.
     Refused {
         code: String,
         /// `no`, `yes` or `unknown`.
         ran: String,
-        /// Milliseconds until another try makes sense.
-        pause: u64,
+        /// Suggested delay before a resend, in milliseconds; 0 if there is none.
+        retry_ms: u64,
     },
-    /// The connection ended before the closing marker.
+    /// The connection ended before the end of the answer.
     Cut,
-    /// No connection could be made: nothing was sent.
+    /// No connection could be established, so nothing was sent.
     Unreachable,
-    /// Neither an answer nor an end within the bound.
+    /// The call didn't end within its time limit.
     Timeout,
-    /// An answer that breaks a promise.
-    Broken(Breach),
+    /// An incorrect answer.
+    Invalid(Defect),
 }
 
-/// What is wrong with an answer.
+/// Kind of an incorrect answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Breach {
-    /// Another request's answer.
+pub(crate) enum Defect {
+    /// The answer contains tokens of another request's answer.
     Crossed,
-    /// All expected tokens in order, and more between or behind them.
+    /// All expected tokens in order, with additional ones between or after them.
     Doubled,
-    /// Closed as whole but shorter than asked for.
+    /// Ended as complete, but with fewer tokens than requested.
     Short,
-    /// Any other difference, also in form.
+    /// Any other difference, including a malformed answer.
     Wrong,
 }
 
-/// The prompt of request `index`.
+/// Prompt of request `index`.
 pub(crate) fn prompt(seed: u64, index: usize) -> String {
     format!(
         "measure {seed}-{index}: window {} by {}",
@@ -47,46 +47,55 @@
     )
 }
 
-/// How many requests before and after are looked through for a crossed answer.
-const NEIGHBOURS: usize = 2_000;
-/// So many equal tokens are no accident (16 bits each).
-const TELLING: usize = 2;
+/// Number of requests before and after one whose answers a differing answer is compared with.
+const SEARCH_RANGE: usize = 2_000;
+/// Consecutive tokens that attribute an answer to another request. Tokens have 16 bits, so
+/// that many are unlikely to match by chance.
+const MIN_MATCH: usize = 2;
 
-/// Compares the tokens of an answer that was closed as whole.
-pub(crate) fn judge(
+/// Verifies the tokens of an answer that ended as complete.
+pub(crate) fn verify(
     tokens: &[String],
     expected: &[String],
     seed: u64,
     index: usize,
-    total: u32,
+    layers: u32,
 ) -> Outcome {
     if tokens == expected {
         return Outcome::Exact;
     }
-    Outcome::Broken(breach(tokens, expected, seed, index, total))
+    Outcome::Invalid(classify(tokens, expected, seed, index, layers))
 }
 
-fn breach(tokens: &[String], expected: &[String], seed: u64, index: usize, total: u32) -> Breach {
+fn classify(
+    tokens: &[String],
+    expected: &[String],
+    seed: u64,
+    index: usize,
+    layers: u32,
+) -> Defect {
     if tokens.len() < expected.len() && expected.starts_with(tokens) {
-        return Breach::Short;
+        return Defect::Short;
     }
-    let mut rest = tokens.iter();
-    if expected.iter().all(|token| rest.any(|t| t == token)) {
-        return Breach::Doubled;
+    let mut remaining = tokens.iter();
+    if expected.iter().all(|token| remaining.any(|t| t == token)) {
+        return Defect::Doubled;
     }
     let equal = tokens.iter().zip(expected).take_while(|(a, b)| a == b);
-    let foreign = &tokens[equal.count()..];
-    if foreign.len() < TELLING {
-        return Breach::Wrong;
+    let differing = &tokens[equal.count()..];
+    if differing.len() < MIN_MATCH {
+        return Defect::Wrong;
     }
-    let around = index.saturating_sub(NEIGHBOURS)..index + NEIGHBOURS;
-    let crossed = around.filter(|other| *other != index).any(|other| {
-        let answer = model::generate(&prompt(seed, other), total, expected.len());
-        answer.windows(TELLING).any(|w| w == &foreign[..TELLING])
+    let candidates = index.saturating_sub(SEARCH_RANGE)..index + SEARCH_RANGE;
+    let crossed = candidates.filter(|other| *other != index).any(|other| {
+        let answer = model::generate(&prompt(seed, other), layers, expected.len());
+        answer
+            .windows(MIN_MATCH)
+            .any(|w| w == &differing[..MIN_MATCH])
     });
     if crossed {
-        Breach::Crossed
+        Defect::Crossed
     } else {
-        Breach::Wrong
+        Defect::Wrong
     }
 }
--- a/examples/load/tally.rs
+++ b/examples/load/tally.rs
@@ -1,4 +1,4 @@
-//! Counts and latencies of a run.
+//! Outcome counts and latencies of a run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-use crate::call::Try;
-use crate::outcome::{Breach, Outcome};
+use crate::call::CallResult;
+use crate::outcome::{Defect, Outcome};
 
-/// Results of one way (through instances, or direct).
+/// Results of the requests to one kind of destination.
 pub(crate) struct Tally {
     pub(crate) sent: u64,
     pub(crate) exact: u64,
@@ -21,20 +21,22 @@
     pub(crate) unreachable: u64,
     pub(crate) timeout: u64,
     pub(crate) resent: u64,
-    /// Final refusals by code and what they say of the run.
+    /// Final refusals by error code and `ran` value.
     pub(crate) refused: BTreeMap<String, u64>,
-    first: Histogram<u64>,
-    between: Histogram<u64>,
-    whole: Histogram<u64>,
+    first_token: Histogram<u64>,
+    token_gap: Histogram<u64>,
+    total: Histogram<u64>,
 }
 
-/// Highest latency that is told apart, in microseconds.
-const HIGHEST: u64 = 120_000_000;
-const DIGITS: u8 = 3;
+/// Highest latency that the histograms record, in microseconds.
+const MAX_LATENCY_US: u64 = 120_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 impl Tally {
     pub(crate) fn new() -> Self {
-        let histogram = || Histogram::new_with_bounds(1, HIGHEST, DIGITS).expect("valid bounds");
+        let histogram = || {
+            Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).expect("valid bounds")
+        };
         Self {
             sent: 0,
             exact: 0,
@@ -47,26 +49,26 @@
             timeout: 0,
             resent: 0,
             refused: BTreeMap::new(),
-            first: histogram(),
-            between: histogram(),
-            whole: histogram(),
+            first_token: histogram(),
+            token_gap: histogram(),
+            total: histogram(),
         }
     }
 
-    /// Takes in the last try of a request. `late` is how long it began behind
-    /// its time, so that a full tool doesn't hide a slow fleet.
-    pub(crate) fn add(&mut self, last: &Try, tries: usize, late: Duration) {
+    /// Records the last call of a request. `delay` is the time between the scheduled start of the
+    /// request and this call; the latencies include it, to avoid coordinated omission.
+    pub(crate) fn record(&mut self, last: &CallResult, calls: usize, delay: Duration) {
         self.sent += 1;
-        self.resent += tries as u64 - 1;
+        self.resent += calls as u64 - 1;
         let counter = match &last.outcome {
             Outcome::Exact => &mut self.exact,
             Outcome::Cut => &mut self.cut,
             Outcome::Unreachable => &mut self.unreachable,
             Outcome::Timeout => &mut self.timeout,
-            Outcome::Broken(Breach::Crossed) => &mut self.crossed,
-            Outcome::Broken(Breach::Doubled) => &mut self.doubled,
-            Outcome::Broken(Breach::Short) => &mut self.short,
-            Outcome::Broken(Breach::Wrong) => &mut self.wrong,
+            Outcome::Invalid(Defect::Crossed) => &mut self.crossed,
+            Outcome::Invalid(Defect::Doubled) => &mut self.doubled,
+            Outcome::Invalid(Defect::Short) => &mut self.short,
+            Outcome::Invalid(Defect::Wrong) => &mut self.wrong,
             Outcome::Refused { code, ran, .. } => self
                 .refused
                 .entry(format!("{code} (ran: {ran})"))
@@ -74,28 +76,28 @@
         };
         *counter += 1;
         if last.outcome == Outcome::Exact {
-            self.time(last, late);
+            self.record_latency(last, delay);
         }
     }
 
-    fn time(&mut self, last: &Try, late: Duration) {
+    fn record_latency(&mut self, last: &CallResult, delay: Duration) {
         let micros = |d: Duration| d.as_micros() as u64;
         if let Some(first) = last.arrivals.first() {
-            self.first.saturating_record(micros(*first + late));
+            self.first_token.saturating_record(micros(*first + delay));
         }
         for pair in last.arrivals.windows(2) {
-            self.between.saturating_record(micros(pair[1] - pair[0]));
+            self.token_gap.saturating_record(micros(pair[1] - pair[0]));
         }
-        self.whole.saturating_record(micros(last.whole + late));
+        self.total.saturating_record(micros(last.duration + delay));
     }
 
-    /// Answers that break a promise; with kills, a cut isn't one.
+    /// Number of violations. `kills` excludes interrupted answers and failed connections.
     pub(crate) fn violations(&self, kills: bool) -> u64 {
-        let broken = self.crossed + self.doubled + self.short + self.wrong + self.timeout;
+        let violations = self.crossed + self.doubled + self.short + self.wrong + self.timeout;
         if kills {
-            broken
+            violations
         } else {
-            broken + self.cut + self.unreachable
+            violations + self.cut + self.unreachable
         }
     }
 
@@ -117,9 +119,9 @@
             "resent": self.resent,
             "seconds": elapsed.as_secs_f64(),
             "per_second": self.exact as f64 / elapsed.as_secs_f64(),
-            "first_ms": quantiles(&self.first),
-            "between_ms": quantiles(&self.between),
-            "whole_ms": quantiles(&self.whole),
+            "first_ms": quantiles(&self.first_token),
+            "between_ms": quantiles(&self.token_gap),
+            "whole_ms": quantiles(&self.total),
         })
     }
 }
