--- a/examples/commit.rs
+++ b/examples/commit.rs
@@ -1,10 +1,9 @@
-//! Measures the replicated log with real files and syncs: commit latency,
-//! changes a second, time to a new leader, restart after 1,000 changes, cost
-//! at rest.
+//! Measures the replicated log with real files and syncs: commit latency, changes
+//! per second, time to a new leader, restart after 1,000 changes and cost when idle.
 //!
-//! `cargo run --release --example commit -- FOLDER` with a folder on the disk
-//! to measure. All voters run in this process and share that disk; messages
-//! pass between threads.
+//! `cargo run --release --example commit -- FOLDER`, where `FOLDER` is on the disk
+//! to measure. All voters run in this process and share that disk; they exchange
+//! messages between threads.
 
 use std::io::Write;
 use std::path::Path;
@@ -22,116 +21,121 @@
 use prost::Message as _;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Bytes of one change, about those of a catalogue entry.
+/// Size of a change in bytes, similar to a catalogue entry.
 const CHANGE_BYTES: usize = 500;
-/// Time of each throughput measurement.
-const SPAN: Duration = Duration::from_secs(5);
+/// Duration of each throughput measurement.
+const MEASUREMENT: Duration = Duration::from_secs(5);
 const ELECTION: Duration = Duration::from_millis(300);
 const HEARTBEAT: Duration = Duration::from_millis(50);
 
-/// Keeps the last change of each of 1,000 names.
+/// State machine that keeps the last change of each of 1,000 keys.
 #[derive(Default)]
-struct Table(std::collections::BTreeMap<u64, Vec<u8>>);
+struct TableMachine(std::collections::BTreeMap<u64, Vec<u8>>);
 
-impl StateMachine for Table {
+impl StateMachine for TableMachine {
     fn apply(&mut self, index: u64, command: &[u8]) -> Vec<u8> {
         self.0.insert(index % 1000, command.to_vec());
         Vec::new()
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        let lines = self.0.iter();
-        lines
+        let entries = self.0.iter();
+        entries
             .flat_map(|(k, v)| k.to_le_bytes().into_iter().chain(v.iter().copied()))
             .collect()
     }
 
     fn restore(&mut self, snapshot: &[u8]) {
-        for line in snapshot.chunks(8 + CHANGE_BYTES) {
-            let key = u64::from_le_bytes(line[..8].try_into().expect("eight bytes"));
-            self.0.insert(key, line[8..].to_vec());
+        for entry in snapshot.chunks(8 + CHANGE_BYTES) {
+            let key = u64::from_le_bytes(entry[..8].try_into().expect("eight bytes"));
+            self.0.insert(key, entry[8..].to_vec());
         }
     }
 }
 
 type Handle = JoinHandle<Result<(), StoreError>>;
-type Routes = Arc<RwLock<Vec<Option<Voter>>>>;
+type VoterTable = Arc<RwLock<Vec<Option<Voter>>>>;
 
 struct Cluster {
-    routes: Routes,
+    voters: VoterTable,
     handles: Vec<Option<Handle>>,
-    /// Voters whose messages are dropped both ways.
-    cut: Vec<Arc<AtomicBool>>,
-    /// Messages sent and their encoded bytes.
+    /// For each voter, whether messages from and to it are dropped.
+    isolated: Vec<Arc<AtomicBool>>,
+    /// Number of messages sent and their encoded size in bytes.
     sent: Arc<(AtomicU64, AtomicU64)>,
 }
 
 impl Cluster {
     fn start(folder: &Path, size: usize) -> Self {
         let mut cluster = Self {
-            routes: Arc::new(RwLock::new(vec![None; size])),
+            voters: Arc::new(RwLock::new(vec![None; size])),
             handles: (0..size).map(|_| None).collect(),
-            cut: (0..size).map(|_| Arc::default()).collect(),
+            isolated: (0..size).map(|_| Arc::default()).collect(),
             sent: Arc::default(),
         };
-        for at in 0..size {
-            cluster.boot(folder, at);
+        for index in 0..size {
+            cluster.start_voter(folder, index);
         }
-        cluster.leader();
+        cluster.wait_for_leader();
         cluster
     }
 
-    fn boot(&mut self, folder: &Path, at: usize) {
+    fn start_voter(&mut self, folder: &Path, index: usize) {
         let settings = VoterSettings {
-            instance: InstanceId(at as u64 + 1),
-            data_dir: folder.join(at.to_string()),
-            initial_voters: (1..=self.cut.len() as u64).map(InstanceId).collect(),
+            instance: InstanceId(index as u64 + 1),
+            data_dir: folder.join(index.to_string()),
+            initial_voters: (1..=self.isolated.len() as u64).map(InstanceId).collect(),
             election_timeout: ELECTION,
             heartbeat_interval: HEARTBEAT,
             contacts: Vec::new(),
             retained_entries: 256,
             snapshot_interval: 1000,
-            seed: at as u64,
+            seed: index as u64,
         };
-        let (routes, cut, sent) = (self.routes.clone(), self.cut.clone(), self.sent.clone());
+        let (voters, isolated, sent) = (
+            self.voters.clone(),
+            self.isolated.clone(),
+            self.sent.clone(),
+        );
         let peers = Box::new(move |to: InstanceId, message: Message| {
             let to = usize::try_from(to.0 - 1).expect("few voters");
             sent.0.fetch_add(1, Ordering::Relaxed);
             sent.1
                 .fetch_add(message.encoded_len() as u64, Ordering::Relaxed);
-            if cut[at].load(Ordering::Relaxed) || cut[to].load(Ordering::Relaxed) {
+            if isolated[index].load(Ordering::Relaxed) || isolated[to].load(Ordering::Relaxed) {
                 return;
             }
-            if let Some(voter) = &routes.read().expect("no panic")[to] {
+            if let Some(voter) = &voters.read().expect("no panic")[to] {
                 voter.deliver(message);
             }
         });
-        let machines: Vec<Box<dyn StateMachine>> = vec![Box::new(Table::default())];
+        let machines: Vec<Box<dyn StateMachine>> = vec![Box::new(TableMachine::default())];
         let spawned = Voter::spawn(settings, machines, peers, Arc::new(SystemClock));
         let (voter, handle) = spawned.expect("the folder is usable");
-        self.routes.write().expect("no panic")[at] = Some(voter);
-        self.handles[at] = Some(handle);
+        self.voters.write().expect("no panic")[index] = Some(voter);
+        self.handles[index] = Some(handle);
     }
 
-    fn voter(&self, at: usize) -> Voter {
-        let routes = self.routes.read().expect("no panic");
-        routes[at].clone().expect("the voter runs")
+    fn voter(&self, index: usize) -> Voter {
+        let voters = self.voters.read().expect("no panic");
+        voters[index].clone().expect("the voter runs")
     }
 
-    fn stop(&mut self, at: usize) {
-        self.voter(at).stop();
-        let handle = self.handles[at].take().expect("the voter runs");
+    fn stop_voter(&mut self, index: usize) {
+        self.voter(index).stop();
+        let handle = self.handles[index].take().expect("the voter runs");
         handle.join().expect("no panic").expect("the store works");
-        self.routes.write().expect("no panic")[at] = None;
+        self.voters.write().expect("no panic")[index] = None;
     }
 
-    /// The voter that accepts a change, waiting for one.
-    fn leader(&self) -> usize {
+    /// Waits until a voter accepts a change and returns its index.
+    fn wait_for_leader(&self) -> usize {
         loop {
-            for at in 0..self.handles.len() {
-                let up = self.handles[at].is_some() && !self.cut[at].load(Ordering::Relaxed);
-                if up && commit(&self.voter(at)) {
-                    return at;
+            for index in 0..self.handles.len() {
+                let available =
+                    self.handles[index].is_some() && !self.isolated[index].load(Ordering::Relaxed);
+                if available && commit(&self.voter(index)) {
+                    return index;
                 }
             }
             thread::sleep(Duration::from_millis(1));
@@ -141,15 +145,15 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        for at in 0..self.handles.len() {
-            if self.handles[at].is_some() {
-                self.stop(at);
+        for index in 0..self.handles.len() {
+            if self.handles[index].is_some() {
+                self.stop_voter(index);
             }
         }
     }
 }
 
-/// Commits one change. Returns whether the voter led.
+/// Commits one change. Returns whether that succeeded, which only the leader can do.
 fn commit(voter: &Voter) -> bool {
     let (done, outcome) = channel::bounded(1);
     let change = Bytes::from(vec![7; CHANGE_BYTES]);
@@ -167,27 +171,27 @@
     outcome.recv().unwrap_or(false)
 }
 
-/// Durations in microseconds, up to a minute.
+/// Creates a histogram of durations in microseconds, up to a minute.
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds")
 }
 
-/// Latency and rate of `operation` with some clients that wait for each one.
-fn load(name: &str, clients: usize, operation: impl Fn() -> bool + Sync) {
+/// Prints latency and rate of `operation` with `clients` that each run one at a time.
+fn measure_load(name: &str, clients: usize, operation: impl Fn() -> bool + Sync) {
     let failed = AtomicU64::new(0);
     let begin = Instant::now();
     let mut total = histogram();
     thread::scope(|scope| {
         let client = || {
-            let mut own = histogram();
-            while begin.elapsed() < SPAN {
+            let mut local = histogram();
+            while begin.elapsed() < MEASUREMENT {
                 let start = Instant::now();
                 if !operation() {
                     failed.fetch_add(1, Ordering::Relaxed);
                 }
-                own.saturating_record(start.elapsed().as_micros() as u64);
+                local.saturating_record(start.elapsed().as_micros() as u64);
             }
-            own
+            local
         };
         let threads: Vec<_> = (0..clients).map(|_| scope.spawn(client)).collect();
         for thread in threads {
@@ -205,8 +209,8 @@
     );
 }
 
-/// Median and maximum of some durations in milliseconds.
-fn report(name: &str, mut times: Vec<Duration>) {
+/// Prints the median and maximum of durations in milliseconds.
+fn print_times(name: &str, mut times: Vec<Duration>) {
     times.sort_unstable();
     let ms = |d: Duration| d.as_secs_f64() * 1000.0;
     let (median, worst) = (times[times.len() / 2], times[times.len() - 1]);
@@ -218,7 +222,7 @@
     );
 }
 
-/// Time of one bare write and sync, the floor of a commit.
+/// Prints the latency of a plain write and sync, the lower bound of a commit.
 fn measure_sync(folder: &Path) {
     std::fs::create_dir_all(folder).expect("the folder is usable");
     let mut file = std::fs::File::create(folder.join("sync")).expect("the folder is usable");
@@ -238,7 +242,7 @@
     );
 }
 
-/// Cost of voters that do nothing.
+/// Prints the cost of idle voters.
 fn measure_rest(folder: &Path, size: usize) {
     let cluster = Cluster::start(folder, size);
     thread::sleep(ELECTION);
@@ -248,14 +252,14 @@
             cluster.sent.1.load(Ordering::Relaxed),
         )
     };
-    let used = || {
+    let cpu_time = || {
         let time = clock_gettime(ClockId::ProcessCPUTime);
         time.tv_sec as f64 + time.tv_nsec as f64 / 1e9
     };
-    let (before, cpu) = (sent(), used());
-    thread::sleep(SPAN);
-    let (after, cpu) = (sent(), used() - cpu);
-    let each = 1.0 / SPAN.as_secs_f64() / size as f64;
+    let (before, cpu) = (sent(), cpu_time());
+    thread::sleep(MEASUREMENT);
+    let (after, cpu) = (sent(), cpu_time() - cpu);
+    let each = 1.0 / MEASUREMENT.as_secs_f64() / size as f64;
     println!(
         "{size} voters at rest, one group, a voter and second: {:.0} messages, {:.0} bytes, {:.2} ms of processor",
         (after.0 - before.0) as f64 * each,
@@ -267,62 +271,62 @@
 fn measure(folder: &Path, size: usize) {
     println!("{size} voters");
     let mut cluster = Cluster::start(folder, size);
-    let leader = cluster.voter(cluster.leader());
+    let leader = cluster.voter(cluster.wait_for_leader());
     for clients in [1, 16, 128] {
-        load("commit", clients, || commit(&leader));
+        measure_load("commit", clients, || commit(&leader));
     }
-    load("read on the leader", 16, || read(&leader));
-    let follower = cluster.voter((cluster.leader() + 1) % size);
-    load("read on a follower", 16, || read(&follower));
-    let lost = (0..10).map(|_| {
-        let old = cluster.leader();
-        cluster.cut[old].store(true, Ordering::Relaxed);
+    measure_load("read on the leader", 16, || read(&leader));
+    let follower = cluster.voter((cluster.wait_for_leader() + 1) % size);
+    measure_load("read on a follower", 16, || read(&follower));
+    let failover = (0..10).map(|_| {
+        let old = cluster.wait_for_leader();
+        cluster.isolated[old].store(true, Ordering::Relaxed);
         let begin = Instant::now();
-        cluster.leader();
+        cluster.wait_for_leader();
         let time = begin.elapsed();
-        cluster.cut[old].store(false, Ordering::Relaxed);
+        cluster.isolated[old].store(false, Ordering::Relaxed);
         thread::sleep(3 * ELECTION);
         time
     });
-    report(
+    print_times(
         "change accepted again after the leader was cut off",
-        lost.collect(),
+        failover.collect(),
     );
-    let handed = (0..10).map(|_| {
-        let old = cluster.leader();
+    let handover = (0..10).map(|_| {
+        let old = cluster.wait_for_leader();
         let begin = Instant::now();
-        cluster.stop(old);
-        cluster.leader();
+        cluster.stop_voter(old);
+        cluster.wait_for_leader();
         let time = begin.elapsed();
-        cluster.boot(folder, old);
+        cluster.start_voter(folder, old);
         thread::sleep(3 * ELECTION);
         time
     });
-    report(
+    print_times(
         "change accepted again after the leader was stopped",
-        handed.collect(),
+        handover.collect(),
     );
 }
 
 fn measure_restart(folder: &Path) {
     let mut cluster = Cluster::start(folder, 3);
-    let leader = cluster.voter(cluster.leader());
+    let leader = cluster.voter(cluster.wait_for_leader());
     let committed = (0..1000).filter(|_| commit(&leader)).count();
-    let (mut opened, mut ready) = (Vec::new(), Vec::new());
+    let (mut started, mut readable) = (Vec::new(), Vec::new());
     for _ in 0..10 {
-        let at = (cluster.leader() + 1) % 3;
-        cluster.stop(at);
+        let index = (cluster.wait_for_leader() + 1) % 3;
+        cluster.stop_voter(index);
         let begin = Instant::now();
-        cluster.boot(folder, at);
-        opened.push(begin.elapsed());
-        while !read(&cluster.voter(at)) {
+        cluster.start_voter(folder, index);
+        started.push(begin.elapsed());
+        while !read(&cluster.voter(index)) {
             thread::sleep(Duration::from_millis(1));
         }
-        ready.push(begin.elapsed());
+        readable.push(begin.elapsed());
     }
     println!("one of 3 voters restarts after {committed} changes");
-    report("files read and written anew", opened);
-    report("first read confirmed", ready);
+    print_times("files read and written anew", started);
+    print_times("first read confirmed", readable);
 }
 
 fn main() {
--- a/examples/trial.rs
+++ b/examples/trial.rs
@@ -1,6 +1,6 @@
-//! Trials of the HTTP libraries on streamed answers: when do pieces arrive,
-//! does a server notice that its caller left, how does a client notice that an
-//! upstream went silent. Prints one line a trial; docs/TRIALS.md keeps them.
+//! Trials of HTTP libraries with streamed answers: when chunks arrive, whether a
+//! server notices that its client disconnected, and how a client notices that an
+//! upstream stopped sending. Prints one line per trial; docs/TRIALS.md records them.
 
 use std::convert::Infallible;
 use std::io::{self, Read, Write};
@@ -20,40 +20,40 @@
 use hyper_util::rt::TokioIo;
 use tokio::sync::mpsc;
 
-const PIECES: usize = 5;
-const PIECE: &[u8] = b"data: x\n\n";
-const PAUSE: Duration = Duration::from_millis(200);
+const CHUNKS: usize = 5;
+const CHUNK: &[u8] = b"data: x\n\n";
+const CHUNK_INTERVAL: Duration = Duration::from_millis(200);
 const CONNECTIONS: usize = 1_600;
-const CALLERS: usize = 32;
-/// After so long a trial counts as not ended.
+const CLIENT_THREADS: usize = 32;
+/// Time after which a trial counts as not completed.
 const LIMIT: Duration = Duration::from_secs(3);
 
-/// Yields `count` pieces of `size` bytes, one each [`PAUSE`].
+/// Reader that yields `remaining` chunks of `size` bytes, one per [`CHUNK_INTERVAL`].
 struct SlowReader {
-    left: usize,
+    remaining: usize,
     size: usize,
-    /// Pieces that were asked for.
-    asked: Arc<AtomicUsize>,
+    /// Number of chunks read so far.
+    reads: Arc<AtomicUsize>,
 }
 
 impl Read for SlowReader {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        if self.left == 0 {
+        if self.remaining == 0 {
             return Ok(0);
         }
-        thread::sleep(PAUSE);
-        self.left -= 1;
-        self.asked.fetch_add(1, Ordering::SeqCst);
+        thread::sleep(CHUNK_INTERVAL);
+        self.remaining -= 1;
+        self.reads.fetch_add(1, Ordering::SeqCst);
         let size = self.size.min(buffer.len());
         buffer[..size].fill(b'x');
         Ok(size)
     }
 }
 
-/// A body fed through a channel.
-struct Pieces(mpsc::Receiver<Bytes>);
+/// Response body that is fed through a channel.
+struct ChannelBody(mpsc::Receiver<Bytes>);
 
-impl Body for Pieces {
+impl Body for ChannelBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -61,24 +61,24 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        let piece = self.0.poll_recv(context);
-        piece.map(|next| next.map(|bytes| Ok(Frame::data(bytes))))
+        let chunk = self.0.poll_recv(context);
+        chunk.map(|next| next.map(|bytes| Ok(Frame::data(bytes))))
     }
 }
 
 fn main() {
-    let asked = Arc::new(AtomicUsize::new(0));
-    let small = serve_astra(PIECES, PIECE.len(), None, asked.clone());
-    show("astra, 5 pieces of 9 bytes", &arrivals(small));
-    let large = serve_astra(PIECES, 16 * 1024, Some(8 * 1024), Arc::default());
-    show("astra, 5 reads of 16 KiB, buffer 8 KiB", &arrivals(large));
-    astra_leave();
-    astra_return();
-    let whole = serve_astra_whole();
+    let reads = Arc::new(AtomicUsize::new(0));
+    let chunked = serve_astra(CHUNKS, CHUNK.len(), None, reads.clone());
+    print_arrivals("astra, 5 pieces of 9 bytes", &arrivals(chunked));
+    let large = serve_astra(CHUNKS, 16 * 1024, Some(8 * 1024), Arc::default());
+    print_arrivals("astra, 5 reads of 16 KiB, buffer 8 KiB", &arrivals(large));
+    astra_disconnect();
+    astra_serve_return();
+    let short = serve_astra_short();
     println!(
         "astra, {} connections: {} without an answer",
         CONNECTIONS,
-        stranded(whole)
+        count_unanswered(short)
     );
 
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -88,22 +88,22 @@
         .expect("start the runtime");
     let _guard = runtime.enter();
     let sent = Arc::new(AtomicUsize::new(0));
-    let left = Arc::new(AtomicUsize::new(0));
-    let server = serve_hyper(&runtime, sent, left.clone(), PIECES);
-    show("hyper server, plain client", &arrivals(server));
-    show("hyper server, ureq client", &arrivals_ureq(server));
-    show(
+    let disconnects = Arc::new(AtomicUsize::new(0));
+    let server = serve_hyper(&runtime, sent, disconnects.clone(), CHUNKS);
+    print_arrivals("hyper server, plain client", &arrivals(server));
+    print_arrivals("hyper server, ureq client", &arrivals_ureq(server));
+    print_arrivals(
         "hyper server, hyper client",
         &runtime.block_on(arrivals_hyper(server)),
     );
-    let whole = serve_hyper(&runtime, Arc::default(), left.clone(), 0);
+    let short = serve_hyper(&runtime, Arc::default(), disconnects.clone(), 0);
     println!(
         "hyper, {} connections: {} without an answer",
         CONNECTIONS,
-        stranded(whole)
+        count_unanswered(short)
     );
-    let endless = serve_hyper(&runtime, Arc::default(), left.clone(), usize::MAX);
-    hyper_leave(endless, &left);
+    let endless = serve_hyper(&runtime, Arc::default(), disconnects.clone(), usize::MAX);
+    hyper_disconnect(endless, &disconnects);
     let silent = serve_silent();
     ureq_silent(silent);
     ureq_shutdown(silent);
@@ -111,7 +111,7 @@
     runtime.shutdown_background();
 }
 
-fn show(name: &str, arrivals: &[(Duration, usize)]) {
+fn print_arrivals(name: &str, arrivals: &[(Duration, usize)]) {
     let text: Vec<_> = arrivals
         .iter()
         .map(|(at, size)| format!("{size} B at {} ms", at.as_millis()))
@@ -123,7 +123,7 @@
     count: usize,
     size: usize,
     buffer: Option<usize>,
-    asked: Arc<AtomicUsize>,
+    reads: Arc<AtomicUsize>,
 ) -> SocketAddr {
     let server = astra::Server::bind("127.0.0.1:0");
     let server = match buffer {
@@ -133,11 +133,11 @@
     let address = server.local_addr().expect("read the bound address");
     thread::spawn(move || {
         server.serve(move |_: astra::Request, _: astra::ConnectionInfo| {
-            let asked = asked.clone();
+            let reads = reads.clone();
             let reader = SlowReader {
-                left: count,
+                remaining: count,
                 size,
-                asked,
+                reads,
             };
             astra::Response::new(astra::Body::wrap_reader(reader))
         })
@@ -145,7 +145,7 @@
     address
 }
 
-fn serve_astra_whole() -> SocketAddr {
+fn serve_astra_short() -> SocketAddr {
     let server = astra::Server::bind("127.0.0.1:0");
     let address = server.local_addr().expect("read the bound address");
     thread::spawn(move || {
@@ -156,7 +156,7 @@
     address
 }
 
-fn ask(address: SocketAddr) -> TcpStream {
+fn send_request(address: SocketAddr) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("connect");
     stream.set_read_timeout(Some(LIMIT)).expect("set a timeout");
     stream
@@ -165,14 +165,14 @@
     stream
 }
 
-/// Reads an answer with a plain socket: head included in the first arrival.
+/// Reads an answer from a plain socket; the first arrival includes the response head.
 fn arrivals(address: SocketAddr) -> Vec<(Duration, usize)> {
     let begin = Instant::now();
-    let stream = ask(address);
-    collect(stream, begin)
+    let stream = send_request(address);
+    read_arrivals(stream, begin)
 }
 
-fn collect(mut source: impl Read, begin: Instant) -> Vec<(Duration, usize)> {
+fn read_arrivals(mut source: impl Read, begin: Instant) -> Vec<(Duration, usize)> {
     let mut buffer = vec![0; 64 * 1024];
     let mut arrivals = Vec::new();
     while let Ok(size) = source.read(&mut buffer) {
@@ -187,7 +187,7 @@
 fn arrivals_ureq(address: SocketAddr) -> Vec<(Duration, usize)> {
     let begin = Instant::now();
     let reply = ureq::get(format!("http://{address}/")).call();
-    collect(reply.expect("call").into_body().into_reader(), begin)
+    read_arrivals(reply.expect("call").into_body().into_reader(), begin)
 }
 
 async fn connect(address: SocketAddr) -> Response<Incoming> {
@@ -218,28 +218,30 @@
     arrivals
 }
 
-fn astra_leave() {
-    let asked = Arc::new(AtomicUsize::new(0));
-    let address = serve_astra(10, PIECE.len(), None, asked.clone());
-    let stream = ask(address);
-    thread::sleep(PAUSE * 3 / 2);
-    let before = asked.load(Ordering::SeqCst);
+fn astra_disconnect() {
+    let reads = Arc::new(AtomicUsize::new(0));
+    let address = serve_astra(10, CHUNK.len(), None, reads.clone());
+    let stream = send_request(address);
+    thread::sleep(CHUNK_INTERVAL * 3 / 2);
+    let before = reads.load(Ordering::SeqCst);
     drop(stream);
     thread::sleep(LIMIT);
-    let count = asked.load(Ordering::SeqCst);
+    let count = reads.load(Ordering::SeqCst);
     println!("astra, caller leaves behind {before} of 10 pieces: {count} were made");
 }
 
-/// Connections with one request each; counts those that get no answer in time.
-fn stranded(address: SocketAddr) -> usize {
-    let callers: Vec<_> = (0..CALLERS)
+/// Opens connections with one request each and counts those without an answer within [`LIMIT`].
+fn count_unanswered(address: SocketAddr) -> usize {
+    let callers: Vec<_> = (0..CLIENT_THREADS)
         .map(|_| {
             thread::spawn(move || {
                 let answered = || {
-                    let mut stream = ask(address);
+                    let mut stream = send_request(address);
                     matches!(stream.read(&mut [0; 1024]), Ok(size) if size > 0)
                 };
-                (0..CONNECTIONS / CALLERS).filter(|_| !answered()).count()
+                (0..CONNECTIONS / CLIENT_THREADS)
+                    .filter(|_| !answered())
+                    .count()
             })
         })
         .collect();
@@ -249,7 +251,7 @@
         .sum()
 }
 
-fn astra_return() {
+fn astra_serve_return() {
     let server = astra::Server::bind("127.0.0.1:0");
     let address = server.local_addr().expect("read the bound address");
     let thread = thread::spawn(move || {
@@ -265,7 +267,7 @@
 fn serve_hyper(
     runtime: &tokio::runtime::Runtime,
     sent: Arc<AtomicUsize>,
-    left: Arc<AtomicUsize>,
+    disconnects: Arc<AtomicUsize>,
     count: usize,
 ) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
@@ -274,11 +276,11 @@
     let listener = tokio::net::TcpListener::from_std(listener).expect("register the listener");
     runtime.spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (sent, left) = (sent.clone(), left.clone());
+            let (sent, disconnects) = (sent.clone(), disconnects.clone());
             let service = service_fn(move |_: Request<Incoming>| {
-                let (out, pieces) = mpsc::channel(4);
-                tokio::spawn(feed(out, count, sent.clone(), left.clone()));
-                std::future::ready(Ok::<_, Infallible>(Response::new(Pieces(pieces))))
+                let (out, chunks) = mpsc::channel(4);
+                tokio::spawn(send_chunks(out, count, sent.clone(), disconnects.clone()));
+                std::future::ready(Ok::<_, Infallible>(Response::new(ChannelBody(chunks))))
             });
             tokio::spawn(
                 hyper::server::conn::http1::Builder::new()
@@ -289,46 +291,46 @@
     address
 }
 
-async fn feed(
+async fn send_chunks(
     out: mpsc::Sender<Bytes>,
     count: usize,
     sent: Arc<AtomicUsize>,
-    left: Arc<AtomicUsize>,
+    disconnects: Arc<AtomicUsize>,
 ) {
     for _ in 0..count {
         tokio::select! {
-            () = tokio::time::sleep(PAUSE) => {}
+            () = tokio::time::sleep(CHUNK_INTERVAL) => {}
             () = out.closed() => {
-                left.fetch_add(1, Ordering::SeqCst);
+                disconnects.fetch_add(1, Ordering::SeqCst);
                 return;
             }
         }
-        if out.send(Bytes::from_static(PIECE)).await.is_err() {
+        if out.send(Bytes::from_static(CHUNK)).await.is_err() {
             return;
         }
         sent.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-/// The caller leaves between two pieces; how long until the server knows?
-fn hyper_leave(address: SocketAddr, left: &AtomicUsize) {
-    let before = left.load(Ordering::SeqCst);
-    let mut stream = ask(address);
+/// Measures how soon the server notices a client that disconnects between two chunks.
+fn hyper_disconnect(address: SocketAddr, disconnects: &AtomicUsize) {
+    let before = disconnects.load(Ordering::SeqCst);
+    let mut stream = send_request(address);
     let _ = stream.read(&mut [0; 1024]);
-    thread::sleep(PAUSE / 4);
+    thread::sleep(CHUNK_INTERVAL / 4);
     drop(stream);
     let begin = Instant::now();
-    while left.load(Ordering::SeqCst) == before && begin.elapsed() < LIMIT {
+    while disconnects.load(Ordering::SeqCst) == before && begin.elapsed() < LIMIT {
         thread::sleep(Duration::from_micros(100));
     }
-    let noticed = left.load(Ordering::SeqCst) > before;
+    let noticed = disconnects.load(Ordering::SeqCst) > before;
     println!(
         "hyper server, caller leaves between pieces: noticed {noticed} after {:.1} ms",
         begin.elapsed().as_secs_f64() * 1e3
     );
 }
 
-/// Sends two pieces and then nothing, with the connection open.
+/// Sends two chunks and then nothing, but keeps the connection open.
 fn serve_silent() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = listener.local_addr().expect("read the bound address");
@@ -349,10 +351,10 @@
 }
 
 fn ureq_silent(address: SocketAddr) {
-    type Set = fn(
+    type Configure = fn(
         ureq::config::ConfigBuilder<ureq::typestate::AgentScope>,
     ) -> ureq::config::ConfigBuilder<ureq::typestate::AgentScope>;
-    let cases: [(&str, Set); 3] = [
+    let cases: [(&str, Configure); 3] = [
         ("timeout_per_read 500 ms", |c| {
             c.timeout_per_read(Some(Duration::from_millis(500)))
         }),
@@ -363,8 +365,8 @@
             c.timeout_global(Some(Duration::from_secs(1)))
         }),
     ];
-    for (name, set) in cases {
-        let agent = ureq::Agent::new_with_config(set(ureq::Agent::config_builder()).build());
+    for (name, configure) in cases {
+        let agent = ureq::Agent::new_with_config(configure(ureq::Agent::config_builder()).build());
         let begin = Instant::now();
         let reply = agent
             .get(format!("http://{address}/"))
@@ -384,7 +386,7 @@
     }
 }
 
-/// A read that blocks in one thread is given up from another.
+/// Shuts the agent down while another thread blocks in a read.
 fn ureq_shutdown(address: SocketAddr) {
     let agent = ureq::Agent::new_with_defaults();
     let other = agent.clone();
@@ -398,7 +400,7 @@
         let outcome = reader.read_to_end(&mut text);
         (text.len(), outcome.map_err(|e| e.to_string()))
     });
-    thread::sleep(PAUSE);
+    thread::sleep(CHUNK_INTERVAL);
     let begin = Instant::now();
     other.shutdown();
     let (size, outcome) = reader.join().expect("join the reader");
