--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Cost of single decisions at the size of the fleet: 600 engines of four
-//! models, 2,900 organisations, 360 instances.
+//! Cost of single decisions at full fleet size: 600 engines with four models, 2,900
+//! organisations and 360 instances.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -115,8 +115,8 @@
     });
 }
 
-/// One request on each of an instance's 100 routes.
-fn touch(holder: &mut Holder, names: &[String], i: usize, now: Time) {
+/// Asks for admission of one request on each of an instance's 100 routes.
+fn admit_on_routes(holder: &mut Holder, names: &[String], i: usize, now: Time) {
     for route in 0..100 {
         let name = &names[(i * 7 + route * 29) % names.len()];
         let _ = holder.admit(now, name, 10);
@@ -140,9 +140,9 @@
         .map(|i| Holder::new(InstanceId(i), Incarnation(1)))
         .collect();
     for (i, holder) in holders.iter_mut().enumerate() {
-        touch(holder, &names, i, now);
-        let ask = holder.share_request(now);
-        let grant = allocator.allocate(now, &ask).expect("an answer");
+        admit_on_routes(holder, &names, i, now);
+        let request = holder.share_request(now);
+        let grant = allocator.allocate(now, &request).expect("an answer");
         assert!(holder.grant(now, &grant));
     }
     let mut turn = 0;
@@ -154,9 +154,9 @@
                 turn = (turn + 1) % holders.len();
                 now = now + REQUEST_PERIOD / 360;
                 let holder = &mut holders[turn];
-                touch(holder, &names, turn, now);
-                let ask = holder.share_request(now);
-                let grant = allocator.allocate(now, &ask).expect("an answer");
+                admit_on_routes(holder, &names, turn, now);
+                let request = holder.share_request(now);
+                let grant = allocator.allocate(now, &request).expect("an answer");
                 black_box(holder.grant(now, &grant));
             });
         },
--- a/examples/bench/fleet.rs
+++ b/examples/bench/fleet.rs
@@ -1,8 +1,8 @@
-//! A fluid queueing model of engines, driven through the router's interface.
+//! Fluid queueing model of engines, driven through the router's interface.
 //!
-//! An engine is a queue of token steps served at the lower of its rate and its
-//! link's; a sequence advances by one token in the sum of its stages' times.
-//! It stands in for engines only; nothing of the router is modelled.
+//! An engine is a queue of token steps, served at the lower of its own rate and the
+//! rate of its link. A sequence takes the sum of the times of its stages for a token.
+//! Only engines are modelled; routing decisions are those of the real router.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,35 +11,35 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Step of the model, in seconds.
+/// Time step of the model, in seconds.
 const STEP: f64 = 0.01;
-/// Fixed time of a token step at an engine, in seconds.
-const BASE: f64 = 0.005;
-/// Bits of one token on a link, as the router assumes.
+/// Fixed part of the time of a token step on an engine, in seconds.
+const TOKEN_OVERHEAD: f64 = 0.005;
+/// Bits per token on a link; the router assumes the same.
 const TOKEN_BITS: f64 = 131_072.0;
-/// Cost of a prompt token by that of a generated one.
-const PREFILL: f64 = 0.1;
-/// Mean prompt and answer, in tokens.
-const PROMPT: f64 = 300.0;
-const ANSWER: f64 = 100.0;
-/// Steps between two views of an instance.
-const VIEW_STEPS: usize = 20;
-/// Time after which a waiting request is given up, in seconds.
-const PATIENCE: f64 = 20.0;
-/// Ranges that engines hold, in turn, of 64 layers.
+/// Cost of a prompt token relative to that of a generated one.
+const PREFILL_COST: f64 = 0.1;
+/// Mean lengths of prompts and answers, in tokens.
+const MEAN_PROMPT: f64 = 300.0;
+const MEAN_ANSWER: f64 = 100.0;
+/// Interval between updates of an instance's view, in steps.
+const VIEW_INTERVAL: usize = 20;
+/// Time after which a request without a first token is dropped from the queue, in seconds.
+const QUEUE_TIMEOUT: f64 = 20.0;
+/// Layer ranges, of 64 layers, that the engines hold in turn.
 const RANGES: [(u32, u32); 5] = [(0, 16), (16, 32), (32, 48), (48, 64), (24, 48)];
 
-/// Engines and links of a run.
+/// Mix of engines and links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mix {
-    /// Five kinds of engines from 200 to 3200 tokens a second, links of 100 to
+    /// Five kinds of engines with 200 to 3200 tokens per second, links of 100 to
     /// 10,000 Mbit/s.
     Mixed,
-    /// One kind of engine and link.
+    /// A single kind of engine and link.
     Equal,
-    /// Five kinds, and links of 10 to 1,000 Mbit/s that are the bottleneck.
+    /// Five kinds of engines, with links of 10 to 1,000 Mbit/s as the bottleneck.
     SlowLinks,
-    /// Five kinds, and a fifth of the engines hold the whole model.
+    /// Five kinds of engines, of which a fifth hold the whole model.
     SomeWhole,
 }
 
@@ -62,50 +62,50 @@
     }
 }
 
-/// What breaks at a third of the run.
+/// Fault that occurs after a third of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     None,
-    /// The fastest engine of a range dies.
+    /// The fastest engine of a range fails.
     Engine,
-    /// The link of that engine falls to a hundredth.
+    /// The link of that engine drops to a hundredth of its rate.
     Link,
-    /// One of three failure domains dies.
+    /// One of three failure domains fails.
     Domain,
 }
 
-/// One run.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Setup {
     pub(crate) engines: usize,
     pub(crate) mix: Mix,
     pub(crate) instances: usize,
-    /// Age of load reports in seconds.
-    pub(crate) lag: f64,
-    /// Offered work by the maximum flow.
+    /// Age of load reports, in seconds.
+    pub(crate) report_age: f64,
+    /// Offered work as a fraction of the maximum flow.
     pub(crate) load: f64,
     pub(crate) fault: Fault,
     pub(crate) seconds: f64,
     pub(crate) seed: u64,
 }
 
-/// What a run gave.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Figures {
-    /// Work that arrived by the maximum flow, after warm-up.
+pub(crate) struct Stats {
+    /// Work that arrived after warm-up, as a fraction of the maximum flow.
     pub(crate) offered: f64,
-    /// Work done by the maximum flow, after warm-up.
-    pub(crate) share: f64,
-    /// Work done in the 10 s after the fault by the work offered.
+    /// Work done after warm-up, as a fraction of the maximum flow.
+    pub(crate) throughput: f64,
+    /// Work done in the 10 s after the fault, as a fraction of the offered work.
     pub(crate) after: f64,
-    /// Seconds from the fault until a whole second's work reached 0.9 of the
-    /// work offered.
+    /// Time from the fault to the start of the first window of one second in which the work
+    /// done is at least 0.9 of the offered work, in seconds.
     pub(crate) recovery: f64,
-    /// Time to the first token: median, 95th and 99th percentile, in seconds.
+    /// Time to first token: median, 95th and 99th percentile, in seconds.
     pub(crate) first: [f64; 3],
     /// Time between tokens: median and 95th percentile, in seconds.
     pub(crate) between: [f64; 2],
-    /// Share of the work done a second time after failures.
+    /// Work to process prompts again after failures, as a fraction of all work.
     pub(crate) wasted: f64,
     pub(crate) failed: usize,
     pub given_up: usize,
@@ -115,10 +115,10 @@
     stage: Stage,
     rate: f64,
     link: f64,
-    /// Token steps waiting.
+    /// Number of waiting token steps.
     queue: f64,
     inflow: f64,
-    held: u32,
+    used_slots: u32,
     waiting: VecDeque<usize>,
     alive: bool,
 }
@@ -129,7 +129,7 @@
     }
 
     fn token_time(&self) -> f64 {
-        BASE + self.queue / self.rate() + 1.0 / self.link
+        TOKEN_OVERHEAD + self.queue / self.rate() + 1.0 / self.link
     }
 }
 
@@ -137,7 +137,7 @@
     arrived: f64,
     prompt: f64,
     answer: f64,
-    /// Tokens generated, those of earlier attempts included.
+    /// Number of tokens generated, including those of earlier attempts.
     done: f64,
     first: Option<f64>,
     exclude: Vec<UpstreamId>,
@@ -148,12 +148,13 @@
     instance: usize,
     path: Vec<usize>,
     ticket: Option<Ticket>,
-    /// Slots held, in the order of the path.
+    /// Number of slots held, in the order of the path.
     slots: usize,
-    /// When the prompt is read, once all slots are held.
-    ready: f64,
-    began: f64,
-    from: f64,
+    /// Time at which prompt processing ends; infinite until all slots are held.
+    prefill_end: f64,
+    token_start: f64,
+    /// Number of tokens generated by earlier attempts.
+    initial_tokens: f64,
 }
 
 struct Instance {
@@ -167,21 +168,21 @@
     engines: Vec<Engine>,
     instances: Vec<Instance>,
     sequences: Vec<Option<Sequence>>,
-    free: Vec<usize>,
-    /// Reported loads of the past, oldest first.
+    free_indices: Vec<usize>,
+    /// Past load reports (running, waiting) of all engines, oldest first.
     reports: VecDeque<Vec<(u32, u32)>>,
     now: f64,
-    bound: f64,
-    /// Work done in each step.
+    max_flow: f64,
+    /// Work done in each time step.
     work: Vec<f64>,
     offered: f64,
     wasted: f64,
     firsts: Vec<f64>,
     betweens: Vec<f64>,
-    figures: Figures,
+    stats: Stats,
 }
 
-fn at(seconds: f64) -> Time {
+fn to_time(seconds: f64) -> Time {
     Time((seconds * 1e6) as u64 + 1_000_000)
 }
 
@@ -215,7 +216,7 @@
         stage,
         queue: 0.0,
         inflow: 0.0,
-        held: 0,
+        used_slots: 0,
         waiting: VecDeque::new(),
         alive: true,
     }
@@ -226,8 +227,8 @@
         let mut rng = ChaCha8Rng::seed_from_u64(setup.seed);
         let engines: Vec<Engine> = (0..setup.engines).map(|i| engine(setup.mix, i)).collect();
         let view: Vec<Stage> = engines.iter().map(|e| e.stage.clone()).collect();
-        let mut exact = Router::new(0);
-        exact.set_view(at(0.0), &view);
+        let mut reference = Router::new(0);
+        reference.set_view(to_time(0.0), &view);
         let instances = (0..setup.instances).map(|_| {
             let mut router = Router::with_policy(rng.random(), policy());
             router.set_instances(setup.instances as u32);
@@ -238,12 +239,12 @@
         });
         Self {
             instances: instances.collect(),
-            bound: exact.bound(at(0.0), "model", &pools()),
+            max_flow: reference.bound(to_time(0.0), "model", &pools()),
             setup,
             rng,
             engines,
             sequences: Vec::new(),
-            free: Vec::new(),
+            free_indices: Vec::new(),
             reports: VecDeque::new(),
             now: 0.0,
             work: Vec::new(),
@@ -251,82 +252,82 @@
             wasted: 0.0,
             firsts: Vec::new(),
             betweens: Vec::new(),
-            figures: Figures::default(),
+            stats: Stats::default(),
         }
     }
 
-    pub(crate) fn run(mut self) -> Figures {
+    pub(crate) fn run(mut self) -> Stats {
         let steps = (self.setup.seconds / STEP) as usize;
         for step in 0..steps {
             self.now = step as f64 * STEP;
             if step == steps / 3 {
-                self.break_down();
+                self.inject_fault();
             }
-            self.report(step);
-            self.arrive();
+            self.update_views(step);
+            self.generate_arrivals();
             for i in 0..self.instances.len() {
                 self.dispatch(i);
             }
-            self.serve();
+            self.advance_tokens();
         }
         self.evaluate(steps)
     }
 
-    fn break_down(&mut self) {
+    fn inject_fault(&mut self) {
         let victim = 4 * RANGES.len();
         match self.setup.fault {
             Fault::None => {}
-            Fault::Engine => self.kill(victim),
+            Fault::Engine => self.fail_engine(victim),
             Fault::Link => self.engines[victim].link /= 100.0,
             Fault::Domain => {
                 let domain = self.engines[0].stage.domain.clone();
                 for i in 0..self.engines.len() {
                     if self.engines[i].stage.domain == domain {
-                        self.kill(i);
+                        self.fail_engine(i);
                     }
                 }
             }
         }
     }
 
-    /// Ends every sequence on an engine.
-    fn kill(&mut self, engine: usize) {
+    /// Fails an engine and every attempt that runs or waits on it.
+    fn fail_engine(&mut self, engine: usize) {
         self.engines[engine].alive = false;
         for i in 0..self.sequences.len() {
             let hit = self.sequences[i].as_ref();
             let stage = hit.and_then(|s| s.path.iter().position(|&e| e == engine));
             if let Some(stage) = stage {
-                self.fail(i, stage);
+                self.fail_attempt(i, stage);
             }
         }
     }
 
-    /// Ends an attempt at a stage and queues the request again.
-    fn fail(&mut self, i: usize, stage: usize) {
-        let Some(mut sequence) = self.take(i) else {
+    /// Fails an attempt at a stage and puts its request back at the front of the queue.
+    fn fail_attempt(&mut self, i: usize, stage: usize) {
+        let Some(mut sequence) = self.remove_sequence(i) else {
             return;
         };
         let engine = sequence.path[stage];
         let id = self.engines[engine].stage.id.clone();
         sequence.request.exclude.push(id);
-        self.figures.failed += 1;
+        self.stats.failed += 1;
         let instance = &mut self.instances[sequence.instance];
         if let Some(ticket) = sequence.ticket.take() {
             instance
                 .router
-                .finish(at(self.now), ticket, Outcome::Failed { stage });
+                .finish(to_time(self.now), ticket, Outcome::Failed { stage });
         }
         instance.queue.push_front(sequence.request);
     }
 
-    /// Takes a sequence off its engines.
-    fn take(&mut self, i: usize) -> Option<Sequence> {
+    /// Removes a sequence and releases its slots.
+    fn remove_sequence(&mut self, i: usize) -> Option<Sequence> {
         let sequence = self.sequences[i].take()?;
-        self.free.push(i);
+        self.free_indices.push(i);
         for (n, &e) in sequence.path.iter().enumerate() {
             if n < sequence.slots {
-                self.engines[e].held -= 1;
-                self.admit(e);
+                self.engines[e].used_slots -= 1;
+                self.grant_slot(e);
             } else {
                 self.engines[e].waiting.retain(|&w| w != i);
             }
@@ -334,20 +335,20 @@
         Some(sequence)
     }
 
-    /// Gives a free slot to the first one that waits.
-    fn admit(&mut self, e: usize) {
+    /// Grants a free slot to the first waiting sequence.
+    fn grant_slot(&mut self, e: usize) {
         let engine = &mut self.engines[e];
-        if engine.held >= engine.stage.slots {
+        if engine.used_slots >= engine.stage.slots {
             return;
         }
         if let Some(next) = engine.waiting.pop_front() {
-            engine.held += 1;
-            self.advance(next);
+            engine.used_slots += 1;
+            self.on_slot_granted(next);
         }
     }
 
-    /// A sequence got the slot of its next stage.
-    fn advance(&mut self, i: usize) {
+    /// Queues a sequence for the slot of its next stage, or starts it once it holds all slots.
+    fn on_slot_granted(&mut self, i: usize) {
         let Some(sequence) = self.sequences[i].as_mut() else {
             return;
         };
@@ -355,19 +356,19 @@
         if sequence.slots < sequence.path.len() {
             let e = sequence.path[sequence.slots];
             self.engines[e].waiting.push_back(i);
-            self.admit(e);
+            self.grant_slot(e);
             return;
         }
         let resumed = sequence.request.done;
-        let work = (sequence.request.prompt + resumed) * PREFILL;
-        let mut ready = self.now;
+        let work = (sequence.request.prompt + resumed) * PREFILL_COST;
+        let mut prefill_end = self.now;
         for &e in &sequence.path {
             let engine = &mut self.engines[e];
             engine.queue += work;
-            ready += engine.token_time();
+            prefill_end += engine.token_time();
         }
-        sequence.ready = ready;
-        sequence.began = ready;
+        sequence.prefill_end = prefill_end;
+        sequence.token_start = prefill_end;
         if sequence.request.exclude.is_empty() {
             if let Some(work_now) = self.work.last_mut() {
                 *work_now += work;
@@ -377,19 +378,21 @@
         }
     }
 
-    fn report(&mut self, step: usize) {
+    fn update_views(&mut self, step: usize) {
         let loads = self.engines.iter();
-        let loads = loads.map(|e| (e.held, e.waiting.len() as u32)).collect();
+        let loads = loads
+            .map(|e| (e.used_slots, e.waiting.len() as u32))
+            .collect();
         self.reports.push_back(loads);
-        let kept = (self.setup.lag / STEP) as usize;
+        let kept = (self.setup.report_age / STEP) as usize;
         while self.reports.len() > kept + 1 {
             self.reports.pop_front();
         }
         let loads = &self.reports[0];
-        let seen = at((self.now - self.setup.lag).max(0.0));
+        let reported = to_time((self.now - self.setup.report_age).max(0.0));
         let mut view: Vec<Stage> = Vec::new();
         for (i, instance) in self.instances.iter_mut().enumerate() {
-            if step > 0 && !(step + i).is_multiple_of(VIEW_STEPS) {
+            if step > 0 && !(step + i).is_multiple_of(VIEW_INTERVAL) {
                 continue;
             }
             if view.is_empty() {
@@ -397,17 +400,17 @@
                 view.extend(stages.map(|(e, &(running, waiting))| Stage {
                     running,
                     waiting,
-                    reported: seen,
+                    reported,
                     ..e.stage.clone()
                 }));
             }
-            instance.router.set_view(at(self.now), &view);
+            instance.router.set_view(to_time(self.now), &view);
         }
     }
 
-    fn arrive(&mut self) {
-        let per_request = ANSWER + PROMPT * PREFILL;
-        let mut mean = self.setup.load * self.bound * STEP / per_request;
+    fn generate_arrivals(&mut self) {
+        let request_work = MEAN_ANSWER + MEAN_PROMPT * PREFILL_COST;
+        let mut mean = self.setup.load * self.max_flow * STEP / request_work;
         while mean > 0.0 {
             if mean < 1.0 && !self.rng.random_bool(mean) {
                 break;
@@ -416,14 +419,14 @@
             let mut exponential = || -(1.0 - self.rng.random::<f64>()).ln();
             let request = Request {
                 arrived: self.now,
-                prompt: (PROMPT * exponential()).ceil(),
-                answer: (ANSWER * exponential()).ceil().max(2.0),
+                prompt: (MEAN_PROMPT * exponential()).ceil(),
+                answer: (MEAN_ANSWER * exponential()).ceil().max(2.0),
                 done: 0.0,
                 first: None,
                 exclude: Vec::new(),
             };
             if self.now >= self.setup.seconds / 3.0 {
-                self.offered += request.answer + request.prompt * PREFILL;
+                self.offered += request.answer + request.prompt * PREFILL_COST;
             }
             let i = self.rng.random_range(0..self.instances.len());
             self.instances[i].queue.push_back(request);
@@ -433,18 +436,18 @@
     fn dispatch(&mut self, i: usize) {
         let pools = pools();
         while let Some(request) = self.instances[i].queue.pop_front() {
-            if self.now - request.arrived > PATIENCE && request.first.is_none() {
-                self.figures.given_up += 1;
+            if self.now - request.arrived > QUEUE_TIMEOUT && request.first.is_none() {
+                self.stats.given_up += 1;
                 continue;
             }
             let query = Query {
                 prompt: request.prompt as u32,
-                expected: ANSWER as u32,
+                expected: MEAN_ANSWER as u32,
                 exclude: &request.exclude,
                 ..Query::new("model", &pools)
             };
             let instance = &mut self.instances[i];
-            let Ok(choice) = instance.router.choose(at(self.now), &query) else {
+            let Ok(choice) = instance.router.choose(to_time(self.now), &query) else {
                 instance.queue.push_front(request);
                 return;
             };
@@ -454,43 +457,43 @@
 
     fn start(&mut self, instance: usize, request: Request, choice: Choice) {
         let Choice { hops, ticket, .. } = choice;
-        let number = |hop: &Hop| {
+        let engine_index = |hop: &Hop| {
             let name = &hop.upstream.0;
             name["engine-".len()..].parse().expect("a number")
         };
-        let path: Vec<usize> = hops.iter().map(number).collect();
-        let dead = path.iter().position(|&e| !self.engines[e].alive);
-        let from = request.done;
+        let path: Vec<usize> = hops.iter().map(engine_index).collect();
+        let failed_stage = path.iter().position(|&e| !self.engines[e].alive);
+        let initial_tokens = request.done;
         let sequence = Sequence {
             request,
             instance,
             ticket: Some(ticket),
             slots: 0,
-            ready: f64::INFINITY,
-            began: 0.0,
-            from,
+            prefill_end: f64::INFINITY,
+            token_start: 0.0,
+            initial_tokens,
             path,
         };
-        let i = self.free.pop().unwrap_or(self.sequences.len());
+        let i = self.free_indices.pop().unwrap_or(self.sequences.len());
         if i == self.sequences.len() {
             self.sequences.push(None);
         }
         let first = sequence.path[0];
         self.sequences[i] = Some(sequence);
-        if let Some(stage) = dead {
-            self.fail(i, stage);
+        if let Some(stage) = failed_stage {
+            self.fail_attempt(i, stage);
             return;
         }
         self.engines[first].waiting.push_back(i);
-        self.admit(first);
+        self.grant_slot(first);
     }
 
-    fn serve(&mut self) {
+    fn advance_tokens(&mut self) {
         self.work.push(0.0);
         let mut work = 0.0;
-        let mut ended = Vec::new();
+        let mut finished = Vec::new();
         for (i, slot) in self.sequences.iter_mut().enumerate() {
-            let Some(sequence) = slot.as_mut().filter(|s| s.ready <= self.now) else {
+            let Some(sequence) = slot.as_mut().filter(|s| s.prefill_end <= self.now) else {
                 continue;
             };
             let times = sequence.path.iter().map(|&e| self.engines[e].token_time());
@@ -503,7 +506,7 @@
                 self.engines[e].inflow += tokens;
             }
             if request.done >= request.answer {
-                ended.push(i);
+                finished.push(i);
             }
         }
         if let Some(last) = self.work.last_mut() {
@@ -513,21 +516,21 @@
             let inflow = std::mem::take(&mut engine.inflow);
             engine.queue = (engine.queue + inflow - engine.rate() * STEP).max(0.0);
         }
-        for i in ended {
-            self.complete(i);
+        for i in finished {
+            self.finish_sequence(i);
         }
     }
 
-    fn complete(&mut self, i: usize) {
-        let Some(mut sequence) = self.take(i) else {
+    fn finish_sequence(&mut self, i: usize) {
+        let Some(mut sequence) = self.remove_sequence(i) else {
             return;
         };
-        let tokens = (sequence.request.done - sequence.from).max(1.0);
-        let between = (self.now + STEP - sequence.began) / tokens;
+        let tokens = (sequence.request.done - sequence.initial_tokens).max(1.0);
+        let between = (self.now + STEP - sequence.token_start) / tokens;
         let router = &mut self.instances[sequence.instance].router;
         if let Some(ticket) = sequence.ticket.take() {
             let token = Duration::from_secs_f64(between);
-            router.finish(at(self.now), ticket, Outcome::Done { token });
+            router.finish(to_time(self.now), ticket, Outcome::Done { token });
         }
         if self.now < self.setup.seconds / 3.0 {
             return;
@@ -537,27 +540,27 @@
         self.betweens.push(between);
     }
 
-    fn evaluate(mut self, steps: usize) -> Figures {
+    fn evaluate(mut self, steps: usize) -> Stats {
         let third = steps / 3;
         let rate = |part: &[f64]| part.iter().sum::<f64>() / (part.len() as f64 * STEP);
         let second = (1.0 / STEP) as usize;
         let after = &self.work[third..third + 10 * second];
-        let offered = self.setup.load * self.bound;
-        let mut figures = std::mem::take(&mut self.figures);
-        figures.after = rate(after) / offered;
+        let offered = self.setup.load * self.max_flow;
+        let mut stats = std::mem::take(&mut self.stats);
+        stats.after = rate(after) / offered;
         let mut windows = self.work[third..].windows(second);
         let recovered = windows.position(|w| rate(w) >= 0.9 * offered);
-        figures.recovery = recovered.map_or(f64::INFINITY, |n| n as f64 * STEP);
-        figures.offered = self.offered / (self.setup.seconds * 2.0 / 3.0) / self.bound;
-        figures.share = rate(&self.work[third..]) / self.bound;
-        figures.wasted = self.wasted / self.work.iter().sum::<f64>();
-        figures.first = [0.5, 0.95, 0.99].map(|q| quantile(&mut self.firsts, q));
-        figures.between = [0.5, 0.95].map(|q| quantile(&mut self.betweens, q));
-        figures
+        stats.recovery = recovered.map_or(f64::INFINITY, |n| n as f64 * STEP);
+        stats.offered = self.offered / (self.setup.seconds * 2.0 / 3.0) / self.max_flow;
+        stats.throughput = rate(&self.work[third..]) / self.max_flow;
+        stats.wasted = self.wasted / self.work.iter().sum::<f64>();
+        stats.first = [0.5, 0.95, 0.99].map(|q| quantile(&mut self.firsts, q));
+        stats.between = [0.5, 0.95].map(|q| quantile(&mut self.betweens, q));
+        stats
     }
 }
 
-/// A quantile of a sample, or NaN of none.
+/// Quantile of a sample; NaN if the sample is empty.
 pub(crate) fn quantile(sample: &mut [f64], q: f64) -> f64 {
     if sample.is_empty() {
         return f64::NAN;
--- a/examples/bench/limits.rs
+++ b/examples/bench/limits.rs
@@ -1,4 +1,4 @@
-//! Ways to share a fleet-wide limit between instances.
+//! Schemes for sharing a fleet-wide rate limit between instances.
 
 use std::collections::VecDeque;
 use std::path::Path;
@@ -11,58 +11,62 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::Failure;
-use crate::output::table;
+use crate::output::write_table;
 
-/// Requests a second that the fleet may admit.
+/// Fleet-wide limit in requests per second.
 const LIMIT: u32 = 1000;
-/// Step of the model in microseconds.
+/// Time step of the model in microseconds.
 const STEP: u64 = 10_000;
-/// One-way latency in steps.
+/// One-way network latency in steps.
 const LATENCY: u64 = 1;
-/// Length of a run, and the time at which demand moves, in seconds.
+/// Duration of a run in seconds.
 const SECONDS: u64 = 60;
-const MOVE: u64 = 30;
-/// Part of the demand that meets one instance.
-const HOT: f64 = 0.6;
-/// Time between two counters of an instance, in steps.
-const GOSSIP: u64 = 100;
-/// Time that a denied request waits, in steps.
-const PATIENCE: u64 = 100;
-/// Bytes of one counter: route, instance, count.
-const COUNTER: u64 = 16;
+/// Time at which the concentrated demand moves to another instance, in seconds.
+const SHIFT_SECONDS: u64 = 30;
+/// Fraction of the demand that is concentrated on one instance.
+const HOT_SHARE: f64 = 0.6;
+/// Interval between the counters that an instance sends, in steps.
+const GOSSIP_INTERVAL: u64 = 100;
+/// Time that a denied request waits in the queue, in steps.
+const QUEUE_TIMEOUT: u64 = 100;
+/// Size of a counter (route, instance, count) in bytes.
+const COUNTER_BYTES: u64 = 16;
 
 #[derive(Clone, Copy, Debug)]
 enum Scheme {
-    /// Every instance has an equal part for ever.
+    /// Each instance has a fixed, equal share.
     Static,
-    /// Every instance tells all others its rate once a second and admits while
+    /// Each instance sends its rate to all others once per second and admits requests while
     /// the sum is below the limit.
     Gossip,
-    /// Leased shares.
+    /// The allocator leases shares of the limit to the instances.
     Leases,
 }
 
-/// Admission by one of the schemes.
+/// Fleet whose instances admit requests by one of the schemes.
 struct Fleet {
     scheme: Scheme,
     allocator: Allocator,
     holders: Vec<Holder>,
-    /// Messages to the allocator and back, by step of arrival.
-    asks: Vec<(u64, ShareRequest)>,
+    /// Messages to the allocator, with their step of arrival.
+    requests: Vec<(u64, ShareRequest)>,
+    /// Messages from the allocator, with their step of arrival.
     grants: Vec<(u64, Grant)>,
-    /// Level of the bucket of each instance, and its count this second.
-    levels: Vec<f64>,
+    /// Tokens in the bucket of each instance.
+    tokens: Vec<f64>,
+    /// Requests that each instance admitted since it sent its last counter.
     counts: Vec<u32>,
-    /// Rates of all instances as they were last told.
-    told: Vec<u32>,
+    /// Last reported rate of each instance.
+    reported: Vec<u32>,
+    /// Sum of `reported`.
     sum: u32,
     messages: u64,
     bytes: u64,
-    /// Waiting requests of each instance by step of arrival.
-    lines: Vec<VecDeque<u64>>,
+    /// Steps of arrival of the waiting requests of each instance.
+    queues: Vec<VecDeque<u64>>,
 }
 
-fn at(step: u64) -> Time {
+fn to_time(step: u64) -> Time {
     Time(step * STEP) + 3 * LEASE
 }
 
@@ -81,15 +85,15 @@
             scheme,
             allocator,
             holders: (1..=instances as u64).map(holder).collect(),
-            asks: Vec::new(),
+            requests: Vec::new(),
             grants: Vec::new(),
-            levels: vec![0.0; instances],
+            tokens: vec![0.0; instances],
             counts: vec![0; instances],
-            told: vec![0; instances],
+            reported: vec![0; instances],
             sum: 0,
             messages: 0,
             bytes: 0,
-            lines: vec![VecDeque::new(); instances],
+            queues: vec![VecDeque::new(); instances],
         }
     }
 
@@ -97,99 +101,99 @@
         let instances = self.holders.len() as u64;
         match self.scheme {
             Scheme::Static => {
-                let part = f64::from(LIMIT) / instances as f64;
-                let gain = part * STEP as f64 / 1e6;
-                let full = part.max(1.0);
-                self.levels
+                let share = f64::from(LIMIT) / instances as f64;
+                let refill = share * STEP as f64 / 1e6;
+                let capacity = share.max(1.0);
+                self.tokens
                     .iter_mut()
-                    .for_each(|l| *l = (*l + gain).min(full));
+                    .for_each(|tokens| *tokens = (*tokens + refill).min(capacity));
             }
             Scheme::Gossip => {
-                for i in (0..instances).filter(|i| (step + i).is_multiple_of(GOSSIP)) {
+                for i in (0..instances).filter(|i| (step + i).is_multiple_of(GOSSIP_INTERVAL)) {
                     let i = i as usize;
-                    self.sum = self.sum - self.told[i] + self.counts[i];
-                    self.told[i] = std::mem::take(&mut self.counts[i]);
+                    self.sum = self.sum - self.reported[i] + self.counts[i];
+                    self.reported[i] = std::mem::take(&mut self.counts[i]);
                     self.messages += instances - 1;
-                    self.bytes += COUNTER * (instances - 1);
+                    self.bytes += COUNTER_BYTES * (instances - 1);
                 }
             }
-            Scheme::Leases => self.lease(step),
+            Scheme::Leases => self.exchange_leases(step),
         }
     }
 
-    fn lease(&mut self, step: u64) {
-        let now = at(step);
+    fn exchange_leases(&mut self, step: u64) {
+        let now = to_time(step);
         for holder in &mut self.holders {
             if holder.due() <= now {
-                let ask = holder.share_request(now);
+                let request = holder.share_request(now);
                 self.messages += 1;
-                self.bytes += ask.encoded_len() as u64;
-                self.asks.push((step + LATENCY, ask));
+                self.bytes += request.encoded_len() as u64;
+                self.requests.push((step + LATENCY, request));
             }
         }
-        let (here, later) = self.asks.drain(..).partition(|(t, _)| *t <= step);
-        self.asks = later;
-        let here: Vec<(u64, ShareRequest)> = here;
-        for (_, ask) in here {
-            if let Some(grant) = self.allocator.allocate(now, &ask) {
+        let (delivered, later) = self.requests.drain(..).partition(|(t, _)| *t <= step);
+        self.requests = later;
+        let delivered: Vec<(u64, ShareRequest)> = delivered;
+        for (_, request) in delivered {
+            if let Some(grant) = self.allocator.allocate(now, &request) {
                 self.messages += 1;
                 self.bytes += grant.encoded_len() as u64;
                 self.grants.push((step + LATENCY, grant));
             }
         }
-        let (here, later) = self.grants.drain(..).partition(|(t, _)| *t <= step);
+        let (delivered, later) = self.grants.drain(..).partition(|(t, _)| *t <= step);
         self.grants = later;
-        let here: Vec<(u64, Grant)> = here;
-        for (_, grant) in here {
+        let delivered: Vec<(u64, Grant)> = delivered;
+        for (_, grant) in delivered {
             self.holders[grant.instance as usize - 1].grant(now, &grant);
         }
     }
 
-    /// Lets waiting requests in, and drops those that waited for too long.
-    fn drain(&mut self, step: u64) -> u32 {
+    /// Admits waiting requests and drops those that have waited too long.
+    fn admit_queued(&mut self, step: u64) -> u32 {
         let mut admitted = 0;
-        for i in 0..self.lines.len() {
-            while let Some(&arrived) = self.lines[i].front() {
-                let late = step - arrived > PATIENCE;
-                let enters = !late && self.admit(step, i, true);
-                if !late && !enters {
+        for i in 0..self.queues.len() {
+            while let Some(&arrived) = self.queues[i].front() {
+                let expired = step - arrived > QUEUE_TIMEOUT;
+                let granted = !expired && self.admit(step, i, true);
+                if !expired && !granted {
                     break;
                 }
-                self.lines[i].pop_front();
-                admitted += u32::from(enters);
+                self.queues[i].pop_front();
+                admitted += u32::from(granted);
             }
         }
         admitted
     }
 
-    /// Lets a new request in or makes it wait.
-    fn arrive(&mut self, step: u64, i: usize) -> u32 {
+    /// Admits a new request or queues it.
+    fn on_arrival(&mut self, step: u64, i: usize) -> u32 {
         let admitted = self.admit(step, i, false);
         if !admitted {
-            self.lines[i].push_back(step);
+            self.queues[i].push_back(step);
         }
         u32::from(admitted)
     }
 
-    fn admit(&mut self, step: u64, i: usize, again: bool) -> bool {
+    fn admit(&mut self, step: u64, i: usize, queued: bool) -> bool {
         match self.scheme {
             Scheme::Static => {
-                let admitted = self.levels[i] >= 1.0;
-                self.levels[i] -= f64::from(u8::from(admitted));
+                let admitted = self.tokens[i] >= 1.0;
+                self.tokens[i] -= f64::from(u8::from(admitted));
                 admitted
             }
             Scheme::Gossip => {
-                let admitted = self.sum - self.told[i] + self.counts[i] < LIMIT;
+                let admitted = self.sum - self.reported[i] + self.counts[i] < LIMIT;
                 self.counts[i] += u32::from(admitted);
                 admitted
             }
-            Scheme::Leases if again => self.holders[i].readmit(at(step), "route", 1).is_ok(),
-            Scheme::Leases => self.holders[i].admit(at(step), "route", 1).is_ok(),
+            Scheme::Leases if queued => self.holders[i].readmit(to_time(step), "route", 1).is_ok(),
+            Scheme::Leases => self.holders[i].admit(to_time(step), "route", 1).is_ok(),
         }
     }
 }
 
-/// Admitted and arrived requests by step.
+/// Simulates a run. Returns the admitted and arrived requests per step.
 fn simulate(fleet: &mut Fleet, demand: f64, seed: u64) -> Vec<(u32, u32)> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let instances = fleet.holders.len();
@@ -198,23 +202,27 @@
     let mut counts = Vec::new();
     for step in 0..steps {
         fleet.step(step);
-        let hot = usize::from(step * STEP >= MOVE * 1_000_000);
+        let hot_instance = usize::from(step * STEP >= SHIFT_SECONDS * 1_000_000);
         let mut arrived = 0;
-        let mut admitted = fleet.drain(step);
-        let mut left = mean;
-        while left >= 1.0 || (left > 0.0 && rng.random_bool(left)) {
-            left -= 1.0;
-            let any = rng.random_range(0..instances);
-            let i = if rng.random_bool(HOT) { hot } else { any };
+        let mut admitted = fleet.admit_queued(step);
+        let mut remaining = mean;
+        while remaining >= 1.0 || (remaining > 0.0 && rng.random_bool(remaining)) {
+            remaining -= 1.0;
+            let random = rng.random_range(0..instances);
+            let i = if rng.random_bool(HOT_SHARE) {
+                hot_instance
+            } else {
+                random
+            };
             arrived += 1;
-            admitted += fleet.arrive(step, i);
+            admitted += fleet.on_arrival(step, i);
         }
         counts.push((admitted, arrived));
     }
     counts
 }
 
-/// Rate over each window of one second.
+/// Admitted requests in each window of one second.
 fn windows(counts: &[(u32, u32)]) -> Vec<u32> {
     let second = (1_000_000 / STEP) as usize;
     let sums = counts.windows(second);
@@ -232,7 +240,7 @@
             }
         }
     }
-    let head = [
+    let header = [
         "instances",
         "demand by limit",
         "scheme",
@@ -243,37 +251,39 @@
         "messages a second and instance",
         "bytes a second and instance",
     ];
-    table(out, "limits", &head, &rows)
+    write_table(out, "limits", &header, &rows)
 }
 
 fn row(fleet: &Fleet, counts: &[(u32, u32)], demand: f64) -> Vec<String> {
     let second = (1_000_000 / STEP) as usize;
-    let moved = MOVE as usize * second;
+    let shift = SHIFT_SECONDS as usize * second;
     let rates = windows(counts);
     let limit = f64::from(LIMIT);
     let possible = limit * demand.min(1.0);
-    let most = rates.iter().max().copied().unwrap_or(0);
-    let settled = rates[10 * second..].iter().min().copied().unwrap_or(0);
+    let peak = rates.iter().max().copied().unwrap_or(0);
+    let minimum = rates[10 * second..].iter().min().copied().unwrap_or(0);
     let sum: u32 = counts[10 * second..].iter().map(|c| c.0).sum();
-    let secs = (counts.len() - 10 * second) as f64 / second as f64;
-    let end = &rates[rates.len() - 15 * second..];
-    let steady = f64::from(end.iter().sum::<u32>()) / end.len() as f64;
-    let near = &rates[moved..moved + 15 * second];
-    let back = near.iter().rposition(|&r| f64::from(r) < 0.9 * steady);
+    let duration = (counts.len() - 10 * second) as f64 / second as f64;
+    let tail = &rates[rates.len() - 15 * second..];
+    let steady = f64::from(tail.iter().sum::<u32>()) / tail.len() as f64;
+    let after_shift = &rates[shift..shift + 15 * second];
+    let last_below = after_shift
+        .iter()
+        .rposition(|&r| f64::from(r) < 0.9 * steady);
     let instances = fleet.holders.len() as f64;
-    let each = |n: u64| n as f64 / SECONDS as f64 / instances;
+    let per_instance = |n: u64| n as f64 / SECONDS as f64 / instances;
     vec![
         fleet.holders.len().to_string(),
         format!("{demand}"),
         format!("{:?}", fleet.scheme),
-        format!("{:.3}", f64::from(most) / limit),
-        format!("{:.3}", f64::from(settled) / possible),
-        format!("{:.3}", f64::from(sum) / secs / possible),
+        format!("{:.3}", f64::from(peak) / limit),
+        format!("{:.3}", f64::from(minimum) / possible),
+        format!("{:.3}", f64::from(sum) / duration / possible),
         format!(
             "{:.2}",
-            back.map_or(0.0, |n| (n + 1) as f64 / second as f64)
+            last_below.map_or(0.0, |n| (n + 1) as f64 / second as f64)
         ),
-        format!("{:.2}", each(fleet.messages)),
-        format!("{:.0}", each(fleet.bytes)),
+        format!("{:.2}", per_instance(fleet.messages)),
+        format!("{:.0}", per_instance(fleet.bytes)),
     ]
 }
--- a/examples/bench/main.rs
+++ b/examples/bench/main.rs
@@ -1,5 +1,5 @@
-//! Policy bench: runs the decisions over small models from a fixed seed and
-//! writes tables (CSV) and plots (SVG).
+//! Simulates the routing, fairness and limit policies with small models and a fixed
+//! seed, and writes tables (CSV) and plots (SVG).
 //!
 //! `cargo run --release --example bench -- --out DIR [--seed N]`
 
--- a/examples/bench/output.rs
+++ b/examples/bench/output.rs
@@ -1,4 +1,4 @@
-//! Tables and plots.
+//! Output of tables and plots.
 
 use std::path::Path;
 
@@ -7,16 +7,16 @@
 use crate::Failure;
 
 /// Writes rows as CSV and prints them as a Markdown table.
-pub(crate) fn table(
+pub(crate) fn write_table(
     out: &Path,
     name: &str,
-    head: &[&str],
+    header: &[&str],
     rows: &[Vec<String>],
 ) -> Result<(), Failure> {
     let mut writer = csv::Writer::from_path(out.join(name).with_extension("csv"))?;
-    writer.write_record(head)?;
-    println!("\n### {name}\n\n| {} |", head.join(" | "));
-    println!("|{}", " --- |".repeat(head.len()));
+    writer.write_record(header)?;
+    println!("\n### {name}\n\n| {} |", header.join(" | "));
+    println!("|{}", " --- |".repeat(header.len()));
     for row in rows {
         writer.write_record(row)?;
         println!("| {} |", row.join(" | "));
@@ -25,14 +25,14 @@
     Ok(())
 }
 
-/// One line of a plot.
+/// Named line of a plot.
 pub(crate) struct Series {
     pub(crate) name: String,
     pub(crate) points: Vec<(f64, f64)>,
 }
 
-/// Draws lines over a logarithmic or linear x axis.
-pub(crate) fn plot(
+/// Draws lines over a linear or, with `log`, logarithmic x axis.
+pub(crate) fn draw_plot(
     out: &Path,
     name: &str,
     axes: (&str, &str),
@@ -45,21 +45,21 @@
     let scale = |x: f64| if log { x.log10() } else { x };
     let points = series.iter().flat_map(|s| &s.points);
     let points: Vec<_> = points.filter(|p| p.1.is_finite()).collect();
-    let low = points
+    let min_x = points
         .iter()
         .map(|p| scale(p.0))
         .fold(f64::INFINITY, f64::min);
-    let high = points
+    let max_x = points
         .iter()
         .map(|p| scale(p.0))
         .fold(f64::NEG_INFINITY, f64::max);
-    let top = points.iter().map(|p| p.1).fold(0.0, f64::max) * 1.1;
+    let max_y = points.iter().map(|p| p.1).fold(0.0, f64::max) * 1.1;
     let mut chart = ChartBuilder::on(&root)
         .caption(name, ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(56)
-        .build_cartesian_2d(low..high.max(low + 1e-6), 0.0..top.max(1e-9))?;
+        .build_cartesian_2d(min_x..max_x.max(min_x + 1e-6), 0.0..max_y.max(1e-9))?;
     let label = |x: &f64| {
         let x = if log { 10f64.powf(*x) } else { *x };
         format!("{x:.2}")
--- a/examples/bench/routing.rs
+++ b/examples/bench/routing.rs
@@ -1,4 +1,4 @@
-//! Routing policies over the model of engines.
+//! Comparison of the routing policies on the engine model.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -6,10 +6,10 @@
 use laburnumquay::{FlowShares, GreedyCheapest, LeastInFlight, Policy, RoundRobin};
 
 use crate::Failure;
-use crate::fleet::{Fault, Figures, Fleet, Mix, Setup};
-use crate::output::{Series, plot, table};
+use crate::fleet::{Fault, Fleet, Mix, Setup, Stats};
+use crate::output::{Series, draw_plot, write_table};
 
-/// Runs at the same time. Few, since the machine has other work.
+/// Number of concurrent runs; low, to leave processors to other work on the machine.
 const THREADS: usize = 4;
 
 const POLICIES: [&str; 4] = [
@@ -30,10 +30,10 @@
 
 type Job = (&'static str, Setup);
 
-/// Runs all jobs; results in the order of the jobs.
-fn run_all(jobs: &[Job]) -> Vec<Figures> {
+/// Runs all jobs. Returns the results in the order of the jobs.
+fn run_all(jobs: &[Job]) -> Vec<Stats> {
     let next = Mutex::new(0);
-    let results = Mutex::new(vec![Figures::default(); jobs.len()]);
+    let results = Mutex::new(vec![Stats::default(); jobs.len()]);
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| {
@@ -46,8 +46,8 @@
                     let Some(&(name, setup)) = jobs.get(i) else {
                         return;
                     };
-                    let figures = Fleet::new(setup, || policy(name)).run();
-                    results.lock().expect("unpoisoned")[i] = figures;
+                    let stats = Fleet::new(setup, || policy(name)).run();
+                    results.lock().expect("unpoisoned")[i] = stats;
                 }
             });
         }
@@ -55,12 +55,12 @@
     results.into_inner().expect("unpoisoned")
 }
 
-fn setup(seed: u64) -> Setup {
+fn base_setup(seed: u64) -> Setup {
     Setup {
         engines: 75,
         mix: Mix::Mixed,
         instances: 9,
-        lag: 0.5,
+        report_age: 0.5,
         load: 0.8,
         fault: Fault::None,
         seconds: 36.0,
@@ -77,12 +77,12 @@
     format!("{:.0}", seconds * 1000.0)
 }
 
-fn row(name: &str, first: String, f: &Figures) -> Vec<String> {
+fn stats_row(name: &str, first: String, f: &Stats) -> Vec<String> {
     vec![
         name.to_owned(),
         first,
         format!("{:.3}", f.offered),
-        format!("{:.3}", f.share),
+        format!("{:.3}", f.throughput),
         ms(f.first[0]),
         ms(f.first[1]),
         ms(f.first[2]),
@@ -92,7 +92,7 @@
     ]
 }
 
-const REST: [&str; 8] = [
+const STAT_COLUMNS: [&str; 8] = [
     "offered by bound",
     "work by bound",
     "first token p50 ms",
@@ -103,35 +103,35 @@
     "given up",
 ];
 
-/// Runs all policies over some setups and writes a table.
-fn rows(
+/// Runs all policies with each setup and writes a table of the results.
+fn run_table(
     out: &Path,
     name: &str,
     axis: &str,
     setups: &[Setup],
     label: impl Fn(&Setup) -> String,
-) -> Result<Vec<Figures>, Failure> {
+) -> Result<Vec<Stats>, Failure> {
     let jobs = jobs(setups);
     let results = run_all(&jobs);
     let rows = jobs.iter().zip(&results);
     let rows: Vec<_> = rows
-        .map(|((policy, setup), f)| row(policy, label(setup), f))
+        .map(|((policy, setup), f)| stats_row(policy, label(setup), f))
         .collect();
-    let head: Vec<&str> = ["policy", axis].into_iter().chain(REST).collect();
-    table(out, name, &head, &rows)?;
+    let header: Vec<&str> = ["policy", axis].into_iter().chain(STAT_COLUMNS).collect();
+    write_table(out, name, &header, &rows)?;
     Ok(results)
 }
 
-/// As [`rows`], with plots over `x`.
-fn sweep(
+/// Does the same as [`run_table`] and plots the results over `x`.
+fn run_sweep(
     out: &Path,
     name: &str,
     axis: &str,
     setups: &[Setup],
     x: impl Fn(&Setup) -> f64,
 ) -> Result<(), Failure> {
-    let results = rows(out, name, axis, setups, |s| x(s).to_string())?;
-    let lines = |pick: &dyn Fn(&Figures) -> f64| -> Vec<Series> {
+    let results = run_table(out, name, axis, setups, |s| x(s).to_string())?;
+    let series_of = |pick: &dyn Fn(&Stats) -> f64| -> Vec<Series> {
         let parts = results.chunks(setups.len()).zip(POLICIES);
         let line = parts.map(|(part, name)| Series {
             name: name.to_owned(),
@@ -144,50 +144,50 @@
         line.collect()
     };
     let log = axis != "load";
-    plot(
+    draw_plot(
         out,
         &format!("{name}-work"),
         (axis, "work by bound"),
         log,
-        &lines(&|f| f.share),
+        &series_of(&|f| f.throughput),
     )?;
-    plot(
+    draw_plot(
         out,
         &format!("{name}-between"),
         (axis, "between tokens p95 s"),
         log,
-        &lines(&|f| f.between[1]),
+        &series_of(&|f| f.between[1]),
     )?;
-    plot(
+    draw_plot(
         out,
         &format!("{name}-first"),
         (axis, "first token p95 s"),
         log,
-        &lines(&|f| f.first[1]),
+        &series_of(&|f| f.first[1]),
     )
 }
 
 pub(crate) fn run(out: &Path, seed: u64) -> Result<(), Failure> {
-    let base = setup(seed);
+    let base = base_setup(seed);
     let loads = [0.5, 0.8, 0.95, 1.2].map(|load| Setup { load, ..base });
-    sweep(out, "load", "load", &loads, |s| s.load)?;
+    run_sweep(out, "load", "load", &loads, |s| s.load)?;
     let counts = [1, 9, 90, 360].map(|instances| Setup {
         instances,
-        lag: 1.0,
+        report_age: 1.0,
         load: 1.2,
         seconds: 120.0,
         ..base
     });
-    sweep(out, "instances", "instances", &counts, |s| {
+    run_sweep(out, "instances", "instances", &counts, |s| {
         s.instances as f64
     })?;
-    let lags = [0.1, 0.5, 1.0, 2.0, 5.0].map(|lag| Setup {
-        lag,
+    let lags = [0.1, 0.5, 1.0, 2.0, 5.0].map(|report_age| Setup {
+        report_age,
         instances: 90,
         load: 0.95,
         ..base
     });
-    sweep(out, "lag", "report lag s", &lags, |s| s.lag)?;
+    run_sweep(out, "lag", "report lag s", &lags, |s| s.report_age)?;
     let mixes = [Mix::Mixed, Mix::Equal, Mix::SlowLinks, Mix::SomeWhole];
     let mixes = mixes.map(|mix| Setup {
         mix,
@@ -195,19 +195,19 @@
         instances: 90,
         ..base
     });
-    rows(out, "mixes", "mix", &mixes, |s| format!("{:?}", s.mix))?;
+    run_table(out, "mixes", "mix", &mixes, |s| format!("{:?}", s.mix))?;
     let large = [0.8, 0.95, 1.2].map(|load| Setup {
         load,
         engines: 600,
         instances: 360,
-        lag: 1.0,
+        report_age: 1.0,
         ..base
     });
-    rows(out, "large", "load", &large, |s| s.load.to_string())?;
-    faults(out, base)
+    run_table(out, "large", "load", &large, |s| s.load.to_string())?;
+    run_faults(out, base)
 }
 
-fn faults(out: &Path, base: Setup) -> Result<(), Failure> {
+fn run_faults(out: &Path, base: Setup) -> Result<(), Failure> {
     let kinds = [Fault::None, Fault::Engine, Fault::Link, Fault::Domain];
     let setups = kinds.map(|fault| Setup {
         fault,
@@ -229,7 +229,7 @@
             f.given_up.to_string(),
         ]
     });
-    let head = [
+    let header = [
         "policy",
         "lost",
         "work in 10 s after by offered",
@@ -240,5 +240,5 @@
         "wasted work",
         "given up",
     ];
-    table(out, "faults", &head, &rows.collect::<Vec<_>>())
+    write_table(out, "faults", &header, &rows.collect::<Vec<_>>())
 }
