--- a/scripts/fairness.sh
+++ b/scripts/fairness.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Whether an organisation that bursts delays another one, with real processes:
-# three instances, two pairs of engines with few places. First the modest
-# organisation alone, then beside one that keeps 400 requests waiting. Prints
-# the modest one's time to the first token.
+# Measures with real processes whether an organisation's burst delays another
+# organisation: three instances and two pairs of engines with few slots. The
+# organisation with a low rate runs alone at first, then next to one that keeps
+# 400 requests waiting. Prints the time to first token of the low-rate one.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 if [ -z "${LAB:-}" ]; then
--- a/scripts/lab.sh
+++ b/scripts/lab.sh
@@ -1,12 +1,14 @@
 #!/usr/bin/env bash
-# A fleet on loopback for measurements and trials, in release mode.
+# Runs a command with a fleet on loopback, in release mode, for measurements and
+# trials.
 #
 #   scripts/lab.sh INSTANCES VOTERS PAIRS COMMAND...
 #
-# Starts INSTANCES instances, of which the first VOTERS vote, and PAIRS pairs
-# of emulated engines that hold half a model each, runs COMMAND, and ends all.
-# COMMAND sees LAB (a folder), TARGETS and CONTROLS (addresses by comma),
-# EMULATORS (by comma), PIDS (of the instances, by space) and BIN.
+# Starts INSTANCES instances, of which the first VOTERS are voters, and PAIRS
+# pairs of emulated engines that hold half a model each, runs COMMAND and stops
+# all processes. COMMAND's environment has LAB (a folder), TARGETS, CONTROLS and
+# EMULATORS (comma-separated addresses), PIDS (of the instances, separated by
+# spaces) and BIN (the router's binary).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 instances=$1 voters=$2 pairs=$3
@@ -24,7 +26,7 @@
 }
 trap finish EXIT
 
-base=${LAB_PORT:-20000}
+base_port=${LAB_PORT:-20000}
 printf 'fleet-secret-of-the-lab\n' >"$LAB/fleet.key"
 printf 'operator-secret-of-the-lab\n' >"$LAB/operator.key"
 printf 'key\n' >"$LAB/caller.key"
@@ -35,40 +37,40 @@
 
 LQ_VOTERS=""
 for ((i = 1; i <= voters; i++)); do
-    LQ_VOTERS+="$i=127.0.0.1:$((base + i * 3 + 1)),"
+    LQ_VOTERS+="$i=127.0.0.1:$((base_port + i * 3 + 1)),"
 done
 export LQ_VOTERS=${LQ_VOTERS%,}
 TARGETS="" CONTROLS="" PIDS="" EMULATORS=""
 for ((i = 1; i <= instances; i++)); do
-    data=()
-    [ "$i" -gt "$voters" ] || data=(--data-dir "$LAB/data-$i")
-    "$BIN" serve --instance-id "$i" --domain "${domains[i % 3]}" "${data[@]}" \
-        --caller-addr "127.0.0.1:$((base + i * 3))" --peer-addr "127.0.0.1:$((base + i * 3 + 1))" \
-        --control-addr "127.0.0.1:$((base + i * 3 + 2))" 2>"$LAB/instance-$i.log" &
+    data_args=()
+    [ "$i" -gt "$voters" ] || data_args=(--data-dir "$LAB/data-$i")
+    "$BIN" serve --instance-id "$i" --domain "${domains[i % 3]}" "${data_args[@]}" \
+        --caller-addr "127.0.0.1:$((base_port + i * 3))" --peer-addr "127.0.0.1:$((base_port + i * 3 + 1))" \
+        --control-addr "127.0.0.1:$((base_port + i * 3 + 2))" 2>"$LAB/instance-$i.log" &
     pids+=($!)
     PIDS+="$! "
-    TARGETS+="127.0.0.1:$((base + i * 3)),"
-    CONTROLS+="127.0.0.1:$((base + i * 3 + 2)),"
+    TARGETS+="127.0.0.1:$((base_port + i * 3)),"
+    CONTROLS+="127.0.0.1:$((base_port + i * 3 + 2)),"
 done
 TARGETS=${TARGETS%,} CONTROLS=${CONTROLS%,}
 for ((i = 1; i <= instances; i++)); do
     for _ in $(seq 300); do
-        curl -sf "127.0.0.1:$((base + i * 3))/readyz" >/dev/null 2>&1 && break
+        curl -sf "127.0.0.1:$((base_port + i * 3))/readyz" >/dev/null 2>&1 && break
         sleep 0.1
     done
 done
 
 limits='{ requests = 100000, tokens = 100000000, concurrent = 10000, queued = 10000 }'
 {
-    for n in "" -2; do
+    for suffix in "" -2; do
         cat <<EOF
 [[organisation]]
-name = "lab$n"
-keys = ["$("$BIN" digest "$LAB/caller$n.key")"]
+name = "lab$suffix"
+keys = ["$("$BIN" digest "$LAB/caller$suffix.key")"]
 
 [[route]]
-name = "quotations$n"
-organisation = "lab$n"
+name = "quotations$suffix"
+organisation = "lab$suffix"
 target = { model = "quote-7b" }
 class = "interactive"
 pools = ["lab"]
@@ -76,8 +78,8 @@
 limits = $limits
 
 [[route]]
-name = "orders$n"
-organisation = "lab$n"
+name = "orders$suffix"
+organisation = "lab$suffix"
 target = { service = "orders" }
 pools = ["lab"]
 limits = $limits
@@ -92,14 +94,14 @@
 } >"$LAB/catalogue.toml"
 "$BIN" catalogue apply --target "${CONTROLS%%,*}" "$LAB/catalogue.toml" >&2
 
-for ((p = 1; p <= pairs; p++)); do
-    for half in 0..16 16..32; do
-        port=$((base + 3000 + p * 2))
-        [ "$half" = 0..16 ] || port=$((port + 1))
-        "$emulator" --listen "127.0.0.1:$port" --id "engine-$p-${half%%..*}" --pool lab \
-            --domain "${domains[p % 3]}" --model quote-7b --layers "$half" --total 32 \
+for ((pair = 1; pair <= pairs; pair++)); do
+    for layers in 0..16 16..32; do
+        port=$((base_port + 3000 + pair * 2))
+        [ "$layers" = 0..16 ] || port=$((port + 1))
+        "$emulator" --listen "127.0.0.1:$port" --id "engine-$pair-${layers%%..*}" --pool lab \
+            --domain "${domains[pair % 3]}" --model quote-7b --layers "$layers" --total 32 \
             --credential pool-secret --announce "$CONTROLS" --token-ms "${TOKEN_MS:-5}" \
-            --slots "${SLOTS:-64}" --rate "${RATE:-0}" >"$LAB/engine-$p-${half%%..*}.log" 2>&1 &
+            --slots "${SLOTS:-64}" --rate "${RATE:-0}" >"$LAB/engine-$pair-${layers%%..*}.log" 2>&1 &
         pids+=($!)
         EMULATORS+="127.0.0.1:$port,"
     done
--- a/scripts/quickstart.sh
+++ b/scripts/quickstart.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Builds, starts three instances and stand-in upstreams on loopback, applies a
-# catalogue, sends one streamed request through a pipeline of two stages and
-# one to a plain service, drains all. The last line is "quickstart: ok".
+# Builds the router, starts three instances and emulated upstreams on loopback,
+# applies a catalogue, sends a streamed request through a pipeline of two stages
+# and a request to a plain service, and drains all processes. The last line of a
+# successful run is "quickstart: ok".
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -18,13 +19,13 @@
 trap finish EXIT
 
 wait_for() {
-    local what=$1
+    local condition=$1
     shift
     for _ in $(seq 200); do
         if "$@" >/dev/null 2>&1; then return 0; fi
         sleep 0.1
     done
-    echo "quickstart: $what didn't come; logs:" >&2
+    echo "quickstart: $condition didn't come; logs:" >&2
     tail -n 5 "$dir"/*.log >&2
     exit 1
 }
