--- a/src/gossip/sync.rs
+++ b/src/gossip/sync.rs
@@ -1,82 +1,83 @@
-//! Comparison of two tables in steps: a hash over all, hashes over buckets,
-//! then the keys of a few buckets that differ. Tables that are the same cost
-//! one short datagram.
+//! Anti-entropy sync of two tables in steps: a hash over all entries, hashes over
+//! buckets, then the keys of a few differing buckets. Equal tables cost one short
+//! datagram.
 
 use std::collections::BTreeMap;
 
 use crate::clock::Time;
 use crate::collections::HashMap;
-use crate::gossip::wire::{Buckets, Listing, Roots};
+use crate::gossip::wire::{BucketHashes, BucketListing, RootHashes};
 use crate::membership::Membership;
 use crate::upstream::Registry;
 
-/// Buckets of each table.
-const BUCKETS: usize = 64;
+/// Number of buckets per table.
+const BUCKET_COUNT: usize = 64;
 
-/// Most buckets that one comparison goes into. The rest waits for the next,
-/// so that a newcomer doesn't get all at once.
-const MAX_DIFFERENT: usize = 8;
+/// Maximum number of differing buckets listed per table in one sync. The rest is
+/// left to the next, so that a new instance doesn't receive everything at once.
+const MAX_LISTED_BUCKETS: usize = 8;
 
-/// Most keys listed of one bucket; they fit in a datagram.
-const MAX_LISTED: usize = 80;
+/// Maximum number of keys in the listing of a bucket; they fit in a datagram.
+const MAX_LISTED_KEYS: usize = 80;
 
-/// Hash over all entries.
-pub(crate) fn roots(now: Time, members: &Membership, registry: &Registry) -> Roots {
+/// Hashes over all entries of each table.
+pub(crate) fn root_hashes(now: Time, members: &Membership, registry: &Registry) -> RootHashes {
     let root = |hashes: &mut dyn Iterator<Item = (u64, u64)>| hashes.fold(0, |all, (_, h)| all ^ h);
-    Roots {
+    RootHashes {
         members: root(&mut members.hashes(now)),
         upstreams: root(&mut registry.hashes(now)),
     }
 }
 
-/// Hashes over the buckets of the tables whose root is another here, or
-/// `None` when both are the same.
-pub(crate) fn buckets(
+/// Bucket hashes of the tables whose root hash differs, or `None` if both are
+/// equal.
+pub(crate) fn differing_buckets(
     now: Time,
-    theirs: &Roots,
+    theirs: &RootHashes,
     members: &Membership,
     registry: &Registry,
-) -> Option<Buckets> {
-    let own = roots(now, members, registry);
-    let mut buckets = Buckets::default();
+) -> Option<BucketHashes> {
+    let own = root_hashes(now, members, registry);
+    let mut buckets = BucketHashes::default();
     if own.members != theirs.members {
-        buckets.members = fold(members.hashes(now));
+        buckets.members = bucket_hashes(members.hashes(now));
     }
     if own.upstreams != theirs.upstreams {
-        buckets.upstreams = fold(registry.hashes(now));
+        buckets.upstreams = bucket_hashes(registry.hashes(now));
     }
-    (buckets != Buckets::default()).then_some(buckets)
+    (buckets != BucketHashes::default()).then_some(buckets)
 }
 
-/// Listings of some buckets that differ, from one at `offset` on.
+/// Listings of some differing buckets, searched from bucket `offset` on.
 pub(crate) fn listings(
     now: Time,
-    theirs: &Buckets,
+    theirs: &BucketHashes,
     offset: usize,
     members: &Membership,
     registry: &Registry,
-) -> Vec<Listing> {
+) -> Vec<BucketListing> {
     let different = |own: &[u32], theirs: &[u32]| -> Vec<usize> {
-        if theirs.len() != BUCKETS {
+        if theirs.len() != BUCKET_COUNT {
             return Vec::new();
         }
-        let rotated = (0..BUCKETS).map(|i| (i + offset) % BUCKETS);
+        let rotated = (0..BUCKET_COUNT).map(|i| (i + offset) % BUCKET_COUNT);
         let found = rotated.filter(|i| own[*i] != theirs[*i]);
-        found.take(MAX_DIFFERENT).collect()
+        found.take(MAX_LISTED_BUCKETS).collect()
     };
-    let in_members = different(&fold(members.hashes(now)), &theirs.members);
-    let in_upstreams = different(&fold(registry.hashes(now)), &theirs.upstreams);
-    let of_members = in_members
+    let member_buckets = different(&bucket_hashes(members.hashes(now)), &theirs.members);
+    let upstream_buckets = different(&bucket_hashes(registry.hashes(now)), &theirs.upstreams);
+    let member_listings = member_buckets
         .into_iter()
         .map(|i| listing(false, i, members.hashes(now)));
-    let of_upstreams = in_upstreams
+    let upstream_listings = upstream_buckets
         .into_iter()
         .map(|i| listing(true, i, registry.hashes(now)));
-    of_members.chain(of_upstreams).collect()
+    member_listings.chain(upstream_listings).collect()
 }
 
-/// What differs from a listing: keys to send in full, keys to send without
-/// what seldom changes, and keys to ask for.
+/// Difference between a received listing and the local table: keys to send with
+/// full records, keys whose upstream records may omit the metadata, and keys to
+/// request.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct Difference {
     pub(crate) missing: Vec<u64>,
@@ -84,12 +85,15 @@
     pub(crate) wanted: Vec<u64>,
 }
 
-/// Compares a listing with the entries here.
-pub(crate) fn difference(theirs: &Listing, own: impl Iterator<Item = (u64, u64)>) -> Difference {
+/// Compares a received listing with the local entries.
+pub(crate) fn difference(
+    theirs: &BucketListing,
+    own: impl Iterator<Item = (u64, u64)>,
+) -> Difference {
     let bucket = theirs.bucket as usize;
     let own: BTreeMap<u64, u32> = own
         .filter(|(key, _)| bucket_of(*key) == bucket)
-        .map(|(key, hash)| (key, short(hash)))
+        .map(|(key, hash)| (key, short_hash(hash)))
         .collect();
     let listed: HashMap<u64, u32> = theirs
         .keys
@@ -105,39 +109,43 @@
             Some(_) => {}
         }
     }
-    let unlike = |key: &u64| own.get(key) != listed.get(key);
-    difference.wanted = theirs.keys.iter().copied().filter(unlike).collect();
+    let differs = |key: &u64| own.get(key) != listed.get(key);
+    difference.wanted = theirs.keys.iter().copied().filter(differs).collect();
     difference
 }
 
-fn listing(upstreams: bool, bucket: usize, hashes: impl Iterator<Item = (u64, u64)>) -> Listing {
+fn listing(
+    upstreams: bool,
+    bucket: usize,
+    hashes: impl Iterator<Item = (u64, u64)>,
+) -> BucketListing {
     let mut entries: Vec<_> = hashes
         .filter(|(key, _)| bucket_of(*key) == bucket)
         .collect();
     entries.sort_unstable();
-    entries.truncate(MAX_LISTED);
-    Listing {
+    entries.truncate(MAX_LISTED_KEYS);
+    BucketListing {
         upstreams,
         bucket: u32::try_from(bucket).unwrap_or(0),
         keys: entries.iter().map(|(key, _)| *key).collect(),
-        hashes: entries.iter().map(|(_, hash)| short(*hash)).collect(),
+        hashes: entries.iter().map(|(_, hash)| short_hash(*hash)).collect(),
     }
 }
 
-fn fold(hashes: impl Iterator<Item = (u64, u64)>) -> Vec<u32> {
-    let mut buckets = vec![0; BUCKETS];
+fn bucket_hashes(hashes: impl Iterator<Item = (u64, u64)>) -> Vec<u32> {
+    let mut buckets = vec![0; BUCKET_COUNT];
     for (key, hash) in hashes {
-        buckets[bucket_of(key)] ^= short(hash);
+        buckets[bucket_of(key)] ^= short_hash(hash);
     }
     buckets
 }
 
-/// Keys are digests or small numbers; the multiplication spreads both.
+/// Keys are digests or small integers; the multiplication distributes both evenly.
 fn bucket_of(key: u64) -> usize {
     let spread = key.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
-    usize::try_from(spread).unwrap_or(0) % BUCKETS
+    usize::try_from(spread).unwrap_or(0) % BUCKET_COUNT
 }
 
-fn short(hash: u64) -> u32 {
+fn short_hash(hash: u64) -> u32 {
     (hash >> 32) as u32
 }
--- a/src/gossip/wire.rs
+++ b/src/gossip/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams and their encoding.
+//! Encoding of datagrams.
 
 use prost::Message;
 
@@ -6,23 +6,25 @@
 use crate::membership::MemberRecord;
 use crate::upstream::{LoadReports, Renewal, UpstreamRecord};
 
-/// Longest datagram in bytes. It passes every common link in one piece.
+/// Maximum length of a datagram in bytes. It passes common links without
+/// fragmentation.
 pub(crate) const MAX_DATAGRAM: usize = 1_200;
 
-/// First byte of each datagram. It keeps a frame of another protocol under
-/// the same key from being taken for a datagram, and names the version.
+/// First byte of each packet. It identifies the protocol version, and distinguishes
+/// datagrams from frames of another protocol under the same key.
 const MAGIC: u8 = 0xb1;
 
-/// Longest packet in bytes, before the tag and the first byte.
+/// Maximum length of a packet in bytes, without the authentication tag and the
+/// first byte.
 pub(crate) const MAX_PACKET: usize = MAX_DATAGRAM - TAG_LEN - 1;
 
-/// One datagram's content.
+/// Content of a datagram.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Packet {
-    /// Sender.
+    /// Id of the sender.
     #[prost(uint64, tag = "1")]
     pub(crate) from: u64,
-    /// Whether the records answer a comparison of tables.
+    /// Whether the packet is part of an anti-entropy sync.
     #[prost(bool, tag = "2")]
     pub(crate) sync: bool,
     #[prost(oneof = "Body", tags = "3, 4, 5, 6, 7, 8, 9, 10, 11")]
@@ -35,7 +37,7 @@
     pub(crate) loads: Option<LoadReports>,
 }
 
-/// What a datagram is for. One that only carries records has no body.
+/// Message of a packet. A packet that only carries records has none.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub(crate) enum Body {
     #[prost(message, tag = "3")]
@@ -45,17 +47,17 @@
     #[prost(uint64, tag = "5")]
     Nack(u64),
     #[prost(message, tag = "6")]
-    Request(Request),
+    PingRequest(PingRequest),
     #[prost(message, tag = "7")]
     Renewal(Renewal),
     #[prost(message, tag = "8")]
-    Roots(Roots),
+    RootHashes(RootHashes),
     #[prost(message, tag = "9")]
-    Buckets(Buckets),
+    BucketHashes(BucketHashes),
     #[prost(message, tag = "10")]
-    Listing(Listing),
+    BucketListing(BucketListing),
     #[prost(message, tag = "11")]
-    Want(Want),
+    RecordRequest(RecordRequest),
 }
 
 /// A probe.
@@ -69,7 +71,7 @@
 
 /// A request to probe another instance.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Request {
+pub(crate) struct PingRequest {
     #[prost(uint64, tag = "1")]
     pub(crate) target: u64,
     #[prost(uint64, tag = "2")]
@@ -78,28 +80,28 @@
     pub(crate) address: Vec<u8>,
 }
 
-/// First step of a comparison: one hash over each table.
+/// First step of a sync: one hash over each table.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub(crate) struct Roots {
+pub(crate) struct RootHashes {
     #[prost(fixed64, tag = "1")]
     pub(crate) members: u64,
     #[prost(fixed64, tag = "2")]
     pub(crate) upstreams: u64,
 }
 
-/// Second step: a hash over each bucket of the tables that differ.
+/// Second step of a sync: hashes over the buckets of the tables that differ.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Buckets {
+pub(crate) struct BucketHashes {
     #[prost(fixed32, repeated, tag = "1")]
     pub(crate) members: Vec<u32>,
     #[prost(fixed32, repeated, tag = "2")]
     pub(crate) upstreams: Vec<u32>,
 }
 
-/// Third step: keys and hashes in one bucket that differs.
+/// Third step of a sync: keys and hashes of a bucket that differs.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Listing {
-    /// Whether it is a bucket of upstreams, not of members.
+pub(crate) struct BucketListing {
+    /// Whether the bucket is one of upstreams rather than members.
     #[prost(bool, tag = "1")]
     pub(crate) upstreams: bool,
     #[prost(uint32, tag = "2")]
@@ -110,16 +112,16 @@
     pub(crate) hashes: Vec<u32>,
 }
 
-/// A request for records.
+/// A request for full records.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct Want {
+pub(crate) struct RecordRequest {
     #[prost(uint64, repeated, tag = "1")]
     pub(crate) members: Vec<u64>,
     #[prost(fixed64, repeated, tag = "2")]
     pub(crate) upstreams: Vec<u64>,
 }
 
-/// The sealed datagram of a packet.
+/// Encodes and seals a packet.
 pub(crate) fn encode(packet: &Packet, key: &FleetKey) -> Vec<u8> {
     let mut body = Vec::with_capacity(packet.encoded_len() + 1);
     body.push(MAGIC);
@@ -129,7 +131,8 @@
     key.seal(&body)
 }
 
-/// The packet of a datagram, or `None` when it isn't of this fleet.
+/// Opens and decodes a datagram. Returns `None` if it is malformed, oversized or
+/// from another fleet.
 pub(crate) fn decode(datagram: &[u8], key: &FleetKey) -> Option<Packet> {
     if datagram.len() > MAX_DATAGRAM {
         return None;
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -1,26 +1,26 @@
-//! Records that other instances tell of.
+//! Merging of records received from other instances.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::clock::Time;
 use crate::id::InstanceId;
-use crate::membership::detector::{MAX_MEMBERS, MemberEffect, Membership, RETENTION};
-use crate::membership::member::{Member, MemberState, MemberVersion, Slot};
+use crate::membership::detector::{DEAD_RETENTION, MAX_MEMBERS, MemberEffect, Membership};
+use crate::membership::member::{Member, MemberEntry, MemberState, MemberVersion};
 use crate::membership::wire::MemberRecord;
 use crate::upstream::PastInstant;
 
-/// How a record came.
+/// How a record was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Source {
-    /// As news, to be told on.
-    Rumour,
-    /// From a comparison of tables, which reaches all by itself.
+pub(crate) enum RecordSource {
+    /// By broadcast; it is broadcast further.
+    Broadcast,
+    /// By an anti-entropy sync, which reaches all instances without broadcasts.
     Sync,
 }
 
 impl Membership {
-    /// Merges a record.
+    /// Merges a received record.
     pub(crate) fn merge(&mut self, now: Time, record: &MemberRecord, out: &mut Vec<MemberEffect>) {
         let Some(version) = record.version() else {
             return;
@@ -31,62 +31,63 @@
             return;
         }
         let since = PastInstant::aged(now, Duration::from_millis(record.age.into()));
-        match self.slots.get(&id).map(|slot| slot.version) {
-            None => self.learn(now, version, record, since, out),
+        match self.entries.get(&id).map(|entry| entry.version) {
+            None => self.insert_new(now, version, record, since, out),
             Some(known) if version > known => self.update(now, id, version, record, since, out),
             Some(_) => {}
         }
     }
 
-    /// The record of `id`, with everything if `full`.
+    /// The record of `id`, always with `info` if `full`.
     pub(crate) fn record(&self, now: Time, id: InstanceId, full: bool) -> Option<MemberRecord> {
-        let slot = self.slots.get(&id)?;
-        let final_state = !slot.present();
+        let entry = self.entries.get(&id)?;
+        let final_state = !entry.present();
         let age = if final_state {
-            slot.since.age(now)
+            entry.since.age(now)
         } else {
             Duration::ZERO
         };
         let age = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
-        let mut record = MemberRecord::new(id, slot.version, age);
-        if full || slot.version.state == MemberState::Alive {
-            record.info = Some((&*slot.member).into());
+        let mut record = MemberRecord::new(id, entry.version, age);
+        if full || entry.version.state == MemberState::Alive {
+            record.info = Some((&*entry.member).into());
         }
         Some(record)
     }
 
-    /// Answers a record about this instance that isn't its own word.
+    /// Overrides a record about this instance that it didn't publish itself, such
+    /// as a suspicion.
     ///
-    /// Guards against an instance that is alive and stays dead for the others
-    /// after a lost datagram or a partition: only a higher revision of its own
-    /// outranks the accusation everywhere. One who holds an accusation that
-    /// was refuted before gets the refutation at once.
+    /// After a lost datagram or a partition, others could keep a live instance
+    /// as dead; only a higher revision of its own outranks that record
+    /// everywhere. A sender with an outdated, already refuted record gets the
+    /// current one at once.
     fn refute(&mut self, version: MemberVersion, out: &mut Vec<MemberEffect>) {
-        let own = self.slots[&self.own].version;
+        let own = self.entries[&self.own].version;
         if version.incarnation > own.incarnation {
             self.conflicts += 1;
             return;
         }
-        let accused = version.state != MemberState::Alive;
-        if self.left() || (version <= own && !accused) {
+        let not_alive = version.state != MemberState::Alive;
+        if self.has_left() || (version <= own && !not_alive) {
             return;
         }
         if version > own {
-            if let Some(slot) = self.slots.get_mut(&self.own) {
-                slot.version.revision = version.revision;
+            if let Some(entry) = self.entries.get_mut(&self.own) {
+                entry.version.revision = version.revision;
             }
-            self.restate(MemberState::Alive, |_| (), out);
+            self.update_own(MemberState::Alive, |_| (), out);
         }
-        if accused {
-            out.push(MemberEffect::Reply(self.own));
+        if not_alive {
+            out.push(MemberEffect::SendRecord(self.own));
         }
-        if accused && version > own {
+        if not_alive && version > own {
             self.adjust_health(true);
         }
     }
 
-    /// Adds an instance that was unknown.
-    fn learn(
+    /// Adds an unknown instance.
+    fn insert_new(
         &mut self,
         now: Time,
         version: MemberVersion,
@@ -95,24 +96,25 @@
         out: &mut Vec<MemberEffect>,
     ) {
         let id = InstanceId(record.id);
-        let ended = version.state >= MemberState::Dead && since.age(now) >= RETENTION;
-        if ended || id.0 == 0 || !self.has_room(now) {
+        let ended = version.state >= MemberState::Dead && since.age(now) >= DEAD_RETENTION;
+        if ended || id.0 == 0 || !self.make_room(now) {
             return;
         }
         let Some(member) = record.member() else {
-            out.push(MemberEffect::Want(id));
+            out.push(MemberEffect::RequestRecord(id));
             return;
         };
-        self.put(now, version, member, since);
-        self.enter_round(id);
-        out.push(MemberEffect::Spread(id));
+        self.insert(now, version, member, since);
+        self.insert_into_round(id);
+        out.push(MemberEffect::Broadcast(id));
     }
 
-    /// Takes a record above the one known.
+    /// Replaces the known record by a newer one.
     ///
-    /// Guards against one side of a partition that kills the other when they
-    /// meet: word of a death makes an instance that is present here suspect
-    /// at most. If it lives, it refutes; if not, the own timer decides.
+    /// A received `Dead` only makes a present instance suspect: otherwise, when
+    /// a partition heals, each side would take over the other's verdict that
+    /// its own members are dead. A live instance refutes; a dead one is
+    /// declared dead when the local timer expires.
     fn update(
         &mut self,
         now: Time,
@@ -122,32 +124,38 @@
         since: PastInstant,
         out: &mut Vec<MemberEffect>,
     ) {
-        let slot = &self.slots[&id];
-        let (known, present) = (slot.version, slot.present());
+        let entry = &self.entries[&id];
+        let (known, present) = (entry.version, entry.present());
         if version.state == MemberState::Dead && present {
             version.state = MemberState::Suspect;
         }
         if version <= known {
             return;
         }
-        let stale = known.incarnation != version.incarnation;
+        let restarted = known.incarnation != version.incarnation;
         let member = match record.member() {
             Some(member) => member,
-            None if stale || !present => return out.push(MemberEffect::Want(id)),
-            None => Member::clone(&slot.member),
+            None if restarted || !present => return out.push(MemberEffect::RequestRecord(id)),
+            None => Member::clone(&entry.member),
         };
-        self.put(now, version, member, since);
+        self.insert(now, version, member, since);
         if !present {
-            self.enter_round(id);
+            self.insert_into_round(id);
         }
-        out.push(MemberEffect::Spread(id));
+        out.push(MemberEffect::Broadcast(id));
     }
 
-    fn put(&mut self, now: Time, version: MemberVersion, mut member: Member, since: PastInstant) {
+    fn insert(
+        &mut self,
+        now: Time,
+        version: MemberVersion,
+        mut member: Member,
+        since: PastInstant,
+    ) {
         member.state = version.state;
         let suspected = version.state == MemberState::Suspect;
-        let deadline = suspected.then(|| now + self.suspicion());
-        let slot = Slot {
+        let deadline = suspected.then(|| now + self.suspicion_timeout());
+        let entry = MemberEntry {
             version,
             since: if suspected {
                 PastInstant::now(now)
@@ -157,29 +165,29 @@
             deadline,
             member: Arc::new(member),
         };
-        self.slots.insert(slot.member.id, slot);
+        self.entries.insert(entry.member.id, entry);
         self.dirty = true;
     }
 
-    /// Puts a newcomer at a random place of the current round.
-    fn enter_round(&mut self, id: InstanceId) {
+    /// Inserts a new instance at a random position of the current probe round.
+    fn insert_into_round(&mut self, id: InstanceId) {
         use rand::RngExt;
-        let place = self.rng.random_range(0..=self.round.len());
-        self.round.insert(place, id);
+        let position = self.rng.random_range(0..=self.probe_round.len());
+        self.probe_round.insert(position, id);
     }
 
-    /// Whether another instance fits, after the one that ended first made room
-    /// if need be.
-    fn has_room(&mut self, now: Time) -> bool {
-        if self.slots.len() < MAX_MEMBERS {
+    /// Whether another instance fits. A full table evicts the instance that has
+    /// been dead or left for the longest time.
+    fn make_room(&mut self, now: Time) -> bool {
+        if self.entries.len() < MAX_MEMBERS {
             return true;
         }
-        let ended = self.slots.iter().filter(|(_, s)| !s.present());
-        let oldest = ended.max_by_key(|(id, s)| (s.since.age(now), **id));
+        let ended = self.entries.iter().filter(|(_, e)| !e.present());
+        let oldest = ended.max_by_key(|(id, e)| (e.since.age(now), **id));
         let Some(id) = oldest.map(|(id, _)| *id) else {
             return false;
         };
-        self.slots.remove(&id);
+        self.entries.remove(&id);
         true
     }
 }
