--- a/tests/common/caller.rs
+++ b/tests/common/caller.rs
@@ -81,7 +81,7 @@
 
     /// Answer of the emulated model with this number of layers.
     pub(crate) fn expected(&self, layers: u32) -> String {
-        super::model::answer(&self.prompt, layers, self.tokens).concat()
+        super::model::generate(&self.prompt, layers, self.tokens).concat()
     }
 
     fn body(&self, stream: bool) -> String {
--- a/tests/emulator.rs
+++ b/tests/emulator.rs
@@ -58,7 +58,7 @@
         .filter_map(|e| e["text"].as_str())
         .collect();
     assert!(complete);
-    assert_eq!(texts, model::answer("1-1-1", 32, 5));
+    assert_eq!(texts, model::generate("1-1-1", 32, 5));
     assert_eq!(events[5]["done"], true);
     assert_eq!(
         first.executions()["requests"]["1-1-1"]["tokens"],
@@ -80,7 +80,7 @@
 #[test]
 fn pipeline_resumed_continues_after_given_tokens() {
     let engine = EmulatorBuilder::engine("eng-1", "0..32").start();
-    let expected = model::answer("1-1-2", 32, 6);
+    let expected = model::generate("1-1-2", 32, 6);
     let mut body = pipeline_call(&[&engine], "1-1-2", 6);
     body["tokens"] = json!(expected[..4]);
     let (events, _) = read_events(engine.address, &body);
