--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -48,10 +48,10 @@
 /// Whether an upstream that refuses may just be full, given the utilisation of its memory for
 /// requests, if known.
 ///
-/// The neighbours of a dead engine refuse on its behalf as quickly as an engine that is short
-/// of memory. An engine that has room and refuses looks dead: if it were excluded for
-/// [`REFUSAL_EXCLUSION`] only, each of hundreds of instances would try it up to four times
-/// before the leader drops it, and use up their retries.
+/// An engine that has room and refuses looks dead: the neighbours of a dead engine refuse on its
+/// behalf, as quickly as an engine that is short of memory. If it were excluded for
+/// [`REFUSAL_EXCLUSION`] only, each of hundreds of instances would try it up to four times before
+/// the leader drops it, and use up their retries.
 pub(crate) fn may_be_full(utilisation: Option<f64>) -> bool {
     utilisation.is_none_or(|u| u >= FULL)
 }
@@ -101,18 +101,19 @@
 
     /// Returns the status of an upstream. `late` tells whether its heartbeats are late.
     ///
-    /// Guards against refusing requests that failing engines would answer: when engines reset
-    /// a part of their streams, all holders of a layer could be excluded at once, and an instance
-    /// refused every request for up to 8 s while two of three would have been answered. An
-    /// upstream that looks dead is not used, since a request would only time out there. But the
-    /// heartbeats of a dead one are late within [`PROOF_OF_LIFE`]; if they are still on time
-    /// then, the upstream is unresponsive to some instances only.
+    /// An excluded upstream that is alive is [`Failing`](HealthStatus::Failing) and may still be
+    /// used. When engines reset a part of their streams, all holders of a layer can be excluded at
+    /// once; without this, an instance refused every request for up to 8 s, although two of three
+    /// would have been answered.
     pub(crate) fn status(&self, now: Time, upstream: u64, late: bool) -> HealthStatus {
         let Some(record) = self.0.get(&upstream).filter(|r| now < r.excluded_until) else {
             return HealthStatus::Healthy;
         };
+        // The heartbeats of a dead upstream are late within `PROOF_OF_LIFE`. If they are still on
+        // time then, it is unresponsive to some instances only.
         let is_alive = |since| !late && now.since(since) >= PROOF_OF_LIFE;
         match record.dead_since {
+            // A dead upstream is not used at all, since a request would only time out there.
             Some(since) if !is_alive(since) => HealthStatus::Dead,
             _ => HealthStatus::Failing,
         }
@@ -177,15 +178,15 @@
         record
     }
 
-    /// Upstreams to report to the leader as suspected dead: those of [`Health::dead`], and
-    /// those that looked dead within the last [`SUSPECT_BEATS`] heartbeats of period `beat` and
-    /// did not succeed since.
+    /// Upstreams to report to the leader as suspected dead: those of [`Health::dead`], and those
+    /// that looked dead within the last [`SUSPECT_BEATS`] heartbeats of period `beat` and did not
+    /// succeed since.
     ///
-    /// The leader drops an upstream that several instances suspect after two heartbeats of
-    /// silence, 2.4 s, while an exclusion lasts for 1.5 s. When reports ended with the
-    /// exclusion, the leader waited for four heartbeats: eight instances reported an engine 0.4 s
-    /// after it had stopped, but it was dropped only after 4.7 s, with its layers missing
-    /// until then.
+    /// A report must outlast the exclusion of 1.5 s: the leader waits for two heartbeats of
+    /// silence, 2.4 s, before it drops an upstream that several instances suspect. When reports
+    /// ended with the exclusion, the leader waited for four heartbeats. Eight instances reported an
+    /// engine 0.4 s after it had stopped, but it was dropped after 4.7 s, and its layers were
+    /// missing until then.
     pub(crate) fn suspects(&self, now: Time, beat: Duration) -> Vec<u64> {
         let retention = beat.mul_f64(SUSPECT_BEATS);
         let unresponsive = |r: &Record| {
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -16,15 +16,19 @@
 /// Callers are spread unevenly over the instances, so with one part each some room stays free.
 const PARTS: f64 = 1.5;
 
-/// Fraction of an engine's memory for requests that must stay free on the path of a fresh
-/// request of usual length, in proportion to the length for others.
+/// Fraction of an engine's memory for requests that must stay free on the path of a fresh request
+/// of usual length. For other lengths, it is in proportion to the length, up to
+/// [`MAX_LENGTH_RATIO`].
 ///
-/// The headroom covers responses that grow longer than expected and the requests that other
-/// instances place meanwhile. Because it depends on the length, short requests find room before
-/// a long one takes the place of several: at three and a half times the usual load, 3,957
-/// requests were on time within 25 s, and 2,589 with a headroom of 0.08 for all. It is a
-/// fraction, not a number of requests, since eleven requests are a tenth of a fast engine's
-/// room and nearly half of a small one's.
+/// It covers responses that grow longer than expected, and the requests that other instances place
+/// meanwhile.
+///
+/// It depends on the length so that short requests find room before a long one takes the place of
+/// several. At three and a half times the usual load, 3,957 requests were on time within 25 s, and
+/// 2,589 with a headroom of 0.08 for all lengths.
+///
+/// It is a fraction, not a number of requests, because engines differ in size: eleven requests are
+/// a tenth of a fast engine's room and nearly half of a small one's.
 const HEADROOM: f64 = 0.11;
 
 /// Part of the headroom that is no longer required once a request has waited as long as it may.
@@ -114,19 +118,9 @@
     /// Whether this instance may send another request to an engine that has `room_mb` of free
     /// memory and needs `usual_mb` for a usual request.
     ///
-    /// All instances see the same room in the same report, and each would fill it alone. Each
-    /// therefore adds requests only up to its quota until the next report: of room for ten
-    /// requests and nine instances, one or two. A quota of less than one request is granted to a
-    /// random subset of the instances, the same for all engines, since a path needs ten of them:
-    /// with a draw per engine, hardly any of 87 instances would have quota on a whole path, and
-    /// requests would be refused while the engines are half free. A request that is larger than
-    /// usual uses up more of the quota, but is never too large for it.
-    ///
-    /// In a domain with many `replicas` of each layer, the draw differs by engine instead, so
-    /// that an instance has quota at several holders of each layer at any time. With one draw
-    /// for all engines, some of 300 instances had no quota for up to the 4.5 s between two
-    /// reports, and refused a quarter of their requests while the engines of their domain were
-    /// idle.
+    /// Until the next report, each instance adds requests only up to its quota, a part of the room:
+    /// for example one or two, if nine instances share room for ten. All instances see the same
+    /// room in the same report, and without quotas each would fill it alone.
     pub(crate) fn may_add(
         &self,
         engine: u64,
@@ -138,9 +132,19 @@
         let added = memory(&self.own) - memory(&self.own_at_report);
         let quota_mb = PARTS * (room_mb + added) / self.demand.sharers(contention.instances);
         let quota = quota_mb / usual_mb.max(f64::MIN_POSITIVE);
+        // With many replicas of each layer, the draw below differs by engine, so that an instance
+        // always has quota at several holders of each layer. With one draw for all engines, some of
+        // 300 instances had no quota for up to the 4.5 s between two reports, and refused a quarter
+        // of their requests while the engines of their domain were idle.
         let per_engine = quota < 1.0 && contention.replicas * quota >= MIN_OPEN_REPLICAS;
         let offset = if per_engine { unit_hash(engine) } else { 0.0 };
+        // A quota of less than one request is granted to a random subset of the instances. Usually
+        // the subset is the same for all engines, since a path needs ten of them: with a draw per
+        // engine, hardly any of 87 instances would have quota on a whole path, and requests would
+        // be refused while the engines are half free.
         let whole = (quota + (self.draw + offset).fract()).floor();
+        // Only earlier requests count, so a request that is larger than usual is never too large
+        // for the quota, but uses up more of it.
         added < whole * usual_mb
     }
 
@@ -232,11 +236,14 @@
 /// Whether a request of which an attempt may have run still obeys its instance's quota, after it
 /// has waited for the part `waited` of its maximum wait.
 ///
-/// Guards against a thundering herd after a restart of all processes: all running streams return
-/// within the same tenth of a second, and without quotas all of them would be sent to the first
-/// pipeline that becomes known, whose engines refuse most. A single resumed stream finds quota
-/// immediately or after the next report, so its caller sees no long pause. While the instance is
-/// `starting`, the herd lasts for longer than a request may wait.
+/// Guards against a thundering herd after a restart of all processes. All running streams return
+/// within the same tenth of a second; without quotas, all of them would be sent to the first
+/// pipeline that becomes known, and its engines would refuse most. While the instance is
+/// `starting`, retries always obey the quota, since the herd lasts for longer than a request may
+/// wait.
+///
+/// A single resumed stream finds quota immediately or after the next report, so its caller sees no
+/// long pause.
 pub(crate) fn retry_obeys_quota(starting: bool, waited: f64) -> bool {
     starting || waited < RETRY_QUOTA_WAIT
 }
--- a/src/decide/path.rs
+++ b/src/decide/path.rs
@@ -11,9 +11,12 @@
 use crate::roster::LayerRange;
 
 /// Cost of each millisecond for which a request occupies the link between two domains, in
-/// milliseconds. All requests share the link, so each of about a hundred running ones is delayed
-/// as well: at a utilisation of 0.7 every token that crosses waits for about 50 ms, which
-/// exceeds the allowed pause of all streams that cross. A path within one domain is preferred.
+/// milliseconds.
+///
+/// It is high, so that a path within one domain is preferred: about a hundred running requests
+/// share the link, and an occupied millisecond delays each of them. At a utilisation of 0.7, every
+/// token that crosses waits for about 50 ms, so that all streams that cross exceed their allowed
+/// pause.
 const LINK_COST: f64 = 100.0;
 
 /// Latency between two domains, in milliseconds per token.
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -26,11 +26,12 @@
 /// Number of usual requests by which a layer's room may fall short of an equal division of the
 /// engines' room among all layers.
 ///
-/// Below that, the layer gets the next copy however fast its holder is, since the layer with the
-/// least room limits how many requests run at once. Further copies go to slow layers, which
-/// keeps batches small. In a domain of thirteen engines, which has room for some 120 requests
-/// per layer and needs sixty, speed takes precedence; one of 33 engines has room for 340 and
-/// needs 250.
+/// A layer that falls shorter gets the next copy, however fast its holder is, since the layer with
+/// the least room limits how many requests run at once. If none does, the slowest layers get the
+/// next copy, which keeps batches small.
+///
+/// In a domain of thirteen engines, which has room for some 120 requests per layer and needs sixty,
+/// speed takes precedence. A domain of 33 engines has room for 340 and needs 250.
 const MAX_ROOM_DEFICIT: f64 = 60.0;
 
 /// Factor on the memory that running requests use now, since their responses still grow. An
--- a/src/decide/placement/layout.rs
+++ b/src/decide/placement/layout.rs
@@ -18,6 +18,10 @@
     /// Members that hold each layer, sorted by index.
     holders: Vec<Vec<usize>>,
     /// Number of tokens for which the holders of each layer together have memory.
+    /// Like `speeds`, it is cached and updated only where an order changes the holders. Recomputing
+    /// them for each placed engine took 0.6 s of a core for 2,925 engines; with the cache it takes
+    /// 5 ms. The delay made a controller's heartbeats so late that it was deposed before it sent
+    /// any order.
     rooms: Vec<f64>,
     /// Total speed of the holders of each layer.
     speeds: Vec<f64>,
@@ -65,11 +69,6 @@
     }
 
     /// Recomputes the room and speed of a layer.
-    ///
-    /// These sums are cached and updated only where an order changes the holders. Recomputing
-    /// them for each placed engine took 0.6 s of a core for 2,925 engines, which delayed a
-    /// controller's heartbeats so much that it was deposed before it sent any order. With the
-    /// cache it takes 5 ms.
     fn update_sums(&mut self, layer: u32) {
         let holders = &self.holders[layer as usize];
         let rooms = holders
@@ -108,9 +107,10 @@
     /// Gives an empty engine the lowest layers without a holder, or else a copy of the layers with
     /// too little room, or else of the slowest ones.
     ///
-    /// Copies by speed alone leave too little room at the fastest engines, which hold many layers
-    /// each: in a domain of 33 engines, 32 layers had one holder with room for 100 requests while
-    /// 16 had eight holders, and a third of the requests of a burst were refused.
+    /// Room comes before speed: the fastest engines hold many layers each and so have little room
+    /// for requests, but copies chosen by speed alone go to other layers. In a domain of 33
+    /// engines, 32 layers had one holder with room for 100 requests while 16 had eight holders, and
+    /// a third of the requests of a burst were refused.
     fn place(&mut self, worker: usize) {
         let most = self.max_layers(worker, self.requests);
         if most == 0 {
@@ -138,17 +138,16 @@
 
     /// Fills layers without a holder: by engines adjacent to the gap, which keep their layers and
     /// load a few more, or else by spare engines, whose layers others hold too.
-    ///
-    /// A spare engine must first finish its running requests, which takes many seconds, while
-    /// even one missing layer stops the whole domain. An adjacent engine therefore bridges the
-    /// gap meanwhile at the cost of its room, and gives the layers up again once the spare one
-    /// has loaded them.
     fn fill_gaps(&mut self) {
         while let Some(gap) = self.gap() {
             if let Some((worker, range)) = self.stretch(gap, &STRETCH_RESERVED) {
                 self.assign(worker, range);
                 continue;
             }
+            // Even one missing layer stops the whole domain, and a spare engine must first finish
+            // its running requests, which takes many seconds. Until it has loaded the layers, an
+            // adjacent engine bridges the gap at the cost of its room, and gives them up
+            // afterwards.
             let bridge = self.stretch(gap, &BRIDGE_RESERVED);
             let spare = self.spare(gap);
             let spare = spare.filter(|(s, _)| bridge.is_none_or(|(b, _)| b != *s));
--- a/src/decide/placement/relief.rs
+++ b/src/decide/placement/relief.rs
@@ -39,10 +39,10 @@
 
     /// Moves all engines towards ranges that leave each of them about the same room.
     ///
-    /// After a large engine is lost for good, some of the others hold too many layers and none is
-    /// spare. Each engine grows towards its target range as far as its memory allows, and gives
-    /// up what others have loaded. Over several orders the whole domain shifts without a missing
-    /// layer in between.
+    /// This is needed after a large engine is lost for good, when some of the others hold too many
+    /// layers and none is spare. Each engine grows towards its target range as far as its memory
+    /// allows, and gives up only layers that others have loaded. The whole domain thus shifts over
+    /// several orders, and no layer is missing in between.
     fn balance(&mut self) {
         // Pending orders may already relieve the layers.
         if self.members.iter().any(|&i| self.workers[i].busy) {
--- a/src/decide/refusal.rs
+++ b/src/decide/refusal.rs
@@ -41,11 +41,13 @@
 /// Maximum retry delay of a client that found no room, in seconds: if hardly any request is
 /// refused, and if nearly all are.
 ///
-/// A request occupies its room for two to three seconds. In a burst, all room that becomes free
-/// goes to new callers, and refused ones return after the burst. The upper value is the longest
-/// delay that clients honour with a deadline of 20 s, a third of the remaining time. In five
-/// bursts of 2 s, 681 requests were refused for good with delays up to 2.4 s, and 609 with
-/// delays up to 5 s.
+/// The delay grows with the refusals because, in a burst, all room that becomes free goes to new
+/// callers; refused ones should return after the burst. A request occupies its room for two to
+/// three seconds. In five bursts of 2 s, 681 requests were refused for good with delays up to
+/// 2.4 s, and 609 with delays up to 5 s.
+///
+/// The upper value is the longest delay that clients with a deadline of 20 s honour, a third of the
+/// remaining time.
 const FULL_MAX_DELAY: (f64, f64) = (2.4, 6.6);
 
 /// Weight of the newest request in the refusal rates. They reflect some twenty requests, which
@@ -54,9 +56,10 @@
 
 /// Minimum success rate of long requests as a fraction of the rate of all requests.
 ///
-/// In a replay of one engine at three times its capacity, 1,342 of 4,804 requests and 64 of the
-/// 500 longest found room when all were treated alike, 1,827 and 60 with a fraction of 0.4, and
-/// 2,652 and 29 with 0.2. Without this bound, 2,992 and 9 did under another seed.
+/// The higher it is, the more long requests find room, and the fewer requests in all. In a replay
+/// of 4,804 requests to one engine at three times its capacity, 1,342 requests found room, and 64
+/// of the 500 longest, when all were treated alike. It was 1,827 and 60 with a fraction of 0.4, and
+/// 2,652 and 29 with 0.2. Without this bound, under another seed, it was 2,992 and 9.
 const MIN_LONG_FRACTION: f64 = 0.3;
 
 /// Moving averages of the fraction of requests that found no room.
@@ -93,16 +96,19 @@
     }
 }
 
-/// Delay after which a refused client should retry. `refused` is the recent fraction of requests
-/// that found no room; `draw` in [0, 1) selects a time within the range.
+/// Delay after which a refused client should retry. The range of delays depends on how soon the
+/// cause of the refusal passes.
 ///
-/// The ranges follow from the causes: a lease or a leader is back within about a second; lost
-/// layers are loaded again in two to four seconds; a request occupies its room for about three
-/// seconds, so a third of the room becomes free within one.
+/// `refused` is the recent fraction of requests that found no room; `draw` in [0, 1) selects a
+/// delay within the range.
 pub(crate) fn retry_after(reason: Reason, refused: f64, draw: f64) -> Duration {
     let (least, most) = match reason {
+        // A lease or a leader is back within about a second.
         Reason::NoConfiguration => (0.4, 1.2),
+        // Lost layers are loaded again in two to four seconds.
         Reason::NoUpstream => (1.0, 3.0),
+        // A request occupies its room for about three seconds, so a third of the room becomes free
+        // within one.
         Reason::Full => (
             0.6,
             FULL_MAX_DELAY.0 + (FULL_MAX_DELAY.1 - FULL_MAX_DELAY.0) * refused,
