--- a/src/budget.rs
+++ b/src/budget.rs
@@ -72,11 +72,12 @@
 
 /// Retry budget of one instance and of each organisation on it.
 ///
-/// Without it, retries could overload a degraded fleet: when most attempts
-/// fail, every request would cause several times its load. A retry takes one
-/// token from both buckets. Tokens are earned by successes (one for ten) and at
-/// a low fixed rate, so that retries stay near a tenth of the work that
-/// succeeds.
+/// A retry takes one token from both buckets. A success earns a tenth of a
+/// token, and some are earned at a low fixed rate, so retries stay near a tenth
+/// of the work that succeeds.
+///
+/// Without this bound, retries could overload a degraded fleet: when most
+/// attempts fail, every request would cause several times its load.
 #[derive(Debug)]
 pub(crate) struct Budget {
     instance: Bucket,
--- a/src/claim/lease.rs
+++ b/src/claim/lease.rs
@@ -62,11 +62,13 @@
 
     /// Whether the first byte may be sent at `now`.
     ///
-    /// Guards against an instance that froze between claim and dispatch. A later
-    /// submission may have been told that the outcome is unknown, and a user may
-    /// have acted on it, so a dispatch now could repeat the request's effect. The
-    /// register reports "unknown" only after [`DISPATCH_WINDOW`], and discards the
-    /// claim later still.
+    /// Guards against an instance that froze between claim and dispatch. By the
+    /// time it wakes, a later submission may have been told that the outcome is
+    /// unknown, and a user may have acted on it, so a dispatch could repeat the
+    /// request's effect.
+    ///
+    /// The lease ends first: the register reports "unknown" only after
+    /// [`DISPATCH_WINDOW`], and discards the claim later still.
     pub(crate) fn permits_dispatch(&self, now: Time) -> bool {
         now < self.end
     }
@@ -74,9 +76,9 @@
     /// Whether the claim, once granted and not released, still prevents every
     /// other submission with its key from running at `now`.
     ///
-    /// Guards against a false "not run" from an instance that froze for longer
-    /// than the retention: its claim has been discarded, and a later submission
-    /// may have run. The register retains a claim for longer than this.
+    /// Guards against a false "not run". If the instance froze for longer than
+    /// the retention, its claim has been discarded, and a later submission may
+    /// have run. The result turns false before the register may discard the claim.
     pub(crate) fn is_exclusive(&self, now: Time) -> bool {
         now < self.retained_until
     }
--- a/src/claim/machine.rs
+++ b/src/claim/machine.rs
@@ -51,31 +51,23 @@
 
 /// The register of claims.
 ///
-/// It has no clock: its time is the sum of the durations in [`Expire`] commands.
-/// A claim's age counts from the first `Expire` after the claim, since every
-/// later one measures a duration that began after the claim was applied.
-///
-/// A claim younger than the retention is never discarded, as its request could
-/// run a second time; if there is no space, new claims are refused. An older one
-/// is discarded to make space for a new claim of the same organisation, never of
-/// another.
-///
 /// # Sharding
 ///
-/// Claims are kept out of the catalogue's log, where they would share its syncs
-/// and its leader with changes that must take effect within seconds, and where
-/// each catalogue snapshot would contain every claim. In a replication group of
-/// its own, a stalled or full register doesn't affect the catalogue.
+/// The register is kept out of the catalogue's log, in replication groups of its
+/// own, so that a stalled or full register doesn't affect the catalogue. In one
+/// log, claims would share its syncs and its leader with changes that must take
+/// effect within seconds, and each catalogue snapshot would contain every claim.
 ///
 /// One group is limited by the syncs of one disk, although claims in one batch
-/// share a sync. Throughput and memory grow with the number of groups, as no
-/// command touches two keys and [`shard`](crate::claim::shard) assigns each key to
-/// one group; this allows for an expected 7,900 requests per second. The state
-/// machine knows nothing of shards; the caller chooses the number of groups.
+/// share a sync. Throughput and memory grow with the number of groups, since
+/// [`shard`](crate::claim::shard) assigns each key to one group and no command
+/// touches two keys; this allows for an expected 7,900 requests per second. The
+/// state machine knows nothing of shards; the caller chooses the number of groups.
 #[derive(Debug)]
 pub(crate) struct Claims {
     pub(super) bounds: Bounds,
-    /// The register's time in milliseconds. Never decreases.
+    /// The register's time in milliseconds. Never decreases. The register has no
+    /// clock: its time is the sum of the durations in [`Expire`] commands.
     pub(super) time: u64,
     /// Log index of the last applied `Expire`.
     pub(super) last_expire: u64,
@@ -200,6 +192,10 @@
     }
 
     /// Discards old claims of `organisation` until there is space for a new one.
+    ///
+    /// A claim younger than the retention is never discarded, as its request could
+    /// run a second time; if this leaves no space, the new claim is refused. A
+    /// claim of another organisation is never discarded for the new one.
     fn make_space(&mut self, organisation: &OrganisationId) -> bool {
         while !self.usage.fits(&self.bounds, organisation, RECORD_LEN) {
             if !self.discard_oldest(organisation, self.retention()) {
@@ -290,6 +286,9 @@
     }
 
     /// Starts the age of the claims made since the last `Expire`.
+    ///
+    /// Every later `Expire` measures a duration that began after the claim was
+    /// applied, so a claim is never younger than its counted age.
     fn start_aging(&mut self) {
         for (index, id) in mem::take(&mut self.unaged) {
             let record = self.records.get_mut(&id).filter(|r| r.index == index);
--- a/src/claim/ticker.rs
+++ b/src/claim/ticker.rs
@@ -9,15 +9,17 @@
 /// command has it.
 const NONE_SEEN: u64 = u64::MAX;
 
-/// Proposes [`Expire`] periodically. Any number of instances may run a ticker: of
-/// the proposals that follow the same `Expire`, the register applies only the
-/// first.
+/// Proposes [`Expire`] periodically.
 ///
-/// Clocks of two instances can't be compared and a new leader's clock may be
-/// hours ahead, so a command carries no timestamp, but the time that its proposer
-/// measured since it saw the last `Expire` applied. The register's time therefore
-/// never runs faster than a real clock, whichever instance proposes and however
-/// late a proposal arrives; without a leader it stands still.
+/// A command carries no timestamp, since clocks of two instances can't be
+/// compared and a new leader's clock may be hours ahead. It carries the time that
+/// its proposer measured since it saw the last `Expire` applied. The register's
+/// time therefore never runs faster than a real clock, whichever instance
+/// proposes and however late a proposal arrives. Without a leader, it stands
+/// still.
+///
+/// Any number of instances may run a ticker, since the register applies only the
+/// first of the proposals that follow the same `Expire`.
 #[derive(Debug)]
 pub(crate) struct Ticker {
     interval: Duration,
--- a/src/control/voters.rs
+++ b/src/control/voters.rs
@@ -66,9 +66,9 @@
 
     /// Returns the id of the store with which an instance asks to join, as known to any group.
     ///
-    /// Each group is then asked to add exactly this store. Judged by the instance id alone, a
-    /// group whose leader hasn't heard of the store yet would seem to have made the change
-    /// already, and a replaced store would be added to some groups only.
+    /// Each group is then asked to add exactly this store. With the instance id alone, a group
+    /// whose leader hasn't heard of the new store yet would still find the replaced one among its
+    /// members and report success. The new store would then be added to some groups only.
     async fn joining_store(&self, instance: u64) -> Result<u64, Problem> {
         for proposer in self.proposers() {
             let status = self.group_status(proposer).await?;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -114,9 +114,9 @@
 
 /// Runs a controller until the process is asked to stop.
 ///
-/// A store that fails, for example on a full disk, is reopened in this process. The controller's
-/// state in memory is discarded, as after a restart; the machine's other roles and addresses are
-/// not affected.
+/// If the store fails, for example on a full disk, it is reopened in this process, and the
+/// controller's state in memory is discarded as after a restart. The machine's other roles and
+/// addresses are not affected.
 ///
 /// # Errors
 ///
--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -12,12 +12,12 @@
 /// so an instance that is silent for longer has lost its requests, too.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Bytes per second that the leader spends on sending all instances the load of the others:
-/// a quarter of a controller's link.
+/// Bytes per second that the leader spends on sending all instances the load of the others: a
+/// quarter of a controller's link.
 ///
-/// With 300 instances and 216 engines, each reply contains it; with 300 and 3,000, one in 13
-/// does. At longer intervals, instances share the engines' free memory with the requests of a
-/// longer time, and more of their requests wait for the next report.
+/// With 300 instances and 216 engines, each reply contains the load; with 300 and 3,000, one in 13
+/// does. The longer the interval, the more requests share the free memory that one report shows,
+/// and the more of them wait for the next report.
 const MAX_BYTES_PER_S: f64 = 5.5e6;
 
 /// Encoded size of one engine's load, in bytes.
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -64,12 +64,14 @@
     pub(crate) exclude: Vec<UpstreamId>,
     /// Whether the request may run again.
     pub(crate) idempotent: bool,
-    /// Whether an earlier attempt failed, which puts the request before the
-    /// queue: it was already dispatched once, and its caller waits within an
-    /// answer. A request that only found an engine busy returns to the queue.
-    /// Otherwise the requests of an organisation that overloads the engines
-    /// would be refused and served first again and again, and starve the
-    /// others.
+    /// Whether an earlier attempt failed. Such a request is placed before those
+    /// in the queue, as it was already dispatched once and its caller waits
+    /// within an answer.
+    ///
+    /// A request that only found an engine busy returns to the queue instead.
+    /// If it also went before the queue, the requests of an organisation that
+    /// overloads the engines would be refused and served first again and again,
+    /// and starve the others.
     pub(crate) resumed: bool,
     /// Deadline of the request.
     pub(crate) deadline: Time,
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -143,9 +143,7 @@
 /// Time at which the first byte of a claimed request must have left.
 ///
 /// Guards against an instance that freezes while it connects: by the time it
-/// wakes, a later sending may have been told that the outcome is unknown. It
-/// holds as it is asked between the connection and the first byte; only the
-/// write itself lies behind it.
+/// wakes, a later submission may have been told that the outcome is unknown.
 #[derive(Clone)]
 pub(crate) struct Cutoff {
     until: Option<Time>,
@@ -164,10 +162,10 @@
 
 /// A connection of its own for one call to an upstream.
 ///
-/// A pooled connection may have been closed by the upstream at the moment of
-/// use; whether the call then ran can't be known, and a non-idempotent call
-/// would end as unknown for no need. With a fresh connection a failure before
-/// [`Connection::send`] proves that nothing has left.
+/// With a new connection, a failure before [`Connection::send`] proves that
+/// nothing has left. A pooled one may have been closed by the upstream at the
+/// moment of use. Whether the call then ran can't be known, and a
+/// non-idempotent call would end as unknown without need.
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: Driver,
@@ -224,6 +222,8 @@
         request: Request<Full<Bytes>>,
         cutoff: &Cutoff,
     ) -> Result<Answer, EngineError> {
+        // Checked between the connection and the first byte, so that only the
+        // write itself comes after it.
         if cutoff.passed() {
             return ConnectSnafu.fail();
         }
--- a/src/entry/reroute.rs
+++ b/src/entry/reroute.rs
@@ -74,12 +74,12 @@
         }
     }
 
-    /// Reroutes an attempt around an engine that is known to be dead before the first engine
-    /// can report it. Returns whether it tried.
+    /// Reroutes an attempt around an engine that is known to be dead before the first engine can
+    /// report it. Returns whether it tried.
     ///
-    /// The first engine's report lags by 200 ms, so waiting for it would make the caller's
-    /// pause too long. New requests that would pass through the dead engine are refused within
-    /// milliseconds, which reveals it sooner.
+    /// The first engine's report lags by 200 ms, and waiting for it would make the caller's pause
+    /// too long. The death is known sooner, because new requests that would pass through the dead
+    /// engine are refused within milliseconds.
     async fn avoid_known_dead(&self, selection: &mut Selection) -> bool {
         let Some(dead) = self.known_dead(selection) else {
             return false;
--- a/src/entry/view.rs
+++ b/src/entry/view.rs
@@ -49,10 +49,10 @@
 
 /// Number of entry instances that is assumed until a leader has counted them.
 ///
-/// After a restart of all processes, a new leader knows only the instances that have polled
-/// it. By its count the first of them would take all the room of the fastest engines for its
-/// callers, as if it were the only one. The assumed number is high; in a small fleet it only
-/// makes requests wait a little.
+/// It is high, so that no instance takes too much room at first; in a small fleet this only makes
+/// requests wait a little. After a restart of all processes, a new leader knows only the instances
+/// that have polled it. By its count, the first of them would take all the room of the fastest
+/// engines for its callers, as if it were the only one.
 const ASSUMED_ENTRIES: u32 = 300;
 
 /// Upstreams by service.
--- a/src/gossip/node.rs
+++ b/src/gossip/node.rs
@@ -178,9 +178,9 @@
 
     /// Handles an announcement that an upstream made to this instance.
     ///
-    /// Announcements are refused just after a suspension of this process: one that
-    /// was buffered in a connection meanwhile would count as new, and bring back
-    /// an upstream that has left.
+    /// Announcements are refused just after a suspension of this process. One that
+    /// was buffered in a connection meanwhile would count as new, and bring back an
+    /// upstream that has left.
     ///
     /// # Errors
     ///
--- a/src/limit/allocator.rs
+++ b/src/limit/allocator.rs
@@ -260,19 +260,19 @@
 
     /// The share that a holder should have: its demand plus an equal part of
     /// the unclaimed rest of the limit. If the total demand exceeds the limit,
-    /// it is a part in proportion to the demand, but at least one.
-    ///
-    /// The rest is divided by all `fleet` holders, including those without an
-    /// account on the route. If it were divided among the accounts alone, the
-    /// first few holders would take the whole limit, and when the first
-    /// requests reach all instances at once, the last ones would wait two
-    /// periods until the first ones give shares back.
+    /// it is a part of the limit in proportion to the holder's demand, but at
+    /// least one if it has any.
     fn target(&self, key: HolderKey, fleet: usize) -> [u32; 4] {
         let own = self
             .accounts
             .get(&key)
             .map(|s| s.wanted)
             .unwrap_or_default();
+        // The rest is divided by all holders of the fleet, including those
+        // without an account on the route. Divided among the accounts alone,
+        // the whole limit would go to the first few holders. When the first
+        // requests reach all instances at once, the last ones would then wait
+        // two periods until the first ones give shares back.
         let holders = self.accounts.len().max(fleet).max(1) as u64;
         std::array::from_fn(|k| {
             let limit = u64::from(self.limit[k]);
@@ -288,11 +288,7 @@
     /// Grants as much of `target` as is free.
     ///
     /// Nothing that another holder may use is granted: a unit granted twice
-    /// would let the fleet admit more than the limit. After a limit was
-    /// lowered, the earlier grants exceed it. Then a holder keeps as much of
-    /// its own share as fits the new limit beside all grants issued since.
-    /// Every earlier grant expires within a lease, after which the sum of all
-    /// grants fits the limit.
+    /// would let the fleet admit more than the limit.
     fn issue(&mut self, now: Time, key: HolderKey, sequence: u64, target: [u32; 4]) -> [u32; 4] {
         let epoch = self.epoch;
         let mut account = self.remove(key);
@@ -300,6 +296,10 @@
             let limit = u64::from(self.limit[k]);
             let excess = if k == 2 { self.excess } else { 0 };
             let free = limit.saturating_sub(self.exposed[k] + excess);
+            // After a limit was lowered, the earlier grants exceed it. Then a
+            // holder keeps as much of its own share as fits the new limit
+            // beside all grants issued since. Every earlier grant expires
+            // within a lease, after which the sum of all grants fits the limit.
             let kept = limit.saturating_sub(self.fresh[k]);
             let most = free.max(kept.min(u64::from(account.exposed[k])));
             target[k].min(u32::try_from(most).unwrap_or(u32::MAX))
--- a/src/limit/holder.rs
+++ b/src/limit/holder.rs
@@ -214,11 +214,10 @@
 
     /// Applies a grant. Returns whether it is now in use.
     ///
-    /// Late and duplicate grants are ignored: a grant for an older share
-    /// request would bring back a share that the allocator no longer counts,
-    /// and two instances would use the same share. So only a grant for a
-    /// pending request is applied, and that request and all older ones are
-    /// dropped with it.
+    /// A grant is applied only if its share request is pending; it ends that
+    /// request and all older ones, so late and duplicate grants are ignored. A
+    /// late one would bring back a share that the allocator no longer counts,
+    /// and two instances would use the same share.
     pub fn grant(&mut self, now: Time, grant: &Grant) -> bool {
         let own = grant.instance == self.instance.0 && grant.incarnation == self.incarnation.0;
         if !own {
@@ -240,10 +239,10 @@
     /// Whether the share reported in `request` is still the one in use.
     ///
     /// A new allocator renews what a share request reported. If the request was
-    /// delayed, the share may have expired or been given up since, and the
+    /// delayed, that share may have expired or been given up since, and the
     /// earlier allocator may have granted it to another instance; both would
-    /// use it. As long as the share is in use here, the earlier allocator
-    /// counted it.
+    /// use it. This can't happen while the share is in use here, since the
+    /// earlier allocator then still counted it.
     fn renews(&self, now: Time, request: Pending) -> bool {
         now < self.until && self.applied == request.applied
     }
--- a/src/membership/upkeep.rs
+++ b/src/membership/upkeep.rs
@@ -12,23 +12,24 @@
 use crate::membership::member::{MemberEntry, MemberState};
 
 impl Membership {
-    /// Resets timers after a suspension of this process.
+    /// Resets timers and drops pending probes after a suspension of this process.
     ///
-    /// After a suspension of a minute, all timers have expired though the answers
-    /// may have arrived meanwhile, and the whole fleet would be declared dead.
-    /// Pending probes are therefore dropped, suspects get their remaining time
-    /// again, and the health score is set to its worst, for longer timeouts.
+    /// After a suspension of a minute, all timers have expired, though the
+    /// answers may have arrived meanwhile. Without this, the whole fleet would be
+    /// declared dead.
     pub(super) fn recover_from_suspension(
         &mut self,
         now: Time,
         gap: Duration,
         out: &mut Vec<MemberEffect>,
     ) {
+        // The worst score, which lengthens the timeouts.
         self.health = MAX_HEALTH;
         self.probe = None;
         self.next_probe = now;
         self.relayed_probes.clear();
         self.dead_probe = None;
+        // Suspects get their remaining time again.
         for entry in self.entries.values_mut() {
             entry.deadline = entry.deadline.map(|at| at + gap);
         }
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -427,10 +427,13 @@
     /// Sets a shorter deadline for a replica that has had no contact with a
     /// leader in this run.
     ///
-    /// After a restart of all voters there is no leader, and the whole timeout
-    /// delayed the election: 0.63 s for five killed voters, counted from the
-    /// restart of the third. If there is a leader, its next heartbeat arrives
-    /// earlier, and its followers refuse the pre-vote; the cost is one message.
+    /// After a restart of all voters there is no leader, and waiting for the
+    /// whole timeout delayed the election: it took 0.63 s for five killed
+    /// voters, counted from the restart of the third.
+    ///
+    /// A working leader isn't disturbed. Its next heartbeat arrives earlier; if
+    /// it doesn't, the leader's followers ignore the pre-vote, and the cost is
+    /// one message to each voter.
     fn reset_initial_deadline(&mut self) {
         self.set_deadline(self.settings.election_timeout / INITIAL_TIMEOUT_DIVISOR);
     }
--- a/src/replica/member.rs
+++ b/src/replica/member.rs
@@ -107,16 +107,16 @@
             .map(Member::peer)
     }
 
-    /// Whether the peers for which `has` holds form a quorum.
-    ///
-    /// Bootstrap requires all initial voters. With a majority, a voter wiped
-    /// during bootstrap could help to elect two first leaders whose memberships
-    /// name different stores, and majorities of the two need not intersect. A
-    /// store that holds a first entry refuses to bootstrap again, so there is
-    /// one membership unless a majority was wiped.
+    /// Whether the peers for which `has` holds form a quorum: a majority of the
+    /// voters, or all initial voters during bootstrap.
     pub(crate) fn quorum(&self, has: impl Fn(Peer) -> bool) -> bool {
         let total = self.voters().count();
         let yes = self.voters().filter(|&p| has(p)).count();
+        // With a majority, a voter wiped during bootstrap could help to elect
+        // two first leaders whose memberships name different stores, and
+        // majorities of the two need not intersect. A store that holds a first
+        // entry refuses to bootstrap again, so there is one membership unless a
+        // majority was wiped.
         if self.is_bootstrapping() {
             return total > 0 && yes == total;
         }
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -59,13 +59,13 @@
 }
 
 impl Attempt {
-    /// Verifies a frame that should be token `next` of request `id`.
+    /// Verifies a frame that should be token `next` of request `id`. No token is
+    /// emitted without this check, since no later one can detect wrong text in the
+    /// answer.
     ///
     /// Guards against the answer of another request (on a reused connection, or
     /// from an engine that mixes up its streams), against tokens of an earlier
     /// attempt that were still in flight, and against skipped or repeated layers.
-    /// Each would put wrong text into the answer that no later check can detect, so
-    /// no token is emitted without this check.
     pub(crate) fn verify(&self, id: RequestId, next: u32, limit: u32, frame: &Frame) -> Verdict {
         if frame.request.parse() != Ok(id) {
             return Verdict::Invalid;
--- a/src/request/generation.rs
+++ b/src/request/generation.rs
@@ -21,9 +21,11 @@
 ///
 /// An idempotent request resumes on another path after the last verified token. A
 /// token that was in flight is computed again, and its first computation is never
-/// shown. A non-idempotent request isn't sent again once a byte may have been sent,
-/// not even to resume: the attempt may still be running behind the lost connection,
-/// and both would compute the same token.
+/// shown.
+///
+/// A non-idempotent request isn't sent again once a byte may have been sent, not
+/// even to resume. The attempt may still be running behind the lost connection, and
+/// both would compute the same token.
 #[derive(Debug)]
 pub(crate) struct Generation<P> {
     id: RequestId,
@@ -302,10 +304,11 @@
 
     /// Opens another attempt that doesn't count as a retry.
     ///
-    /// Instances share the engines and learn of each other's requests with a delay,
-    /// so an engine may be full when a request arrives. That isn't a failure: if it
-    /// counted as one, four in a row or a retry budget exhausted by other requests
-    /// would refuse a request that only had to wait.
+    /// An engine may be full when a request arrives, because instances share the
+    /// engines and learn of each other's requests with a delay. That isn't a
+    /// failure. If it counted as one, a request that only had to wait would be
+    /// refused after four in a row, or when other requests have exhausted the retry
+    /// budget.
     fn requeue(&mut self, out: &mut Vec<Effect>) {
         self.requeued += 1;
         if self.requeued < MAX_REQUEUES {
--- a/src/request/lifecycle.rs
+++ b/src/request/lifecycle.rs
@@ -200,12 +200,12 @@
         self.state.lease.as_ref()
     }
 
-    /// Replaces the lease of a claim that was renewed, at `now`.
+    /// Replaces the lease of a claim that was renewed, at `now`, if the old lease is
+    /// still exclusive. Otherwise the claim may have been discarded.
     ///
     /// Guards against a holder that was frozen for longer than the retention. Its
     /// claim was reported as unknown and discarded, then granted again to a delayed
-    /// duplicate of its own proposal; with the renewed lease it would run. While the
-    /// old lease is exclusive, the claim can't have been discarded.
+    /// duplicate of its own proposal. With the renewed lease, the request would run.
     pub(crate) fn renew(mut self, now: Time, lease: Option<ClaimLease>) -> Self {
         let same = |held: &ClaimLease| lease.is_some_and(|l| l.token() == held.token());
         let held = self.state.lease.as_ref();
--- a/src/route/engine.rs
+++ b/src/route/engine.rs
@@ -146,9 +146,9 @@
     /// the last report.
     ///
     /// Prevents a thundering herd: many instances with work waiting see the
-    /// same few free slots in the same outdated reports and would all take them
-    /// at once, which reduces throughput far below the bound under overload. As
-    /// each takes only its part, together they don't take more than are free.
+    /// same few free slots in the same outdated reports. If all took them at
+    /// once, throughput would fall far below the bound under overload. As each
+    /// takes only its part, together they don't take more than are free.
     pub(crate) fn is_over_quota(&self, now: Time) -> bool {
         self.is_refusing(now) || self.quota <= 0.0
     }
--- a/src/route/policy.rs
+++ b/src/route/policy.rs
@@ -128,9 +128,10 @@
 /// with the cached prefix is cheaper. If none of the drawn engines is usable,
 /// it takes the cheapest of all.
 ///
-/// The less certain the load, the less often the two draws are compared. With
-/// outdated reports, all instances would prefer the same engines until the next
-/// report, and load would oscillate between engines.
+/// The less certain the load, the less often the costs are compared, unless
+/// they differ greatly. With outdated reports, all instances would otherwise
+/// prefer the same engines until the next report, and load would oscillate
+/// between engines.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FlowShares;
 
--- a/src/tests/decide.rs
+++ b/src/tests/decide.rs
@@ -174,9 +174,9 @@
 }
 
 /// Guards against ending the report of a suspect before the leader drops it. Two instances find an
-/// engine dead 0.4 s after its last heartbeat and exclude it for 1.5 s, while the leader drops a
-/// suspected one after 2.4 s of silence. When the report ended before, its layers were missing for
-/// 4.3 s and its whole domain refused requests.
+/// engine dead 0.4 s after its last heartbeat and exclude it for 1.5 s, but the leader drops a
+/// suspected engine only after 2.4 s of silence. When the report ended with the exclusion, the
+/// engine's layers were missing for 4.3 s, and its whole domain refused requests.
 #[test]
 fn suspects_until_dropped() {
     let beat = Duration::from_millis(1200);
--- a/src/tests/decide/demand.rs
+++ b/src/tests/decide/demand.rs
@@ -50,10 +50,12 @@
     asking.iter().map(place).collect()
 }
 
-/// Guards against dividing room among instances that have no request for it. 295 instances get 350
-/// requests per second and a report every quarter of a second, so nine in ten have at most one
-/// request between two reports. With room for seventy requests divided into 295 parts, two in three
-/// requests got no quota, waited for 0.47 s and were late or refused while the room stayed free.
+/// Guards against dividing room among instances that have no request for it.
+///
+/// 295 instances get 350 requests per second and a report every quarter of a second, so nine in ten
+/// have at most one request between two reports. When room for seventy requests was divided into
+/// 295 parts, two in three requests got no quota. They waited for 0.47 s and were late or refused,
+/// while the room stayed free.
 #[test]
 fn sharers_low_load() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -70,10 +72,12 @@
     assert!(placed * 100 > asked * 95, "{placed} of {asked}");
 }
 
-/// Guards against a lack of quota after a shift of load. All callers of one of five domains move to
-/// another: 59 instances get two thirds of a request between two reports instead of one third, and
-/// as many get none. A request that waits for the next report, 250 ms, is on time; one that waits
-/// for the report after that is late, which one in a hundred may be.
+/// Guards against a lack of quota after a shift of load.
+///
+/// All callers of one of five domains move to another. Between two reports, 59 instances now get
+/// two thirds of a request instead of one third, and as many get none. A request that waits for the
+/// next report, 250 ms, is on time. One that waits for the report after that is late, which one in
+/// a hundred may be.
 #[test]
 fn sharers_shift() {
     let mut rng = ChaCha8Rng::seed_from_u64(4);
@@ -152,10 +156,11 @@
     found
 }
 
-/// Guards against a thundering herd after all processes were killed. Four streams at each of 87
-/// instances were cut off and return within the same tenth of a second, as soon as one pipeline is
-/// known again. When retries ignored the quota, all were sent there, the engines refused 347 of
-/// 529, and half of these callers had no retry left.
+/// Guards against a thundering herd after all processes were killed.
+///
+/// Four streams at each of 87 instances are cut off and return within the same tenth of a second,
+/// as soon as one pipeline is known again. When retries ignored the quota, all were sent there, the
+/// engines refused 347 of 529, and half of these callers had no retry left.
 #[test]
 fn retry_herd_obeys_quota() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
--- a/src/tests/decide/overload.rs
+++ b/src/tests/decide/overload.rs
@@ -294,10 +294,11 @@
     assert!((30..=80).contains(&placed), "{placed} of 87");
 }
 
-/// Guards against one draw for all engines of a large domain: 300 instances share 975 engines, 75
-/// for each of thirteen ranges of layers, each with room for forty. An instance without quota had
-/// none at any engine until the next report after 4.5 s, and refused its requests after 400 ms
-/// while the domain was idle.
+/// Guards against one draw for all engines of a large domain.
+///
+/// 300 instances share 975 engines: 75 for each of thirteen ranges of layers, each with room for
+/// forty. With one draw, an instance without quota had none at any engine until the next report
+/// after 4.5 s, and refused its requests after 400 ms while the domain was idle.
 #[test]
 fn quota_of_large_domain() {
     let share = Contention {
--- a/src/tests/decide/pace.rs
+++ b/src/tests/decide/pace.rs
@@ -33,10 +33,11 @@
     pool.engines[hops.unwrap()[0].engine].key
 }
 
-/// Guards against choosing a slow engine by the speed of its kind. For six seconds the engine of
-/// the fastest kind takes four times as long as usual while its heartbeats continue. Requests
-/// queued up there, and within windows of two seconds none of 300 callers got a first event in
-/// time, while other engines with the same layers were idle.
+/// Guards against choosing a slow engine by the speed of its kind.
+///
+/// For six seconds, the engine of the fastest kind takes four times as long as usual while its
+/// heartbeats continue. Requests queued up there while other engines with the same layers were
+/// idle: within windows of two seconds, none of 300 callers got a first event in time.
 #[test]
 fn choose_around_slow() {
     let model = model();
--- a/src/tests/decide/placement.rs
+++ b/src/tests/decide/placement.rs
@@ -379,10 +379,11 @@
     timed.min().unwrap()
 }
 
-/// Guards against a plan whose time grows with the square of the number of engines. 2,925 engines
-/// announce themselves to a new leader, whose first plan took 0.6 s of a core, two seconds of the
-/// controller's share of it. It was deposed because its heartbeats were late, and so was the next
-/// leader, four times in 16 s, while callers were refused.
+/// Guards against a plan whose time grows with the square of the number of engines.
+///
+/// When 2,925 engines announced themselves to a new leader, its first plan took 0.6 s of a core,
+/// which is two seconds of the controller's share of it. The leader's heartbeats were late, so it
+/// was deposed, and so was the next one: four times in 16 s, while callers were refused.
 #[test]
 fn plan_grows_with_engines() {
     let model = model();
--- a/src/tests/decide/suspicion.rs
+++ b/src/tests/decide/suspicion.rs
@@ -13,10 +13,12 @@
 
 const BEAT: Duration = Duration::from_millis(1200);
 
-/// Guards against many refusals on behalf of a dead engine. The engine before it refuses for it as
-/// quickly as a full one would, so each instance excluded it for only 0.2 s and tried again after
-/// 0.2, 0.6 and 1.4 s: 550 refusals by four dead engines in 2 s left 350 callers without a retry,
-/// although the engine was half empty.
+/// Guards against many refusals on behalf of a dead engine.
+///
+/// The engine before a dead one refuses for it as quickly as a full one would. When its refusals
+/// counted as those of a full engine, each instance excluded the dead one for only 0.2 s and tried
+/// again after 0.2, 0.6 and 1.4 s. 550 refusals by four dead engines in 2 s left 350 callers without
+/// a retry, although the engine was half empty.
 #[test]
 fn refused_with_room_is_dead() {
     assert!(!may_be_full(Some(0.5)));
--- a/src/tests/lifecycle.rs
+++ b/src/tests/lifecycle.rs
@@ -14,11 +14,12 @@
 
 const RUNS: u64 = 500;
 
+/// A non-idempotent request runs at most once, and each caller gets its own answer.
+///
 /// Callers submit requests, and submit them again through another instance when the
 /// answer is lost. Meanwhile instances crash and freeze before and after dispatch,
 /// proposals are lost and duplicated, and engines disconnect, skip layers, repeat
-/// tokens, mix up streams and send late. A non-idempotent request must run at most
-/// once, and each caller must get its own answer.
+/// tokens, mix up streams and send late.
 #[test]
 fn run_faults() {
     let runs = number("LQ_RUNS", RUNS);
--- a/src/voter.rs
+++ b/src/voter.rs
@@ -140,8 +140,9 @@
     /// state machine.
     ///
     /// The thread ends after [`Voter::stop`], when all handles are dropped, or
-    /// when the store fails. In the last case it returns the error, and the
-    /// process should exit, since only a new start can tell what is durable.
+    /// when the store fails. In the last case it returns the error. The store
+    /// must then be opened anew, in a new process or in this one, since only
+    /// data that is read back from the files is known to be durable.
     ///
     /// # Errors
     ///
