--- a/src/route/engine.rs
+++ b/src/route/engine.rs
@@ -148,7 +148,8 @@
     /// Prevents a thundering herd: many instances with work waiting see the
     /// same few free slots in the same outdated reports. If all took them at
     /// once, throughput would fall far below the bound under overload. As each
-    /// takes only its part, together they don't take more than are free.
+    /// takes only its part, together they take about as many as are free, or
+    /// one each if the engine is idle.
     pub(crate) fn is_over_quota(&self, now: Time) -> bool {
         self.is_refusing(now) || self.quota <= 0.0
     }
--- a/src/tests/decide/suspicion.rs
+++ b/src/tests/decide/suspicion.rs
@@ -17,8 +17,8 @@
 ///
 /// The engine before a dead one refuses for it as quickly as a full one would. When its refusals
 /// counted as those of a full engine, each instance excluded the dead one for only 0.2 s and tried
-/// again after 0.2, 0.6 and 1.4 s. 550 refusals by four dead engines in 2 s left 350 callers without
-/// a retry, although the engine was half empty.
+/// again after 0.2, 0.6 and 1.4 s. 550 refusals by four dead engines in 2 s left 350 callers
+/// without a retry, although the engine was half empty.
 #[test]
 fn refused_with_room_is_dead() {
     assert!(!may_be_full(Some(0.5)));
