--- a/scripts/lab.sh
+++ b/scripts/lab.sh
@@ -45,7 +45,8 @@
     data_args=()
     [ "$i" -gt "$voters" ] || data_args=(--data-dir "$LAB/data-$i")
     "$BIN" serve --instance-id "$i" --domain "${domains[i % 3]}" "${data_args[@]}" \
-        --caller-addr "127.0.0.1:$((base_port + i * 3))" --peer-addr "127.0.0.1:$((base_port + i * 3 + 1))" \
+        --caller-addr "127.0.0.1:$((base_port + i * 3))" \
+        --peer-addr "127.0.0.1:$((base_port + i * 3 + 1))" \
         --control-addr "127.0.0.1:$((base_port + i * 3 + 2))" 2>"$LAB/instance-$i.log" &
     pids+=($!)
     PIDS+="$! "
@@ -101,7 +102,8 @@
         "$emulator" --listen "127.0.0.1:$port" --id "engine-$pair-${layers%%..*}" --pool lab \
             --domain "${domains[pair % 3]}" --model quote-7b --layers "$layers" --total 32 \
             --credential pool-secret --announce "$CONTROLS" --token-ms "${TOKEN_MS:-5}" \
-            --slots "${SLOTS:-64}" --rate "${RATE:-0}" >"$LAB/engine-$pair-${layers%%..*}.log" 2>&1 &
+            --slots "${SLOTS:-64}" --rate "${RATE:-0}" \
+            >"$LAB/engine-$pair-${layers%%..*}.log" 2>&1 &
         pids+=($!)
         EMULATORS+="127.0.0.1:$port,"
     done
