--- a/src/control.rs
+++ b/src/control.rs
@@ -20,7 +20,7 @@
 use crate::event;
 use crate::gate::Gate;
 use crate::gossip::Fleet;
-use crate::http::{self, Bounds, Reply, Unreceived};
+use crate::http::{self, ReceiveError, ReceiveLimits, ResponseBody};
 use crate::lease::LeasedCatalogue;
 use crate::poll::Poller;
 use crate::propose::{NotCommitted, Proposer};
@@ -67,7 +67,7 @@
     message: String,
 }
 
-type Answer = Result<Response<Reply>, Problem>;
+type Answer = Result<Response<ResponseBody>, Problem>;
 
 fn problem(status: StatusCode, code: &'static str, message: impl Into<String>) -> Problem {
     Problem {
@@ -79,9 +79,9 @@
 
 /// Accepts operators, upstreams and probes until the runtime ends.
 pub(crate) async fn serve(control: Arc<Control>, listener: TcpListener) {
-    let bounds = Bounds {
-        head: control.settings.head,
-        receive: control.settings.receive,
+    let bounds = ReceiveLimits {
+        max_head: control.settings.head,
+        receive_timeout: control.settings.receive,
     };
     http::accept(listener, bounds, move |request| {
         Arc::clone(&control).answer(request)
@@ -90,7 +90,7 @@
 }
 
 impl Control {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
+    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         self.dispatch(request).await.unwrap_or_else(|problem| {
             let body = serde_json::json!({
                 "error": {"code": problem.code, "message": problem.message}
@@ -149,19 +149,19 @@
     }
 
     async fn read(&self, body: Incoming, most: usize) -> Result<Bytes, Problem> {
-        let read = http::receive(body, most, self.settings.receive).await;
+        let read = http::read_body(body, most, self.settings.receive).await;
         read.map_err(|e| match e {
-            Unreceived::TooLarge => problem(
+            ReceiveError::TooLarge => problem(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "too_large",
                 format!("the body is longer than {most} bytes; split it"),
             ),
-            Unreceived::Cut => problem(
+            ReceiveError::Incomplete => problem(
                 StatusCode::BAD_REQUEST,
                 "cut",
                 "the body was cut; send it whole",
             ),
-            Unreceived::TooSlow => problem(
+            ReceiveError::Timeout => problem(
                 StatusCode::REQUEST_TIMEOUT,
                 "too_slow",
                 "the body wasn't sent in time; send it faster",
@@ -169,7 +169,7 @@
         })
     }
 
-    fn ready(&self) -> Response<Reply> {
+    fn ready(&self) -> Response<ResponseBody> {
         let reason = self.gate.not_ready(&self.force, self.clock.now());
         match reason {
             None => text(StatusCode::OK, "ready\n"),
@@ -177,7 +177,7 @@
         }
     }
 
-    fn state(&self, head: &Parts) -> Response<Reply> {
+    fn state(&self, head: &Parts) -> Response<ResponseBody> {
         let dump = (self.dump)();
         if head.uri.query() == Some("form=text") {
             return text(StatusCode::OK, &dump::text(&dump));
@@ -351,25 +351,25 @@
     value.to_str().ok()?.strip_prefix("Bearer ")
 }
 
-fn tag(response: &mut Response<Reply>, revision: u64) {
+fn tag(response: &mut Response<ResponseBody>, revision: u64) {
     let value = format!("\"{revision}\"");
     let value = value.parse().expect("digits and quotes are a valid header");
     response.headers_mut().insert(header::ETAG, value);
 }
 
-fn json(status: StatusCode, body: &impl Serialize) -> Response<Reply> {
+fn json(status: StatusCode, body: &impl Serialize) -> Response<ResponseBody> {
     let body = serde_json::to_string(body).expect("answers hold only strings and numbers");
     respond(status, "application/json", body)
 }
 
-fn text(status: StatusCode, body: &str) -> Response<Reply> {
+fn text(status: StatusCode, body: &str) -> Response<ResponseBody> {
     respond(status, "text/plain; charset=utf-8", body.to_owned())
 }
 
-fn respond(status: StatusCode, kind: &'static str, body: String) -> Response<Reply> {
+fn respond(status: StatusCode, kind: &'static str, body: String) -> Response<ResponseBody> {
     Response::builder()
         .status(status)
         .header(header::CONTENT_TYPE, kind)
-        .body(Reply::from(body))
+        .body(ResponseBody::from(body))
         .expect("the parts of the head are valid")
 }
--- a/src/controller/call.rs
+++ b/src/controller/call.rs
@@ -15,7 +15,7 @@
 use crate::clock::{millis, wall_millis};
 use crate::event;
 use crate::fingerprint::Fingerprint;
-use crate::http::{self, Reply};
+use crate::http::{self, ResponseBody};
 use crate::platform::call::{self, Call};
 use crate::platform::{configuration, heartbeat};
 use crate::register;
@@ -53,7 +53,7 @@
 pub(super) async fn answer(
     controller: Option<Arc<Controller>>,
     request: Request<Incoming>,
-) -> Response<Reply> {
+) -> Response<ResponseBody> {
     match controller {
         Some(controller) => controller.answer(request).await,
         None => unavailable("this instance opens its store"),
@@ -61,13 +61,13 @@
 }
 
 impl Controller {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
+    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let (head, body) = request.into_parts();
         let path = head.uri.path();
         let Some(decoded) = Call::decode(head.method.as_str(), path) else {
             return failure(StatusCode::NOT_FOUND, "there is no such call");
         };
-        let Ok(body) = http::receive(body, MAX_BODY_BYTES, BODY_TIMEOUT).await else {
+        let Ok(body) = http::read_body(body, MAX_BODY_BYTES, BODY_TIMEOUT).await else {
             return failure(StatusCode::BAD_REQUEST, "the body can't be read in full");
         };
         if self.shutting_down.load(Ordering::Relaxed) {
@@ -84,7 +84,7 @@
     }
 
     /// Replaces the configuration. Acknowledges it once a majority has it on disk.
-    async fn replace(&self, path: &str, body: Bytes) -> Response<Reply> {
+    async fn replace(&self, path: &str, body: Bytes) -> Response<ResponseBody> {
         let checked = configuration::decode(&body)
             .and_then(|c| c.check().map(|()| c.version).map_err(|e| e.to_string()));
         let version = match checked {
@@ -119,7 +119,7 @@
     }
 
     /// Returns the latest configuration, or 503 if no quorum confirms which one that is.
-    async fn fetch(&self) -> Response<Reply> {
+    async fn fetch(&self) -> Response<ResponseBody> {
         if !matches!(timeout(COMMIT_TIMEOUT, self.confirm_read()).await, Ok(true)) {
             return unavailable("no quorum confirms the configuration");
         }
@@ -129,7 +129,7 @@
         }
     }
 
-    async fn heartbeat(&self, path: &str, id: &str, body: &[u8]) -> Response<Reply> {
+    async fn heartbeat(&self, path: &str, id: &str, body: &[u8]) -> Response<ResponseBody> {
         let Some(announcement) = heartbeat::decode(id, body) else {
             return failure(StatusCode::BAD_REQUEST, "this names no usable upstream");
         };
@@ -143,7 +143,7 @@
         json(StatusCode::OK, call::next_heartbeat(self.control).into())
     }
 
-    async fn leave(&self, path: &str, id: &str) -> Response<Reply> {
+    async fn leave(&self, path: &str, id: &str) -> Response<ResponseBody> {
         let born = {
             let Some(state) = self.state_if_leading() else {
                 return self.redirect(path);
@@ -157,7 +157,7 @@
     }
 
     /// Commits that an incarnation receives no more requests, then acknowledges.
-    async fn depart(&self, path: &str, id: &str, born: u64) -> Response<Reply> {
+    async fn depart(&self, path: &str, id: &str, born: u64) -> Response<ResponseBody> {
         let known = match self.state_if_leading() {
             Some(state) => state.has_left(id, born),
             None => return self.redirect(path),
@@ -177,7 +177,7 @@
     }
 
     /// Lifts the quarantine of a request.
-    async fn lift(&self, path: &str, fingerprint: &str) -> Response<Reply> {
+    async fn lift(&self, path: &str, fingerprint: &str) -> Response<ResponseBody> {
         let Some(fingerprint) = Fingerprint::parse(fingerprint) else {
             return failure(StatusCode::BAD_REQUEST, "this is no fingerprint");
         };
@@ -201,7 +201,7 @@
     /// # Errors
     ///
     /// The response to send if it is not known to be committed.
-    async fn commit(&self, command: Bytes, path: &str) -> Result<(), Response<Reply>> {
+    async fn commit(&self, command: Bytes, path: &str) -> Result<(), Response<ResponseBody>> {
         if self.leader_info().term.is_none() {
             return Err(self.redirect(path));
         }
@@ -233,7 +233,7 @@
     }
 
     /// Redirects the caller to the leader.
-    fn redirect(&self, path: &str) -> Response<Reply> {
+    fn redirect(&self, path: &str) -> Response<ResponseBody> {
         let leader = self.leader_info().leader;
         let control = leader.and_then(|l| control_address(l, self.control.port()));
         let Some(control) = control.filter(|c| *c != self.control) else {
@@ -248,13 +248,13 @@
     }
 }
 
-fn empty(status: StatusCode) -> Response<Reply> {
-    let mut response = Response::new(Reply::Whole(Some(Bytes::new())));
+fn empty(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Full(Some(Bytes::new())));
     *response.status_mut() = status;
     response
 }
 
-fn json(status: StatusCode, body: Reply) -> Response<Reply> {
+fn json(status: StatusCode, body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     let kind = HeaderValue::from_static("application/json");
@@ -262,11 +262,11 @@
     response
 }
 
-fn failure(status: StatusCode, reason: &str) -> Response<Reply> {
+fn failure(status: StatusCode, reason: &str) -> Response<ResponseBody> {
     json(status, call::failure(reason).into())
 }
 
-fn unavailable(reason: &str) -> Response<Reply> {
+fn unavailable(reason: &str) -> Response<ResponseBody> {
     let mut response = failure(StatusCode::SERVICE_UNAVAILABLE, reason);
     response.headers_mut().insert(RETRY_AFTER, RETRY_DELAY);
     response
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -20,7 +20,7 @@
 use crate::decide::members::{self, VoterStatus};
 use crate::error::{ListenSnafu, Result};
 use crate::event;
-use crate::http::{self, Bounds};
+use crate::http::{self, ReceiveLimits};
 use crate::id::InstanceId;
 use crate::message::{Answer, Ask, Reply, Request};
 use crate::peer::{self, Handler, Peers, ReplySink};
@@ -245,9 +245,9 @@
     let addr = role::required(boot.control, "a control address")?.into();
     let control = startup::listen(addr, "operators and upstreams")?;
     let slot = Arc::clone(slot);
-    let bounds = Bounds {
-        head: call::MAX_HEAD_BYTES,
-        receive: call::IDLE_TIMEOUT,
+    let bounds = ReceiveLimits {
+        max_head: call::MAX_HEAD_BYTES,
+        receive_timeout: call::IDLE_TIMEOUT,
     };
     runtime.spawn(http::accept(control, bounds, move |request| {
         call::answer(slot.0.load_full(), request)
--- a/src/entry/listen.rs
+++ b/src/entry/listen.rs
@@ -22,7 +22,7 @@
 use crate::event;
 use crate::fingerprint::Fingerprint;
 use crate::gate::Running;
-use crate::http::{self, Reply, Unreceived};
+use crate::http::{self, ReceiveError, ResponseBody};
 use crate::metric;
 use crate::platform::{call, headers};
 
@@ -33,8 +33,8 @@
 const DEADLINE: Duration = Duration::from_secs(60);
 
 /// Answers to the balancer.
-pub(super) fn readiness(ready: bool) -> Response<Reply> {
-    let mut response = Response::new(Reply::Whole(Some(Bytes::new())));
+pub(super) fn readiness(ready: bool) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Full(Some(Bytes::new())));
     if !ready {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
@@ -72,15 +72,15 @@
         let limit = view.table.as_ref().map(|t| t.configuration.limits.body);
         let limit = limit.filter(|&l| l > 0);
         let limit = limit.unwrap_or(Limits::default().body);
-        let body = match http::receive(body, limit, RECEIVE).await {
+        let body = match http::read_body(body, limit, RECEIVE).await {
             Ok(body) => body,
-            Err(Unreceived::TooLarge) => {
+            Err(ReceiveError::TooLarge) => {
                 return failure(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
             }
-            Err(Unreceived::TooSlow) => {
+            Err(ReceiveError::Timeout) => {
                 return failure(StatusCode::REQUEST_TIMEOUT, "the body came too slowly");
             }
-            Err(Unreceived::Cut) => {
+            Err(ReceiveError::Incomplete) => {
                 return failure(StatusCode::BAD_REQUEST, "the body was cut off");
             }
         };
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -23,7 +23,7 @@
 use crate::error::Result;
 use crate::event;
 use crate::gate::Gate;
-use crate::http::{self, Bounds};
+use crate::http::{self, ReceiveLimits};
 use crate::id::InstanceId;
 use crate::peer::Peers;
 use crate::platform::boot::Boot;
@@ -171,9 +171,9 @@
         let callers = role::required(self.boot.callers, "an address for callers")?.into();
         let readiness = role::required(self.boot.readiness, "a readiness address")?.into();
         let listener = startup::listen(callers, "callers")?;
-        let bounds = Bounds {
-            head: MAX_HEAD,
-            receive: IDLE,
+        let bounds = ReceiveLimits {
+            max_head: MAX_HEAD,
+            receive_timeout: IDLE,
         };
         let entry = Arc::clone(self);
         tokio::spawn(http::accept_until(
--- a/src/http.rs
+++ b/src/http.rs
@@ -23,18 +23,18 @@
 /// Pause after a failed accept, such as for lack of file descriptors.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// Bounds on what a client may send.
+/// ReceiveLimits on what a client may send.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bounds {
+pub(crate) struct ReceiveLimits {
     /// Longest head of a request, in bytes. A longer one is answered with 431.
-    pub(crate) head: usize,
+    pub(crate) max_head: usize,
     /// Longest time to send a head, and again to send a body.
-    pub(crate) receive: Duration,
+    pub(crate) receive_timeout: Duration,
 }
 
 /// Accepts connections until the runtime ends, and answers each request with
 /// what `handler` gives.
-pub(crate) async fn accept<H, F, B>(listener: StdListener, bounds: Bounds, handler: H)
+pub(crate) async fn accept<H, F, B>(listener: StdListener, limits: ReceiveLimits, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Response<B>> + Send + 'static,
@@ -42,14 +42,14 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let (_open, closing) = watch::channel(false);
-    accept_until(listener, bounds, handler, closing).await;
+    accept_until(listener, limits, handler, closing).await;
 }
 
 /// As [`accept`], until `closing` tells to take no new connections and to close
 /// each that is open after the answer that runs on it.
 pub(crate) async fn accept_until<H, F, B>(
     listener: StdListener,
-    bounds: Bounds,
+    limits: ReceiveLimits,
     handler: H,
     closing: watch::Receiver<bool>,
 ) where
@@ -69,7 +69,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                tokio::spawn(serve(stream, bounds, handler.clone(), closing.clone()));
+                tokio::spawn(serve(stream, limits, handler.clone(), closing.clone()));
             }
             Err(_) => tokio::time::sleep(PAUSE).await,
         }
@@ -78,7 +78,7 @@
 
 async fn serve<H, F, B>(
     stream: TcpStream,
-    bounds: Bounds,
+    limits: ReceiveLimits,
     handler: H,
     mut closing: watch::Receiver<bool>,
 ) where
@@ -96,8 +96,8 @@
     });
     let connection = Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(bounds.receive)
-        .max_buf_size(bounds.head)
+        .header_read_timeout(limits.receive_timeout)
+        .max_buf_size(limits.max_head)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let served = tokio::select! {
@@ -123,51 +123,55 @@
 
 /// Why a body wasn't received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unreceived {
+pub(crate) enum ReceiveError {
     /// It is longer than the bound.
     TooLarge,
     /// The client closed in the middle of it.
-    Cut,
+    Incomplete,
     /// It wasn't sent in time.
-    TooSlow,
+    Timeout,
 }
 
 /// Reads a body whole, of at most `most` bytes within `time`.
-pub(crate) async fn receive<B>(body: B, most: usize, time: Duration) -> Result<Bytes, Unreceived>
+pub(crate) async fn read_body<B>(
+    body: B,
+    most: usize,
+    time: Duration,
+) -> Result<Bytes, ReceiveError>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     match timeout(time, Limited::new(body, most).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Unreceived::TooLarge),
-        Ok(Err(_)) => Err(Unreceived::Cut),
-        Err(_) => Err(Unreceived::TooSlow),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(ReceiveError::TooLarge),
+        Ok(Err(_)) => Err(ReceiveError::Incomplete),
+        Err(_) => Err(ReceiveError::Timeout),
     }
 }
 
 /// A response body.
-pub(crate) enum Reply {
+pub(crate) enum ResponseBody {
     /// All of it; `None` once it was handed on.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// Pieces as they come. The body ends when the sender is dropped; when the
     /// caller leaves, hyper drops the receiver and the sender sees it closed.
-    Pieces(mpsc::Receiver<Bytes>),
+    Chunks(mpsc::Receiver<Bytes>),
 }
 
-impl From<String> for Reply {
+impl From<String> for ResponseBody {
     fn from(text: String) -> Self {
-        Self::Whole(Some(text.into()))
+        Self::Full(Some(text.into()))
     }
 }
 
-impl From<Bytes> for Reply {
+impl From<Bytes> for ResponseBody {
     fn from(bytes: Bytes) -> Self {
-        Self::Whole(Some(bytes))
+        Self::Full(Some(bytes))
     }
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -176,12 +180,12 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Self::Pieces(pieces) => pieces.poll_recv(cx).map(|p| p.map(|b| Ok(Frame::data(b)))),
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            Self::Chunks(chunks) => chunks.poll_recv(cx).map(|p| p.map(|b| Ok(Frame::data(b)))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 }
--- a/src/role.rs
+++ b/src/role.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{oneshot, watch};
 
 use crate::error::{Error, FailedSnafu, Result};
-use crate::http::{self, Bounds, Reply};
+use crate::http::{self, ReceiveLimits, ResponseBody};
 use crate::id::InstanceId;
 use crate::platform::boot::Boot;
 use crate::startup::{install_metrics, listen, start_error};
@@ -222,9 +222,9 @@
     };
     let listener = listen(SocketAddr::new(ip.into(), port), "readers of metrics")?;
     let _guard = runtime.enter();
-    let bounds = Bounds {
-        head: MAX_METRICS_HEAD,
-        receive: METRICS_IDLE_TIMEOUT,
+    let bounds = ReceiveLimits {
+        max_head: MAX_METRICS_HEAD,
+        receive_timeout: METRICS_IDLE_TIMEOUT,
     };
     runtime.spawn(http::accept(listener, bounds, move |_| {
         measure();
@@ -234,6 +234,6 @@
     Ok(())
 }
 
-fn render(handle: &PrometheusHandle) -> hyper::Response<Reply> {
-    hyper::Response::new(Reply::from(handle.render()))
+fn render(handle: &PrometheusHandle) -> hyper::Response<ResponseBody> {
+    hyper::Response::new(ResponseBody::from(handle.render()))
 }
--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -15,7 +15,7 @@
 use crate::dispatch::{Admission, Decision, Dispatcher, Placement, PlacementError};
 use crate::event;
 use crate::gate::Running;
-use crate::http::Reply;
+use crate::http::ResponseBody;
 use crate::id::OrganisationId;
 use crate::request::{Admitted, Answer, Lifecycle, Received, RefusalCode, RequestId};
 
@@ -76,7 +76,7 @@
     pub(crate) fn identify(
         &self,
         head: &hyper::http::request::Parts,
-    ) -> Result<Known, Box<Response<Reply>>> {
+    ) -> Result<Known, Box<Response<ResponseBody>>> {
         let head = Head::parse(&head.headers)
             .map_err(|_| Box::new(listen::refuse(RefusalCode::InvalidRequest)))?;
         let keyed = head.key.is_some();
@@ -178,7 +178,7 @@
     }
 
     /// The models that the caller's organisation may use.
-    pub(crate) fn models<B>(&self, request: &Request<B>) -> Response<Reply> {
+    pub(crate) fn models<B>(&self, request: &Request<B>) -> Response<ResponseBody> {
         let Ok(catalogue) = self.parts.force.get(self.now()) else {
             return listen::refuse(RefusalCode::CatalogueLease);
         };
--- a/src/serve/complete.rs
+++ b/src/serve/complete.rs
@@ -15,7 +15,7 @@
 use super::listen::Received;
 use super::respond::{self, EVENTS, JSON};
 use crate::catalogue::{Route, Target};
-use crate::http::Reply;
+use crate::http::ResponseBody;
 use crate::id::OrganisationId;
 use crate::openai::{Completion, Form, Writer};
 use crate::request::{Answer, Claimed, Lifecycle, RefusalCode};
@@ -32,7 +32,7 @@
         self: Arc<Self>,
         form: Form,
         received: Received,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         let known = match self.identify(&received.head) {
             Ok(known) => known,
             Err(response) => return *response,
@@ -137,7 +137,11 @@
 
 /// An answer without a generation: a refusal, or what an earlier sending with
 /// the same key got.
-fn earlier(answer: &Answer, form: Option<(Completion, Form)>, id: String) -> Response<Reply> {
+fn earlier(
+    answer: &Answer,
+    form: Option<(Completion, Form)>,
+    id: String,
+) -> Response<ResponseBody> {
     let (Answer::Stored(kept), Some((completion, form))) = (answer, form) else {
         return respond::refuse(answer, &id);
     };
@@ -163,7 +167,7 @@
     stream: bool,
     mut output: mpsc::Receiver<Output>,
     known: Known,
-) -> Response<Reply> {
+) -> Response<ResponseBody> {
     let id = writer.id.clone();
     if !stream {
         return whole(&writer, output).await;
@@ -193,10 +197,10 @@
             next = output.recv().await;
         }
     });
-    respond::reply(StatusCode::OK, EVENTS, Reply::Pieces(body), &id)
+    respond::reply(StatusCode::OK, EVENTS, ResponseBody::Chunks(body), &id)
 }
 
-async fn whole(writer: &Writer, mut output: mpsc::Receiver<Output>) -> Response<Reply> {
+async fn whole(writer: &Writer, mut output: mpsc::Receiver<Output>) -> Response<ResponseBody> {
     let mut text = String::new();
     while let Some(piece) = output.recv().await {
         match piece {
--- a/src/serve/listen.rs
+++ b/src/serve/listen.rs
@@ -10,7 +10,7 @@
 
 use super::Serving;
 use super::respond;
-use crate::http::{self, Bounds, Reply, Unreceived};
+use crate::http::{self, ReceiveError, ReceiveLimits, ResponseBody};
 use crate::openai::Form;
 use crate::request::{Answer, RefusalCode};
 
@@ -26,9 +26,9 @@
 impl Serving {
     /// Accepts callers until the runtime ends.
     pub(crate) async fn accept(self: Arc<Self>, listener: StdListener) {
-        let bounds = Bounds {
-            head: self.parts.settings.head,
-            receive: self.parts.settings.receive,
+        let bounds = ReceiveLimits {
+            max_head: self.parts.settings.head,
+            receive_timeout: self.parts.settings.receive,
         };
         http::accept(listener, bounds, move |request| {
             Arc::clone(&self).answer(request)
@@ -39,7 +39,7 @@
     /// Answers a request, and closes its connection while draining: a caller
     /// that keeps one open might send its next request at the very moment at
     /// which the process ends, and would never hear of it.
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
+    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let gate = Arc::clone(&self.parts.gate);
         let mut response = self.respond(request).await;
         if gate.closed() {
@@ -49,7 +49,7 @@
         response
     }
 
-    async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
+    async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let path = request.uri().path();
         match (request.method(), path) {
             (&Method::GET, "/healthz") => respond::plain(StatusCode::OK, "ok\n"),
@@ -64,7 +64,7 @@
         }
     }
 
-    fn ready(&self) -> Response<Reply> {
+    fn ready(&self) -> Response<ResponseBody> {
         match self.parts.gate.not_ready(&self.parts.force, self.now()) {
             None => respond::plain(StatusCode::OK, "ready\n"),
             Some(reason) => respond::plain(StatusCode::SERVICE_UNAVAILABLE, reason),
@@ -75,14 +75,14 @@
         self: Arc<Self>,
         form: Form,
         request: Request<Incoming>,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         match self.receive(request).await {
             Ok(received) => self.complete(form, received).await,
             Err(code) => refuse(code),
         }
     }
 
-    async fn call_form(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
+    async fn call_form(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         match self.receive(request).await {
             Ok(received) => self.call(received).await,
             Err(code) => refuse(code),
@@ -93,16 +93,16 @@
     async fn receive(&self, request: Request<Incoming>) -> Result<Received, RefusalCode> {
         let settings = &self.parts.settings;
         let (head, body) = request.into_parts();
-        match http::receive(body, settings.body, settings.receive).await {
+        match http::read_body(body, settings.body, settings.receive).await {
             Ok(body) => Ok(Received { head, body }),
-            Err(Unreceived::TooLarge) => Err(RefusalCode::TooLarge),
-            Err(Unreceived::Cut) => Err(RefusalCode::InvalidRequest),
-            Err(Unreceived::TooSlow) => Err(RefusalCode::TooSlow),
+            Err(ReceiveError::TooLarge) => Err(RefusalCode::TooLarge),
+            Err(ReceiveError::Incomplete) => Err(RefusalCode::InvalidRequest),
+            Err(ReceiveError::Timeout) => Err(RefusalCode::TooSlow),
         }
     }
 }
 
 /// A refusal of something that never became a request of an organisation.
-pub(crate) fn refuse(code: RefusalCode) -> Response<Reply> {
+pub(crate) fn refuse(code: RefusalCode) -> Response<ResponseBody> {
     respond::refuse(&Answer::refused_early(code, false, None), "-")
 }
--- a/src/serve/respond.rs
+++ b/src/serve/respond.rs
@@ -5,7 +5,7 @@
 use hyper::header::{CONTENT_TYPE, HeaderName, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-use crate::http::Reply;
+use crate::http::ResponseBody;
 use crate::request::Answer;
 
 /// Number of the request, on each response.
@@ -28,7 +28,7 @@
 }
 
 /// A response for an answer that isn't a whole one.
-pub(crate) fn refuse(answer: &Answer, id: &str) -> Response<Reply> {
+pub(crate) fn refuse(answer: &Answer, id: &str) -> Response<ResponseBody> {
     let status = StatusCode::from_u16(answer.status()).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = reply(status, JSON, error(answer), id);
     if let Some(pause) = answer.retry_after() {
@@ -52,24 +52,24 @@
 pub(crate) fn reply(
     status: StatusCode,
     kind: &str,
-    body: impl Into<Reply>,
+    body: impl Into<ResponseBody>,
     id: &str,
-) -> Response<Reply> {
+) -> Response<ResponseBody> {
     Response::builder()
         .status(status)
         .header(CONTENT_TYPE, kind)
         .header(REQUEST_ID, id)
         .body(body.into())
-        .unwrap_or_else(|_| Response::new(Reply::from(String::new())))
+        .unwrap_or_else(|_| Response::new(ResponseBody::from(String::new())))
 }
 
 /// A plain line for probes.
-pub(crate) fn plain(status: StatusCode, line: &str) -> Response<Reply> {
+pub(crate) fn plain(status: StatusCode, line: &str) -> Response<ResponseBody> {
     reply(status, "text/plain; charset=utf-8", line.to_owned(), "-")
 }
 
 /// The request's task ended without an answer, which only a panic can cause.
-pub(crate) fn lost(id: &str) -> Response<Reply> {
+pub(crate) fn lost(id: &str) -> Response<ResponseBody> {
     let body = r#"{"error":{"code":"outcome_unknown","ran":"unknown","message":"the request's task failed: ask with the same key, or check its effect before sending it again"}}"#;
     reply(StatusCode::BAD_GATEWAY, JSON, body.to_owned(), id)
 }
--- a/src/serve/service.rs
+++ b/src/serve/service.rs
@@ -21,7 +21,7 @@
 use crate::claim::{MAX_STORED_ANSWER, Outcome as Settled, StoredAnswer};
 use crate::dispatch::service_model;
 use crate::engine::{Connection, Cutoff, EngineError, Stage};
-use crate::http::Reply;
+use crate::http::ResponseBody;
 use crate::request::{Answer, AttemptError, Event, Frame, Hop, RefusalCode, RequestId};
 
 /// Longest answer of a plain service, in bytes.
@@ -61,7 +61,7 @@
 
 impl Serving {
     /// Answers `/services/NAME/...`.
-    pub(crate) async fn call(self: Arc<Self>, received: Received) -> Response<Reply> {
+    pub(crate) async fn call(self: Arc<Self>, received: Received) -> Response<ResponseBody> {
         let known = match self.identify(&received.head) {
             Ok(known) => known,
             Err(response) => return *response,
@@ -128,7 +128,11 @@
 }
 
 /// The caller's side: the answer as it is once the request has ended.
-async fn present(slot: &Slot, mut output: mpsc::Receiver<Output>, id: &str) -> Response<Reply> {
+async fn present(
+    slot: &Slot,
+    mut output: mpsc::Receiver<Output>,
+    id: &str,
+) -> Response<ResponseBody> {
     while let Some(piece) = output.recv().await {
         match piece {
             Output::Token(_) => {}
@@ -220,7 +224,7 @@
     }
 }
 
-fn refuse(answer: &Answer, id: &str) -> Response<Reply> {
+fn refuse(answer: &Answer, id: &str) -> Response<ResponseBody> {
     let Answer::Stored(kept) = answer else {
         return respond::refuse(answer, id);
     };
--- a/src/tests/http.rs
+++ b/src/tests/http.rs
@@ -10,11 +10,11 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use crate::http::{Bounds, accept_until};
+use crate::http::{ReceiveLimits, accept_until};
 
-const BOUNDS: Bounds = Bounds {
-    head: 16 << 10,
-    receive: Duration::from_secs(5),
+const BOUNDS: ReceiveLimits = ReceiveLimits {
+    max_head: 16 << 10,
+    receive_timeout: Duration::from_secs(5),
 };
 
 /// How long the handler takes.
