--- a/src/controller/pace.rs
+++ b/src/controller/pace.rs
@@ -5,7 +5,7 @@
 
 use super::Controller;
 use super::leader::PaceQuery;
-use crate::engine::report;
+use crate::engine::fetch_report;
 use crate::event;
 use crate::platform::engine;
 
@@ -15,7 +15,7 @@
 impl Controller {
     /// Queries an engine and records its pace.
     pub(super) async fn query_pace(self: Arc<Self>, query: PaceQuery) {
-        let report = report(query.address.into(), &query.engine, REPORT_TIMEOUT).await;
+        let report = fetch_report(query.address.into(), &query.engine, REPORT_TIMEOUT).await;
         let Some(report) = report else {
             tracing::debug!(upstream = %query.engine, "engine sent no report");
             return;
--- a/src/controller/place.rs
+++ b/src/controller/place.rs
@@ -10,7 +10,7 @@
 
 use super::Controller;
 use super::leader::PlacementOrder;
-use crate::engine::{call, report};
+use crate::engine::{call, fetch_report};
 use crate::event;
 use crate::metric;
 use crate::platform::engine;
@@ -113,7 +113,8 @@
             if !self.leader_state().is_pending(order) {
                 return;
             }
-            let Some(report) = report(order.address.into(), &order.engine, ANSWER_TIMEOUT).await
+            let Some(report) =
+                fetch_report(order.address.into(), &order.engine, ANSWER_TIMEOUT).await
             else {
                 continue;
             };
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -183,7 +183,7 @@
 }
 
 /// A response with the connection that it comes from.
-pub(crate) struct Answer {
+pub(crate) struct UpstreamResponse {
     pub(crate) response: Response<Incoming>,
     _driver: Driver,
 }
@@ -223,13 +223,13 @@
         mut self,
         request: Request<Full<Bytes>>,
         cutoff: &Cutoff,
-    ) -> Result<Answer, EngineError> {
+    ) -> Result<UpstreamResponse, EngineError> {
         if cutoff.passed() {
             return ConnectSnafu.fail();
         }
         let sent = self.sender.send_request(request).await;
         let response = sent.map_err(|_| EngineError::Cut)?;
-        Ok(Answer {
+        Ok(UpstreamResponse {
             response,
             _driver: self.driver,
         })
@@ -240,7 +240,7 @@
 const MAX_ANSWER: usize = 64 << 10;
 
 /// Asks an engine for its report; nothing when none came in time.
-pub(crate) async fn report(address: SocketAddr, id: &str, limit: Duration) -> Option<Bytes> {
+pub(crate) async fn fetch_report(address: SocketAddr, id: &str, limit: Duration) -> Option<Bytes> {
     let request = Request::get(platform::REPORT);
     let answer = call(address, id, request, Bytes::new(), limit).await;
     answer.filter(|a| a.0 == StatusCode::OK).map(|a| a.1)
@@ -303,7 +303,7 @@
 
 /// Events read from a `text/event-stream` body.
 pub(crate) struct HttpEvents {
-    answer: Answer,
+    answer: UpstreamResponse,
     buffer: BytesMut,
 }
 
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -25,7 +25,7 @@
 use crate::decide::refusal::Reason;
 use crate::decide::retry::{self, AttemptCounts, Failure, NextStep};
 use crate::decide::view_wait;
-use crate::engine::{Answer, Connection, Cutoff};
+use crate::engine::{Connection, Cutoff, UpstreamResponse};
 use crate::event;
 use crate::fingerprint::Fingerprint;
 use crate::metric;
@@ -76,7 +76,7 @@
 
 /// An attempt that was answered, as far as its head.
 pub(super) struct Opened {
-    pub(super) answer: Answer,
+    pub(super) answer: UpstreamResponse,
     pub(super) chosen: Chosen,
 }
 
