--- a/src/instance.rs
+++ b/src/instance.rs
@@ -30,7 +30,7 @@
 use crate::periodic::{keep_claims, keep_shares, start_views};
 use crate::poll::Poller;
 use crate::propose::Proposer;
-use crate::serve::{self, Serving};
+use crate::serve::{self, Server};
 use crate::settings::Settings;
 use crate::startup::{install_metrics, listen, start_error};
 use crate::supervise::{Policy, Supervisor};
@@ -121,11 +121,11 @@
             .map(proposer)
             .collect();
         let gate = Arc::new(Gate::default());
-        let serving = Serving::new(serve::Parts {
+        let server = Server::new(serve::Dependencies {
             settings: Arc::clone(&settings),
             clock: Arc::clone(&clock),
             incarnation,
-            force: Arc::clone(&force),
+            catalogue: Arc::clone(&force),
             gate: Arc::clone(&gate),
             fleet: fleet.clone(),
             claims: claims.clone(),
@@ -140,14 +140,14 @@
         peer_runtime.spawn(keep_shares(
             node.clone(),
             Arc::clone(&catalogue),
-            Arc::clone(&serving),
+            Arc::clone(&server),
         ));
         for (group, register) in (CLAIM_GROUP..).zip(claims.clone()) {
             let clock = Arc::clone(&clock);
             peer_runtime.spawn(keep_claims(node.clone(), group, register, clock));
         }
-        caller_runtime.spawn(Arc::clone(&serving).accept(caller_listener));
-        start_views(&supervisor, &serving, &fleet, &peers);
+        caller_runtime.spawn(Arc::clone(&server).accept(caller_listener));
+        start_views(&supervisor, &server, &fleet, &peers);
         let control = Arc::new(Control {
             settings: Arc::clone(&settings),
             clock: Arc::clone(&clock),
@@ -158,7 +158,7 @@
             fleet: fleet.clone(),
             gate: Arc::clone(&gate),
             metrics,
-            dump: dumper(&settings, &node, (&serving, &force, &gate, &fleet), &clock),
+            dump: dumper(&settings, &node, (&server, &force, &gate, &fleet), &clock),
         });
         control_runtime.spawn(control::serve(control, control_listener));
         let signals = signals(&peer_runtime)?;
@@ -345,13 +345,13 @@
 fn dumper(
     settings: &Arc<Settings>,
     node: &Node,
-    parts: (&Arc<Serving>, &Arc<LeasedCatalogue>, &Arc<Gate>, &Fleet),
+    parts: (&Arc<Server>, &Arc<LeasedCatalogue>, &Arc<Gate>, &Fleet),
     clock: &Arc<dyn Clock>,
 ) -> Arc<dyn Fn() -> Dump + Send + Sync> {
     let settings = Arc::clone(settings);
     let node = node.clone();
-    let (serving, force, gate, fleet) = parts;
-    let (serving, force) = (Arc::clone(serving), Arc::clone(force));
+    let (server, force, gate, fleet) = parts;
+    let (server, force) = (Arc::clone(server), Arc::clone(force));
     let (gate, fleet) = (Arc::clone(gate), fleet.clone());
     let clock = Arc::clone(clock);
     Arc::new(move || {
@@ -367,7 +367,7 @@
             },
             requests: RequestDump {
                 running: gate.running(),
-                queued: serving.queued(),
+                queued: server.queued(),
                 draining: gate.closed(),
             },
             groups: node
@@ -375,7 +375,7 @@
                 .map(|v| v.voter.status())
                 .unwrap_or_default(),
             fleet: fleet.dump(),
-            bounds: serving.bounds().into_iter().collect(),
+            bounds: server.throughput_bounds().into_iter().collect(),
         }
     })
 }
--- a/src/periodic.rs
+++ b/src/periodic.rs
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::peer::Peers;
 use crate::propose::Proposer;
-use crate::serve::Serving;
+use crate::serve::Server;
 use crate::supervise::{Policy, Supervisor};
 
 /// Period of moving the claims' time on.
@@ -30,16 +30,18 @@
 const VIEW: Duration = Duration::from_millis(100);
 
 /// Asks for shares of the limits whenever a question is due.
-pub(crate) async fn keep_shares(node: Node, leader: Arc<Proposer>, serving: Arc<Serving>) {
+pub(crate) async fn keep_shares(node: Node, leader: Arc<Proposer>, server: Arc<Server>) {
     loop {
-        serving.share_due().await;
-        let Some(ask) = serving.ask() else { continue };
+        server.wait_share_request_due().await;
+        let Some(ask) = server.share_request() else {
+            continue;
+        };
         let request = Request {
             ask: Some(Ask::LimitShares(ask)),
         };
         let to = leader.target();
         match node.call(to, request, SHARE_LIMIT).await.map(|r| r.answer) {
-            Ok(Some(Answer::Grant(grant))) => serving.grant(&grant),
+            Ok(Some(Answer::Grant(grant))) => server.apply_grant(&grant),
             Ok(Some(Answer::NotLeader(hint))) => leader.set_leader_hint(to, hint),
             _ => leader.set_leader_hint(to, 0),
         }
@@ -69,25 +71,21 @@
 /// Hands what the fleet knows to routing and to the connections.
 pub(crate) fn start_views(
     supervisor: &Supervisor,
-    serving: &Arc<Serving>,
+    server: &Arc<Server>,
     fleet: &Fleet,
     peers: &Peers,
 ) {
-    let serving = Arc::clone(serving);
+    let server = Arc::clone(server);
     let fleet = fleet.clone();
     let peers = peers.clone();
     supervisor.start("views", Policy::Restart, move || {
         let mut viewed = Instant::now();
         loop {
-            thread::sleep(if serving.queued() > 0 {
-                TICK
-            } else {
-                IDLE_TICK
-            });
-            serving.tick();
+            thread::sleep(if server.queued() > 0 { TICK } else { IDLE_TICK });
+            server.tick();
             if viewed.elapsed() >= VIEW {
                 viewed = Instant::now();
-                serving.refresh();
+                server.refresh_upstreams();
                 for member in &fleet.members().members {
                     peers.set_address(member.id, member.peer);
                 }
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -45,12 +45,12 @@
 /// Who waits for the dispatcher.
 type Waiter = oneshot::Sender<Decision>;
 
-/// What serving needs of the instance.
-pub(crate) struct Parts {
+/// What the server needs of the instance.
+pub(crate) struct Dependencies {
     pub(crate) settings: Arc<Settings>,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) incarnation: Incarnation,
-    pub(crate) force: Arc<LeasedCatalogue>,
+    pub(crate) catalogue: Arc<LeasedCatalogue>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) fleet: Fleet,
     /// Registers of claims, by shard.
@@ -58,8 +58,8 @@
 }
 
 /// Serves callers.
-pub(crate) struct Serving {
-    parts: Parts,
+pub(crate) struct Server {
+    deps: Dependencies,
     dispatcher: Mutex<Dispatcher<Waiter>>,
     budget: Mutex<Budget>,
     /// Latest load report of each upstream, and when it came.
@@ -70,13 +70,12 @@
     sequence: AtomicU64,
 }
 
-impl Serving {
-    pub(crate) fn new(parts: Parts) -> Arc<Self> {
-        let dispatcher =
-            Dispatcher::new(parts.settings.instance, parts.incarnation, rand::random());
-        let budget = Budget::new(parts.clock.now());
+impl Server {
+    pub(crate) fn new(deps: Dependencies) -> Arc<Self> {
+        let dispatcher = Dispatcher::new(deps.settings.instance, deps.incarnation, rand::random());
+        let budget = Budget::new(deps.clock.now());
         Arc::new(Self {
-            parts,
+            deps,
             dispatcher: Mutex::new(dispatcher),
             budget: Mutex::new(budget),
             reports: Mutex::default(),
@@ -86,13 +85,13 @@
     }
 
     fn now(&self) -> Time {
-        self.parts.clock.now()
+        self.deps.clock.now()
     }
 
     fn next_id(&self) -> RequestId {
         RequestId {
-            instance: self.parts.settings.instance,
-            incarnation: self.parts.incarnation,
+            instance: self.deps.settings.instance,
+            incarnation: self.deps.incarnation,
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed),
         }
     }
@@ -123,9 +122,9 @@
     }
 
     /// Hands the upstreams that are alive to routing.
-    pub(crate) fn refresh(&self) {
-        let view = self.parts.fleet.upstreams();
-        let members = self.parts.fleet.members();
+    pub(crate) fn refresh_upstreams(&self) {
+        let view = self.deps.fleet.upstreams();
+        let members = self.deps.fleet.members();
         let now = self.now();
         let stages: Vec<Stage> = {
             let mut reports = self.reports.lock().expect("no holder panics");
@@ -135,8 +134,8 @@
                 .map(|u| stage(u, reported(&mut reports, u, now)))
                 .collect()
         };
-        let serving = members.present().filter(|m| !m.draining).count();
-        let instances = u32::try_from(serving).unwrap_or(u32::MAX).max(1);
+        let active = members.present().filter(|m| !m.draining).count();
+        let instances = u32::try_from(active).unwrap_or(u32::MAX).max(1);
         self.dispatch(|dispatcher, now, out| {
             dispatcher.set_view(now, &stages, instances, out);
         });
@@ -148,7 +147,7 @@
     }
 
     /// Waits until a question for shares is due.
-    pub(crate) async fn share_due(&self) {
+    pub(crate) async fn wait_share_request_due(&self) {
         loop {
             let due = self.dispatcher.lock().expect("no holder panics").due();
             let left = due.since(self.now());
@@ -163,14 +162,14 @@
     }
 
     /// The question for shares, if one is due.
-    pub(crate) fn ask(&self) -> Option<ShareRequest> {
+    pub(crate) fn share_request(&self) -> Option<ShareRequest> {
         let now = self.now();
         let mut dispatcher = self.dispatcher.lock().expect("no holder panics");
         (dispatcher.due() <= now).then(|| dispatcher.share_request(now))
     }
 
     /// Takes the answer to a question for shares.
-    pub(crate) fn grant(&self, grant: &Grant) {
+    pub(crate) fn apply_grant(&self, grant: &Grant) {
         self.dispatch(|dispatcher, now, out| dispatcher.grant(now, grant, out));
     }
 
@@ -181,8 +180,8 @@
     }
 
     /// Tokens a second that the hardware allows for each route's model.
-    pub(crate) fn bounds(&self) -> Vec<(String, f64)> {
-        let catalogue = self.parts.force.latest();
+    pub(crate) fn throughput_bounds(&self) -> Vec<(String, f64)> {
+        let catalogue = self.deps.catalogue.latest();
         let now = self.now();
         let mut dispatcher = self.dispatcher.lock().expect("no holder panics");
         catalogue
@@ -200,10 +199,10 @@
 
     /// Whether the start of an instance that holds a claim is believed to run.
     fn alive(&self, instance: InstanceId, incarnation: Incarnation) -> bool {
-        if instance == self.parts.settings.instance {
-            return incarnation == self.parts.incarnation;
+        if instance == self.deps.settings.instance {
+            return incarnation == self.deps.incarnation;
         }
-        self.parts.fleet.members().alive(instance, incarnation)
+        self.deps.fleet.members().alive(instance, incarnation)
     }
 }
 
@@ -263,7 +262,7 @@
 
 /// A permit that books what was really used when its request ends.
 pub(crate) struct Held {
-    serving: Arc<Serving>,
+    server: Arc<Server>,
     permit: Option<Permit>,
     /// Tokens used so far, shared with the request that counts them.
     used: Arc<std::sync::atomic::AtomicU32>,
@@ -273,7 +272,7 @@
     fn drop(&mut self) {
         let used = self.used.load(Ordering::Relaxed);
         if let Some(permit) = self.permit.take() {
-            self.serving
+            self.server
                 .dispatch(|dispatcher, now, out| dispatcher.settle(now, permit, used, out));
         }
     }
--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -9,7 +9,7 @@
 
 use super::claims::ClaimKey;
 use super::head::Head;
-use super::{Held, Serving, Waiter, listen, respond};
+use super::{Held, Server, Waiter, listen, respond};
 use crate::catalogue::{Catalogue, Route, Target};
 use crate::clock::Time;
 use crate::dispatch::{Admission, Decision, Dispatcher, Placement, PlacementError};
@@ -60,18 +60,18 @@
 
 /// Leaves the dispatcher's queues when dropped: the caller may go at any time.
 struct Leave {
-    serving: Arc<Serving>,
+    server: Arc<Server>,
     id: u64,
 }
 
 impl Drop for Leave {
     fn drop(&mut self) {
-        self.serving
+        self.server
             .dispatch(|dispatcher, _, _| dispatcher.cancel(self.id));
     }
 }
 
-impl Serving {
+impl Server {
     /// Finds out whose request it is, or says why it gets no further.
     pub(crate) fn identify(
         &self,
@@ -84,17 +84,17 @@
             let answer = Answer::refused_early(code, keyed, pause);
             Box::new(respond::refuse(&answer, "-"))
         };
-        let running = self.parts.gate.enter();
+        let running = self.deps.gate.enter();
         let running = running.ok_or_else(|| refuse(RefusalCode::Draining, Some(Duration::ZERO)))?;
         let now = self.now();
-        let catalogue = self.parts.force.get(now);
+        let catalogue = self.deps.catalogue.get(now);
         let catalogue =
             catalogue.map_err(|_| refuse(RefusalCode::CatalogueLease, Some(LEASE_PAUSE)))?;
         let secret = head.secret.as_deref();
         let organisation = secret.and_then(|s| catalogue.organisation(s)).cloned();
         let organisation =
             organisation.ok_or_else(|| refuse(RefusalCode::Unauthenticated, None))?;
-        let longest = self.parts.settings.deadline;
+        let longest = self.deps.settings.deadline;
         let time = head.deadline.map_or(longest, |d| d.min(longest));
         Ok(Known {
             id: self.next_id(),
@@ -129,7 +129,7 @@
             .await;
         match told {
             Some(Decision::Admitted(permit)) => Ok(life.admit(Held {
-                serving: Arc::clone(self),
+                server: Arc::clone(self),
                 permit: Some(permit),
                 used: Arc::clone(used),
             })),
@@ -170,7 +170,7 @@
     ) -> Option<Decision> {
         let (waiter, told) = oneshot::channel();
         let _leave = Leave {
-            serving: Arc::clone(self),
+            server: Arc::clone(self),
             id,
         };
         self.dispatch(|dispatcher, now, out| enter(dispatcher, now, waiter, out));
@@ -179,7 +179,7 @@
 
     /// The models that the caller's organisation may use.
     pub(crate) fn models<B>(&self, request: &Request<B>) -> Response<ResponseBody> {
-        let Ok(catalogue) = self.parts.force.get(self.now()) else {
+        let Ok(catalogue) = self.deps.catalogue.get(self.now()) else {
             return listen::refuse(RefusalCode::CatalogueLease);
         };
         let head = Head::parse(request.headers()).unwrap_or_default();
--- a/src/serve/claims.rs
+++ b/src/serve/claims.rs
@@ -5,7 +5,7 @@
 
 use sha2::{Digest, Sha256};
 
-use super::{Held, Serving};
+use super::{Held, Server};
 use crate::claim::{
     Action, Bounds, Claim, ClaimLease, ClaimToken, DISPATCH_WINDOW, Outcome, Purpose, Release,
     Reply, Settle, shard,
@@ -37,7 +37,7 @@
 /// task ends at that point, and its next sending would be told "in progress"
 /// and then "unknown" of a request that nobody runs.
 struct Unused {
-    serving: Arc<Serving>,
+    server: Arc<Server>,
     key: ClaimKey,
     token: ClaimToken,
     armed: bool,
@@ -46,7 +46,7 @@
 impl Drop for Unused {
     fn drop(&mut self) {
         if self.armed {
-            self.serving.release(self.key.clone(), self.token);
+            self.server.release(self.key.clone(), self.token);
         }
     }
 }
@@ -61,7 +61,7 @@
     digest.finalize().to_vec()
 }
 
-impl Serving {
+impl Server {
     /// Claims the request's key, if it has to. Nothing may be sent before.
     pub(crate) async fn claim(
         self: &Arc<Self>,
@@ -77,7 +77,7 @@
         let token = ClaimToken::from(life.id);
         let lease = self.lease(token);
         let mut unused = Unused {
-            serving: Arc::clone(self),
+            server: Arc::clone(self),
             key: key.clone(),
             token,
             armed: true,
@@ -171,7 +171,7 @@
 
     /// The register that holds the claim.
     fn register(&self, key: &ClaimKey) -> Arc<Proposer> {
-        let claims = &self.parts.claims;
+        let claims = &self.deps.claims;
         let shards = u32::try_from(claims.len()).unwrap_or(1);
         let shard = shard(&key.organisation, &key.key, shards);
         Arc::clone(&claims[usize::try_from(shard).unwrap_or(0)])
@@ -179,7 +179,7 @@
 
     fn record(self: &Arc<Self>, claims: Arc<Proposer>, action: Action) {
         // A graceful shutdown waits for it as for a running request.
-        let running = self.parts.gate.hold();
+        let running = self.deps.gate.hold();
         tokio::spawn(async move {
             let _ = claims.propose(action.into_bytes().into(), RECORD).await;
             drop(running);
--- a/src/serve/complete.rs
+++ b/src/serve/complete.rs
@@ -8,7 +8,7 @@
 use hyper::{Response, StatusCode};
 use tokio::sync::mpsc;
 
-use super::Serving;
+use super::Server;
 use super::admit::Known;
 use super::claims::{ClaimKey, request_digest};
 use super::job::{Job, OUTPUT, Output, Work};
@@ -26,7 +26,7 @@
 /// Bytes of a prompt that an engine's prefix cache is looked up by.
 const PREFIX_BYTES: usize = 512;
 
-impl Serving {
+impl Server {
     /// Answers `POST /v1/completions` and `/v1/chat/completions`.
     pub(crate) async fn complete(
         self: Arc<Self>,
@@ -99,7 +99,7 @@
             key,
             used,
             work: Work::Engine(completion.prompt.clone()),
-            running: self.parts.gate.hold(),
+            running: self.deps.gate.hold(),
         };
         Ok((completion, self.start(job, life)))
     }
--- a/src/serve/generate.rs
+++ b/src/serve/generate.rs
@@ -11,7 +11,7 @@
 
 use super::job::{Job, OUTPUT, Output, Work};
 use super::service;
-use super::{Held, Serving, stream};
+use super::{Held, Server, stream};
 use crate::claim::{ClaimLease, Outcome as Settled};
 use crate::clock::{Time, millis};
 use crate::dispatch::{Placed, Placement, PlacementError};
@@ -60,7 +60,7 @@
 
 /// Runs one generation.
 struct Run {
-    serving: Arc<Serving>,
+    server: Arc<Server>,
     job: Job,
     generation: Generation<Held>,
     flight: Option<Flight>,
@@ -73,7 +73,7 @@
     left: bool,
 }
 
-impl Serving {
+impl Server {
     /// Starts a generation or call; its output comes piece by piece.
     pub(crate) fn start(
         self: &Arc<Self>,
@@ -92,7 +92,7 @@
         life: Lifecycle<Claimed<Held>>,
         output: mpsc::Sender<Output>,
     ) {
-        let settings = &self.parts.settings;
+        let settings = &self.deps.settings;
         let (layers, first) = match &job.work {
             Work::Engine(_) => (self.layers(&job.model, &job.pools), settings.first),
             Work::Call(_) => (SERVICE_LAYERS, settings.call),
@@ -109,7 +109,7 @@
         let generation = Generation::new(life, bounds, &mut effects);
         let (events, incoming) = mpsc::channel(EVENTS);
         let run = Run {
-            serving: Arc::clone(&self),
+            server: Arc::clone(&self),
             job,
             generation,
             flight: None,
@@ -125,7 +125,7 @@
     /// Layers of the model as its engines announce it; 0 when none is known,
     /// which no path covers.
     fn layers(&self, model: &str, pools: &[String]) -> u32 {
-        let view = self.parts.fleet.upstreams();
+        let view = self.deps.fleet.upstreams();
         let engines = view.upstreams.iter().filter(|u| pools.contains(&u.pool));
         engines
             .filter_map(|u| match &u.serves {
@@ -153,13 +153,13 @@
 
     fn step(&mut self, event: Event, effects: &mut VecDeque<Effect>) {
         let mut out = Vec::new();
-        self.generation.step(self.serving.now(), event, &mut out);
+        self.generation.step(self.server.now(), event, &mut out);
         effects.extend(out);
     }
 
     /// The next event: from the engine, the clock or the caller.
     async fn wait(&mut self) -> Event {
-        let wake = self.generation.next_tick().since(self.serving.now());
+        let wake = self.generation.next_tick().since(self.server.now());
         tokio::select! {
             biased;
             () = self.output.closed(), if !self.left => {
@@ -192,7 +192,7 @@
             Effect::Report { report, .. } => self.report(&report),
             Effect::Release { token } => {
                 if let Some(key) = self.job.key.clone() {
-                    self.serving.release(key, token);
+                    self.server.release(key, token);
                 }
             }
             Effect::Settle { token, outcome } => {
@@ -201,7 +201,7 @@
                     (_, outcome) => outcome,
                 };
                 if let Some(key) = self.job.key.clone() {
-                    self.serving.settle(key, token, outcome);
+                    self.server.settle(key, token, outcome);
                 }
             }
             Effect::Finish(_) => unreachable!("handled by the loop"),
@@ -259,7 +259,7 @@
     ) -> Result<Option<(Placed, Vec<Stage>)>, Closed> {
         loop {
             let placed = tokio::select! {
-                placed = self.serving.place(placement.clone()) => placed,
+                placed = self.server.place(placement.clone()) => placed,
                 () = self.output.closed(), if !self.left => {
                     self.left = true;
                     return Ok(None);
@@ -277,7 +277,7 @@
             // upstream while others were free. It takes the view over now and
             // can't choose that one again.
             self.give_back(placed, Outcome::Cancelled, 0);
-            self.serving.refresh();
+            self.server.refresh_upstreams();
         }
     }
 
@@ -287,8 +287,8 @@
     /// catalogue said then, it could reach capacity that its organisation has
     /// lost meanwhile, or go on under an instance that is cut off.
     fn pools(&self) -> Result<Arc<[String]>, Closed> {
-        let now = self.serving.now();
-        let catalogue = self.serving.parts.force.get(now);
+        let now = self.server.now();
+        let catalogue = self.server.deps.catalogue.get(now);
         let catalogue = catalogue.map_err(|_| (OpenError::CatalogueLease, None))?;
         let route = catalogue.route(&self.job.organisation, &self.job.route);
         let route = route.ok_or((OpenError::NoRoute, None))?;
@@ -296,8 +296,8 @@
     }
 
     fn retry_allowed(&self) -> bool {
-        let now = self.serving.now();
-        let allowed = self.serving.budget().take(now, &self.job.organisation);
+        let now = self.server.now();
+        let allowed = self.server.budget().take(now, &self.job.organisation);
         if allowed {
             metrics::counter!("retries_total").increment(1);
             tracing::info!(event = event::REQUEST_RESUMED.id, id = %self.job.id, "request resumed");
@@ -334,16 +334,16 @@
     async fn renew(&self) -> Option<ClaimLease> {
         let held = self.generation.pending_lease()?;
         let key = self.job.key.as_ref()?;
-        if !held.needs_renewal(self.serving.now()) {
+        if !held.needs_renewal(self.server.now()) {
             return None;
         }
         let deadline = self.job.deadline;
-        self.serving.renew(key, held.token(), deadline).await
+        self.server.renew(key, held.token(), deadline).await
     }
 
     /// The path with its addresses; none when an upstream has just gone.
     fn path(&self, placed: &Placed) -> Option<Vec<Stage>> {
-        let view = self.serving.parts.fleet.upstreams();
+        let view = self.server.deps.fleet.upstreams();
         let stage = |hop: &crate::route::Hop| {
             Some(Stage {
                 upstream: hop.upstream.clone(),
@@ -368,7 +368,7 @@
             placed,
             path,
             reader: None,
-            started: self.serving.now(),
+            started: self.server.now(),
         });
         Event::Started {
             attempt,
@@ -378,12 +378,12 @@
     }
 
     fn send(&mut self, attempt: u32, send_by: Option<Time>) {
-        let cutoff = Cutoff::new(send_by, Arc::clone(&self.serving.parts.clock));
+        let cutoff = Cutoff::new(send_by, Arc::clone(&self.server.deps.clock));
         let Some(flight) = &mut self.flight else {
             return;
         };
         let events = self.events.clone();
-        flight.started = self.serving.now();
+        flight.started = self.server.now();
         let prompt = match &self.job.work {
             Work::Engine(prompt) => prompt,
             Work::Call(call) => {
@@ -422,14 +422,14 @@
         if index == 0 {
             metrics::histogram!("first_token_seconds").record(self.since_start().as_secs_f64());
         }
-        let left = self.job.deadline.since(self.serving.now());
+        let left = self.job.deadline.since(self.server.now());
         // A caller that reads nothing is bounded by the request's own time.
         let _ = tokio::time::timeout(left, self.output.send(Output::Token(text))).await;
     }
 
     fn since_start(&self) -> Duration {
         let started = self.flight.as_ref().map(|f| f.started);
-        started.map_or(Duration::ZERO, |s| self.serving.now().since(s))
+        started.map_or(Duration::ZERO, |s| self.server.now().since(s))
     }
 
     fn cancel(&mut self) {
@@ -451,8 +451,8 @@
         };
         let outcome = match report {
             AttemptReport::Served => {
-                self.serving.budget().succeeded(&self.job.organisation);
-                let spent = self.serving.now().since(flight.started);
+                self.server.budget().succeeded(&self.job.organisation);
+                let spent = self.server.now().since(flight.started);
                 Outcome::Done {
                     token: spent / tokens.max(1),
                 }
@@ -470,17 +470,17 @@
     }
 
     fn give_back(&self, placed: Placed, outcome: Outcome, tokens: u32) {
-        self.serving.dispatch(|dispatcher, now, out| {
+        self.server.dispatch(|dispatcher, now, out| {
             dispatcher.finish(now, placed.receipt, outcome, tokens, out);
         });
     }
 
     async fn finish(mut self, answer: Answer) {
         self.cancel();
-        self.serving.note(self.job.id, &answer);
+        self.server.note(self.job.id, &answer);
         // The closing event may wait for a slow reader a little longer; one
         // that reads nothing sees its stream end without the marker.
-        let grace = self.serving.parts.settings.idle;
+        let grace = self.server.deps.settings.idle;
         let _ = tokio::time::timeout(grace, self.output.send(Output::Finish(answer))).await;
         drop(self.job.running);
     }
--- a/src/serve/listen.rs
+++ b/src/serve/listen.rs
@@ -8,7 +8,7 @@
 use hyper::header::{CONNECTION, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
 
-use super::Serving;
+use super::Server;
 use super::respond;
 use crate::http::{self, ReceiveError, ReceiveLimits, ResponseBody};
 use crate::openai::Form;
@@ -23,12 +23,12 @@
     pub(crate) body: Bytes,
 }
 
-impl Serving {
+impl Server {
     /// Accepts callers until the runtime ends.
     pub(crate) async fn accept(self: Arc<Self>, listener: StdListener) {
         let bounds = ReceiveLimits {
-            max_head: self.parts.settings.head,
-            receive_timeout: self.parts.settings.receive,
+            max_head: self.deps.settings.head,
+            receive_timeout: self.deps.settings.receive,
         };
         http::accept(listener, bounds, move |request| {
             Arc::clone(&self).answer(request)
@@ -40,7 +40,7 @@
     /// that keeps one open might send its next request at the very moment at
     /// which the process ends, and would never hear of it.
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
-        let gate = Arc::clone(&self.parts.gate);
+        let gate = Arc::clone(&self.deps.gate);
         let mut response = self.respond(request).await;
         if gate.closed() {
             let close = HeaderValue::from_static("close");
@@ -65,7 +65,7 @@
     }
 
     fn ready(&self) -> Response<ResponseBody> {
-        match self.parts.gate.not_ready(&self.parts.force, self.now()) {
+        match self.deps.gate.not_ready(&self.deps.catalogue, self.now()) {
             None => respond::plain(StatusCode::OK, "ready\n"),
             Some(reason) => respond::plain(StatusCode::SERVICE_UNAVAILABLE, reason),
         }
@@ -91,7 +91,7 @@
 
     /// Reads a body whole, within the bounds of size and time.
     async fn receive(&self, request: Request<Incoming>) -> Result<Received, RefusalCode> {
-        let settings = &self.parts.settings;
+        let settings = &self.deps.settings;
         let (head, body) = request.into_parts();
         match http::read_body(body, settings.body, settings.receive).await {
             Ok(body) => Ok(Received { head, body }),
--- a/src/serve/service.rs
+++ b/src/serve/service.rs
@@ -16,7 +16,7 @@
 use super::claims::request_digest;
 use super::job::{Job, Output, Work};
 use super::listen::Received;
-use super::{Serving, respond};
+use super::{Server, respond};
 use crate::catalogue::Target;
 use crate::claim::{MAX_STORED_ANSWER, Outcome as Settled, StoredAnswer};
 use crate::dispatch::service_model;
@@ -59,7 +59,7 @@
     slot: Slot,
 }
 
-impl Serving {
+impl Server {
     /// Answers `/services/NAME/...`.
     pub(crate) async fn call(self: Arc<Self>, received: Received) -> Response<ResponseBody> {
         let known = match self.identify(&received.head) {
@@ -121,7 +121,7 @@
             key,
             used,
             work: Work::Call(call),
-            running: self.parts.gate.hold(),
+            running: self.deps.gate.hold(),
         };
         Ok((slot, self.start(job, life)))
     }
