--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines, behind one narrow trait, and the HTTP client for them.
+//! Interface to model engines, and the HTTP client for upstreams.
 //!
 //! docs/UPSTREAMS.md describes the protocol.
 
@@ -24,65 +24,61 @@
 use crate::id::UpstreamId;
 use crate::platform::{engine as platform, headers};
 
-/// Longest time to connect to an upstream.
-const CONNECT: Duration = Duration::from_millis(750);
+/// Timeout for connecting to an upstream.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// Longest event of a token stream, in bytes.
-const MAX_EVENT: usize = 64 * 1024;
+/// Maximum size of an event of a token stream, in bytes.
+const MAX_EVENT_BYTES: usize = 64 * 1024;
 
 /// One stage of a pipeline: layers `first` (inclusive) to `end` (exclusive).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Stage {
-    /// Who runs the stage.
+    /// Upstream that runs the stage.
     pub(crate) upstream: UpstreamId,
-    /// Where.
     pub(crate) address: SocketAddr,
-    /// First layer.
     pub(crate) first: u32,
-    /// Layer behind the last.
     pub(crate) end: u32,
 }
 
-/// An order to generate, as the first stage gets it.
+/// A generation request to the first stage of a pipeline.
 #[derive(Clone, Debug, Serialize)]
-pub(crate) struct Order {
+pub(crate) struct PipelineRequest {
     pub(crate) request: String,
     pub(crate) attempt: u32,
     pub(crate) organisation: String,
     pub(crate) model: String,
     pub(crate) prompt: String,
-    /// Tokens verified on earlier attempts; generation goes on behind them.
+    /// Tokens verified in earlier attempts. The engine continues after them.
     pub(crate) tokens: Vec<String>,
-    /// Tokens of the whole answer.
+    /// Maximum number of tokens of the answer, including `tokens`.
     pub(crate) limit: u32,
-    /// Lower numbers go first.
+    /// Priority; lower values are served first.
     pub(crate) priority: u8,
-    /// Milliseconds left to the deadline.
+    /// Time until the deadline, in milliseconds.
     pub(crate) remaining: u64,
     pub(crate) path: Vec<Stage>,
 }
 
-/// Layers that a token passed in one upstream.
+/// Layer range that a token has passed in one upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-pub(crate) struct Passed {
+pub(crate) struct PassedStage {
     pub(crate) upstream: UpstreamId,
     pub(crate) first: u32,
     pub(crate) end: u32,
 }
 
-/// One event of a token stream.
+/// An event of a token stream.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(untagged)]
 pub(crate) enum EngineEvent {
-    /// A token.
     Token {
         request: String,
         attempt: u32,
         index: u32,
         text: String,
-        passed: Vec<Passed>,
+        passed: Vec<PassedStage>,
     },
-    /// A stage failed; nothing follows.
+    /// A stage failed; no event follows.
     Failed {
         #[allow(dead_code, reason = "checked to be present")]
         request: String,
@@ -91,7 +87,7 @@
         #[serde(rename = "failed")]
         upstream: UpstreamId,
     },
-    /// The end of a whole stream.
+    /// End of a complete stream.
     Done {
         request: String,
         attempt: u32,
@@ -101,51 +97,51 @@
     },
 }
 
-/// Why an engine gives no (further) events.
+/// Why an engine sends no (further) events.
 #[derive(Debug, Snafu)]
 pub(crate) enum EngineError {
-    /// No connection: not a byte of the order has left.
-    #[snafu(display("can't connect to the engine; it may have ended"))]
+    /// No connection: no byte of the request was sent.
+    #[snafu(display("can't connect to the engine; it may have stopped"))]
     Connect,
-    /// The engine says that it didn't run the order.
+    /// The engine reports that it didn't run the request.
     #[snafu(display("the engine is busy"))]
     Busy,
-    /// The engine refused in another way.
+    /// The engine answered with another error status.
     #[snafu(display("the engine answered with status {status}"))]
     Status { status: u16 },
-    /// The connection broke, or the stream ended without its closing event.
-    #[snafu(display("the token stream was cut"))]
-    Cut,
-    /// An event can't be understood.
-    #[snafu(display("the engine sent what isn't a token event"))]
-    Garbage,
+    /// The connection was lost, or the stream ended without its final event.
+    #[snafu(display("the token stream was interrupted"))]
+    ConnectionLost,
+    /// An event is invalid or too long.
+    #[snafu(display("the engine sent an invalid token event"))]
+    InvalidEvent,
 }
 
-/// Events of one attempt. Dropping it cancels the attempt.
-pub(crate) trait Events: Send {
-    /// The next event; never called again after the last or an error.
+/// Event stream of one attempt. Dropping it cancels the attempt.
+pub(crate) trait EventStream: Send {
+    /// Returns the next event. Must not be called after the last event or an error.
     fn next(&mut self) -> impl Future<Output = Result<EngineEvent, EngineError>> + Send;
 }
 
-/// Runs orders on engines.
+/// Starts requests on engines.
 pub(crate) trait Engine: Send + Sync {
-    /// Events that an order yields.
-    type Events: Events;
-    /// Sends the order to the first stage of its path, unless the cutoff has
+    /// Event stream of a request.
+    type Events: EventStream;
+    /// Sends the request to the first stage of its path, unless the cutoff has
     /// passed.
     fn start(
         &self,
-        order: &Order,
+        request: &PipelineRequest,
         cutoff: &Cutoff,
     ) -> impl Future<Output = Result<Self::Events, EngineError>> + Send;
 }
 
-/// Time at which the first byte of a claimed request must have left.
+/// Time by which the first byte of a claimed request must have been sent.
 ///
-/// Guards against an instance that freezes while it connects: by the time it
-/// wakes, a later sending may have been told that the outcome is unknown. It
-/// holds as it is asked between the connection and the first byte; only the
-/// write itself lies behind it.
+/// If the process is suspended while it connects, a repeated request may have
+/// been told that the outcome is unknown before the process resumes. The cutoff
+/// is therefore checked between connecting and writing the first byte; only the
+/// write itself remains after the check.
 #[derive(Clone)]
 pub(crate) struct Cutoff {
     until: Option<Time>,
@@ -162,18 +158,19 @@
     }
 }
 
-/// A connection of its own for one call to an upstream.
+/// A new connection for a single call to an upstream.
 ///
-/// A pooled connection may have been closed by the upstream at the moment of
-/// use; whether the call then ran can't be known, and a non-idempotent call
-/// would end as unknown for no need. With a fresh connection a failure before
-/// [`Connection::send`] proves that nothing has left.
+/// The upstream may close a pooled connection at the moment of its use. Whether
+/// the call ran is then unknown, and a non-idempotent call would needlessly end
+/// with an unknown outcome. With a new connection, a failure before
+/// [`Connection::send`] proves that nothing was sent.
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: Driver,
 }
 
-/// Ends the connection when dropped: the upstream sees that the caller left.
+/// Task that drives a connection. Dropping it closes the connection, which
+/// cancels the call at the upstream.
 struct Driver(JoinHandle<()>);
 
 impl Drop for Driver {
@@ -182,19 +179,19 @@
     }
 }
 
-/// A response with the connection that it comes from.
+/// A response and its connection, which must stay open until the body is read.
 pub(crate) struct UpstreamResponse {
     pub(crate) response: Response<Incoming>,
     _driver: Driver,
 }
 
 impl Connection {
-    /// Connects; an error proves that nothing has left.
+    /// Connects to an upstream. An error proves that nothing was sent.
     pub(crate) async fn open(addr: SocketAddr) -> Result<Self, EngineError> {
-        Self::open_within(addr, CONNECT).await
+        Self::open_within(addr, CONNECT_TIMEOUT).await
     }
 
-    /// As [`Connection::open`], within `limit`.
+    /// Same as [`Connection::open`], with a timeout of `limit`.
     pub(crate) async fn open_within(
         addr: SocketAddr,
         limit: Duration,
@@ -203,7 +200,7 @@
         let Ok(Ok(stream)) = connected else {
             return ConnectSnafu.fail();
         };
-        // Without it each small request waits for the delayed acknowledgement.
+        // With Nagle's algorithm, small writes wait for delayed ACKs.
         let _ = stream.set_nodelay(true);
         let Ok((sender, connection)) = handshake(TokioIo::new(stream)).await else {
             return ConnectSnafu.fail();
@@ -217,8 +214,8 @@
         })
     }
 
-    /// Sends the request, unless the cutoff has passed. From here on it may
-    /// have run.
+    /// Sends the request, unless the cutoff has passed. Once it is sent, it may
+    /// run even if an error is returned.
     pub(crate) async fn send(
         mut self,
         request: Request<Full<Bytes>>,
@@ -228,7 +225,7 @@
             return ConnectSnafu.fail();
         }
         let sent = self.sender.send_request(request).await;
-        let response = sent.map_err(|_| EngineError::Cut)?;
+        let response = sent.map_err(|_| EngineError::ConnectionLost)?;
         Ok(UpstreamResponse {
             response,
             _driver: self.driver,
@@ -236,18 +233,18 @@
     }
 }
 
-/// Longest answer to a call that is read, in bytes.
-const MAX_ANSWER: usize = 64 << 10;
+/// Maximum body size of a response to [`call`], in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
-/// Asks an engine for its report; nothing when none came in time.
+/// Fetches an engine's report. Returns `None` if none is received in time.
 pub(crate) async fn fetch_report(address: SocketAddr, id: &str, limit: Duration) -> Option<Bytes> {
     let request = Request::get(platform::REPORT);
     let answer = call(address, id, request, Bytes::new(), limit).await;
     answer.filter(|a| a.0 == StatusCode::OK).map(|a| a.1)
 }
 
-/// Makes one short call to an upstream that expects to be `id`. Nothing when it
-/// is unknown what became of the call.
+/// Makes a short call to an upstream, which checks that it is `id`. Returns
+/// `None` if the outcome of the call is unknown.
 pub(crate) async fn call(
     address: SocketAddr,
     id: &str,
@@ -260,36 +257,40 @@
         .header(header::CONTENT_TYPE, "application/json")
         .header(headers::EXPECTED, id)
         .body(Full::from(body))
-        .expect("the parts of the head are valid");
+        .expect("the request head is valid");
     let exchange = async {
         let mut connection = Connection::open(address).await.ok()?;
         let response = connection.sender.send_request(request).await.ok()?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), MAX_ANSWER);
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
         Some((status, body.collect().await.ok()?.to_bytes()))
     };
     timeout(limit, exchange).await.ok().flatten()
 }
 
-/// Engines over HTTP.
+/// Engines reached over HTTP.
 pub(crate) struct HttpEngine;
 
 impl Engine for HttpEngine {
-    type Events = HttpEvents;
+    type Events = HttpEventStream;
 
-    async fn start(&self, order: &Order, cutoff: &Cutoff) -> Result<HttpEvents, EngineError> {
-        let head = order.path.first().ok_or(EngineError::Connect)?;
-        let connection = Connection::open(head.address).await?;
-        let body = serde_json::to_vec(order).expect("an order always serialises");
+    async fn start(
+        &self,
+        request: &PipelineRequest,
+        cutoff: &Cutoff,
+    ) -> Result<HttpEventStream, EngineError> {
+        let first = request.path.first().ok_or(EngineError::Connect)?;
+        let connection = Connection::open(first.address).await?;
+        let body = serde_json::to_vec(request).expect("a pipeline request always serialises");
         let request = Request::post("/v1/pipeline")
-            .header(header::HOST, head.address.to_string())
+            .header(header::HOST, first.address.to_string())
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::from(body))
-            .expect("the parts of the head are valid");
-        let answer = connection.send(request, cutoff).await?;
-        match answer.response.status() {
-            StatusCode::OK => Ok(HttpEvents {
-                answer,
+            .expect("the request head is valid");
+        let response = connection.send(request, cutoff).await?;
+        match response.response.status() {
+            StatusCode::OK => Ok(HttpEventStream {
+                response,
                 buffer: BytesMut::new(),
             }),
             StatusCode::SERVICE_UNAVAILABLE => BusySnafu.fail(),
@@ -301,37 +302,37 @@
     }
 }
 
-/// Events read from a `text/event-stream` body.
-pub(crate) struct HttpEvents {
-    answer: UpstreamResponse,
+/// Event stream in a `text/event-stream` body.
+pub(crate) struct HttpEventStream {
+    response: UpstreamResponse,
     buffer: BytesMut,
 }
 
-impl HttpEvents {
-    /// Takes the next whole event out of the buffer.
-    fn take(&mut self) -> Option<Result<EngineEvent, EngineError>> {
+impl HttpEventStream {
+    /// Removes the next complete event from the buffer.
+    fn take_event(&mut self) -> Option<Result<EngineEvent, EngineError>> {
         let end = self.buffer.windows(2).position(|w| w == b"\n\n")?;
         let event = self.buffer.split_to(end);
         self.buffer.advance(2);
         let parsed = event
             .strip_prefix(b"data: ")
             .and_then(|data| serde_json::from_slice(data).ok());
-        Some(parsed.ok_or(EngineError::Garbage))
+        Some(parsed.ok_or(EngineError::InvalidEvent))
     }
 }
 
-impl Events for HttpEvents {
+impl EventStream for HttpEventStream {
     async fn next(&mut self) -> Result<EngineEvent, EngineError> {
         loop {
-            if let Some(event) = self.take() {
+            if let Some(event) = self.take_event() {
                 return event;
             }
-            if self.buffer.len() > MAX_EVENT {
-                return GarbageSnafu.fail();
+            if self.buffer.len() > MAX_EVENT_BYTES {
+                return InvalidEventSnafu.fail();
             }
-            let frame = self.answer.response.body_mut().frame().await;
+            let frame = self.response.response.body_mut().frame().await;
             let Some(Ok(frame)) = frame else {
-                return CutSnafu.fail();
+                return ConnectionLostSnafu.fail();
             };
             if let Ok(data) = frame.into_data() {
                 self.buffer.extend_from_slice(&data);
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,7 +1,7 @@
-//! The HTTP server that callers, operators and upstreams meet.
+//! HTTP server for callers, operators and upstreams.
 //!
-//! hyper serves all of them: astra strands connections and hands small pieces
-//! on late, see docs/TRIALS.md.
+//! It is based on hyper. astra, the alternative, left connections stuck and delayed
+//! small chunks; see docs/TRIALS.md.
 
 use std::convert::Infallible;
 use std::net::TcpListener as StdListener;
@@ -20,20 +20,20 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// Pause after a failed accept, such as for lack of file descriptors.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// ReceiveLimits on what a client may send.
+/// Limits on the requests of a client.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReceiveLimits {
-    /// Longest head of a request, in bytes. A longer one is answered with 431.
+    /// Maximum size of a request head, in bytes. A larger one is answered with 431.
     pub(crate) max_head: usize,
-    /// Longest time to send a head, and again to send a body.
+    /// Timeout for receiving the head, and again for the body.
     pub(crate) receive_timeout: Duration,
 }
 
-/// Accepts connections until the runtime ends, and answers each request with
-/// what `handler` gives.
+/// Accepts connections until the runtime stops, and answers each request with
+/// `handler`.
 pub(crate) async fn accept<H, F, B>(listener: StdListener, limits: ReceiveLimits, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -45,8 +45,8 @@
     accept_until(listener, limits, handler, closing).await;
 }
 
-/// As [`accept`], until `closing` tells to take no new connections and to close
-/// each that is open after the answer that runs on it.
+/// Same as [`accept`], until `closing` becomes true. The listener is then closed,
+/// and each open connection after its current response.
 pub(crate) async fn accept_until<H, F, B>(
     listener: StdListener,
     limits: ReceiveLimits,
@@ -59,19 +59,20 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let listener = TcpListener::from_std(listener).expect("the listener doesn't block");
-    let mut told = closing.clone();
+    let mut shutdown = closing.clone();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            // Dropping the listener refuses callers at once, and they go
-            // elsewhere. Taken in, they would be cut off with the process.
-            () = closed(&mut told) => return,
+            // Dropping the listener refuses new connections, so that callers try
+            // another instance. Accepted ones would be cut off when the process
+            // exits.
+            () = wait_closing(&mut shutdown) => return,
         };
         match accepted {
             Ok((stream, _)) => {
                 tokio::spawn(serve(stream, limits, handler.clone(), closing.clone()));
             }
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -87,12 +88,12 @@
     B: Body<Data = Bytes> + Send + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    // Without it each token waits for the delayed acknowledgement of the one
+    // With Nagle's algorithm, each token waits for the delayed ACK of the one
     // before.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
-        let answer = handler(request);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handler(request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let connection = Builder::new()
         .timer(TokioTimer::new())
@@ -102,47 +103,47 @@
     let mut connection = pin!(connection);
     let served = tokio::select! {
         served = connection.as_mut() => served,
-        () = closed(&mut closing) => {
+        () = wait_closing(&mut closing) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
     if let Err(e) = served {
-        tracing::debug!("a client's connection ended: {e}");
+        tracing::debug!("client connection failed: {e}");
     }
 }
 
-/// Returns once connections are to be closed.
-async fn closed(closing: &mut watch::Receiver<bool>) {
-    let told = closing.wait_for(|closing| *closing).await.is_ok();
-    if !told {
-        // Nobody is left who could tell.
+/// Waits until `closing` becomes true.
+async fn wait_closing(closing: &mut watch::Receiver<bool>) {
+    let signalled = closing.wait_for(|closing| *closing).await.is_ok();
+    if !signalled {
+        // The sender is gone: the signal can't come any more.
         std::future::pending::<()>().await;
     }
 }
 
-/// Why a body wasn't received.
+/// Why a request body was not received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReceiveError {
-    /// It is longer than the bound.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The client closed in the middle of it.
+    /// The connection was closed before the end of the body.
     Incomplete,
-    /// It wasn't sent in time.
+    /// The body was not received in time.
     Timeout,
 }
 
-/// Reads a body whole, of at most `most` bytes within `time`.
+/// Reads a complete body of at most `max_bytes` within `time_limit`.
 pub(crate) async fn read_body<B>(
     body: B,
-    most: usize,
-    time: Duration,
+    max_bytes: usize,
+    time_limit: Duration,
 ) -> Result<Bytes, ReceiveError>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    match timeout(time, Limited::new(body, most).collect()).await {
+    match timeout(time_limit, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(ReceiveError::TooLarge),
         Ok(Err(_)) => Err(ReceiveError::Incomplete),
@@ -152,10 +153,10 @@
 
 /// A response body.
 pub(crate) enum ResponseBody {
-    /// All of it; `None` once it was handed on.
+    /// The complete body; `None` once it was sent.
     Full(Option<Bytes>),
-    /// Pieces as they come. The body ends when the sender is dropped; when the
-    /// caller leaves, hyper drops the receiver and the sender sees it closed.
+    /// Chunks from a channel. The body ends when the sender is dropped. If the
+    /// client disconnects, hyper drops the receiver, which closes the channel.
     Chunks(mpsc::Receiver<Bytes>),
 }
 
--- a/src/openai.rs
+++ b/src/openai.rs
@@ -1,17 +1,17 @@
-//! Forms of the callers' protocol: OpenAI-style completions.
+//! Requests and responses of the OpenAI-compatible completion API.
 
 use serde::{Deserialize, Serialize};
 
-/// Tokens of an answer whose request names no limit.
-const DEFAULT_TOKENS: u32 = 16;
+/// Maximum number of tokens of an answer if the request sets no limit.
+const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// Most tokens of one answer.
+/// Upper bound of the maximum number of tokens of an answer.
 pub(crate) const MAX_TOKENS: u32 = 32_768;
 
-/// Marks the end of a stream that is whole.
-const DONE: &str = "data: [DONE]\n\n";
+/// Event that ends a complete stream.
+const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// Which of the two forms a caller uses.
+/// Endpoint that a caller uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Form {
     /// `POST /v1/completions`.
@@ -21,46 +21,46 @@
 }
 
 #[derive(Deserialize)]
-struct Body {
+struct RequestBody {
     model: String,
     prompt: Option<String>,
-    messages: Option<Vec<Message>>,
+    messages: Option<Vec<RequestMessage>>,
     max_tokens: Option<u32>,
     #[serde(default)]
     stream: bool,
 }
 
 #[derive(Deserialize)]
-struct Message {
+struct RequestMessage {
     #[allow(dead_code, reason = "checked to be present, not used for routing")]
     role: String,
     content: String,
 }
 
-/// What a caller asks for.
+/// A validated completion request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Completion {
+pub(crate) struct CompletionRequest {
     pub(crate) form: Form,
     /// Name of the route.
     pub(crate) route: String,
     pub(crate) prompt: String,
-    /// Tokens of the whole answer, from 1 to [`MAX_TOKENS`].
+    /// Maximum number of tokens of the answer, from 1 to [`MAX_TOKENS`].
     pub(crate) limit: u32,
     pub(crate) stream: bool,
 }
 
-impl Completion {
-    /// Parses a body; the error tells the caller what to mend.
+impl CompletionRequest {
+    /// Parses a request body. The error says what the caller must correct.
     pub(crate) fn parse(form: Form, body: &[u8]) -> Result<Self, String> {
-        let parsed: Body =
+        let parsed: RequestBody =
             serde_json::from_slice(body).map_err(|e| format!("the body isn't valid: {e}"))?;
         let prompt = match (form, parsed.prompt, parsed.messages) {
             (Form::Text, Some(prompt), _) => prompt,
-            (Form::Chat, _, Some(messages)) if !messages.is_empty() => join(&messages),
+            (Form::Chat, _, Some(messages)) if !messages.is_empty() => join_messages(&messages),
             (Form::Text, ..) => return Err("the body has no prompt".to_owned()),
             (Form::Chat, ..) => return Err("the body has no messages".to_owned()),
         };
-        let limit = parsed.max_tokens.unwrap_or(DEFAULT_TOKENS);
+        let limit = parsed.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
         if limit == 0 || limit > MAX_TOKENS {
             return Err(format!("max_tokens must be from 1 to {MAX_TOKENS}"));
         }
@@ -74,7 +74,7 @@
     }
 }
 
-fn join(messages: &[Message]) -> String {
+fn join_messages(messages: &[RequestMessage]) -> String {
     let contents: Vec<_> = messages.iter().map(|m| m.content.as_str()).collect();
     contents.join("\n")
 }
@@ -95,14 +95,14 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     text: Option<&'a str>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    delta: Option<Part<'a>>,
+    delta: Option<MessagePart<'a>>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    message: Option<Part<'a>>,
+    message: Option<MessagePart<'a>>,
     finish_reason: Option<&'a str>,
 }
 
 #[derive(Serialize)]
-struct Part<'a> {
+struct MessagePart<'a> {
     role: &'static str,
     content: &'a str,
 }
@@ -112,38 +112,38 @@
     completion_tokens: u32,
 }
 
-/// Writes the answers to one request.
-pub(crate) struct Writer {
+/// Formats the response to one request.
+pub(crate) struct ResponseWriter {
     pub(crate) form: Form,
-    /// Id of the request.
+    /// ID of the request.
     pub(crate) id: String,
     /// Name of the route.
     pub(crate) model: String,
-    /// Tokens that the answer may have.
+    /// Maximum number of tokens of the answer.
     pub(crate) limit: u32,
 }
 
-impl Writer {
-    /// Reason for which an answer of `count` tokens ended.
-    fn reason(&self, count: u32) -> &'static str {
+impl ResponseWriter {
+    /// Finish reason of an answer of `count` tokens.
+    fn finish_reason(&self, count: u32) -> &'static str {
         if count < self.limit { "stop" } else { "length" }
     }
 
-    /// The events that end a whole stream of `count` tokens.
+    /// Events that end a complete stream of `count` tokens.
     pub(crate) fn end(&self, count: u32) -> String {
-        let mut end = self.event("", Some(self.reason(count)));
-        end.push_str(DONE);
+        let mut end = self.event("", Some(self.finish_reason(count)));
+        end.push_str(DONE_EVENT);
         end
     }
 
-    /// The event that carries one token.
+    /// Event with one token.
     pub(crate) fn token(&self, text: &str) -> String {
         self.event(text, None)
     }
 
-    /// The event that carries `text`, or ends the text with a reason.
-    fn event(&self, text: &str, finish: Option<&str>) -> String {
-        let part = Part {
+    /// Event with `text`, and with a finish reason if it is the last.
+    fn event(&self, text: &str, finish_reason: Option<&str>) -> String {
+        let part = MessagePart {
             role: "assistant",
             content: text,
         };
@@ -152,7 +152,7 @@
                 "text_completion",
                 Choice {
                     text: Some(text),
-                    finish_reason: finish,
+                    finish_reason,
                     ..Choice::default()
                 },
             ),
@@ -160,7 +160,7 @@
                 "chat.completion.chunk",
                 Choice {
                     delta: Some(part),
-                    finish_reason: finish,
+                    finish_reason,
                     ..Choice::default()
                 },
             ),
@@ -168,13 +168,13 @@
         format!("data: {}\n\n", self.json(object, choice, None))
     }
 
-    /// The whole answer of `count` tokens as one JSON document.
-    pub(crate) fn whole(&self, text: &str, count: u32) -> String {
-        let part = Part {
+    /// Complete answer of `count` tokens as one JSON document.
+    pub(crate) fn complete(&self, text: &str, count: u32) -> String {
+        let part = MessagePart {
             role: "assistant",
             content: text,
         };
-        let finish_reason = Some(self.reason(count));
+        let finish_reason = Some(self.finish_reason(count));
         let (object, choice) = match self.form {
             Form::Text => (
                 "text_completion",
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -1,5 +1,5 @@
-//! The callers' address: completions over pipelines, calls to plain services,
-//! and the probes of the platform's balancer.
+//! The HTTP server for callers: completions over pipelines, calls to plain
+//! services, and the health checks of the platform's load balancer.
 
 mod admit;
 mod claims;
@@ -33,19 +33,19 @@
 use crate::settings::Settings;
 use crate::upstream::{Load, Serves, Upstream};
 
-/// Tokens a second that one slot of a plain service counts as.
+/// Nominal rate of one slot of a plain service, in tokens per second.
 const SERVICE_RATE: u32 = 100;
 
-/// Period of an upstream's load reports.
-const REPORT_PERIOD: Duration = Duration::from_secs(1);
+/// Interval of an upstream's load reports.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Link of a plain service in Mbit/s; its calls are small.
+/// Nominal link speed of a plain service, in Mbit/s. Its calls are small.
 const SERVICE_LINK: u32 = 1000;
 
-/// Who waits for the dispatcher.
+/// Channel to a request that waits for a decision of the dispatcher.
 type Waiter = oneshot::Sender<Decision>;
 
-/// What the server needs of the instance.
+/// Parts of the instance that the server depends on.
 pub(crate) struct Dependencies {
     pub(crate) settings: Arc<Settings>,
     pub(crate) clock: Arc<dyn Clock>,
@@ -53,21 +53,21 @@
     pub(crate) catalogue: Arc<LeasedCatalogue>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) fleet: Fleet,
-    /// Registers of claims, by shard.
+    /// Proposers to the claim groups, by shard.
     pub(crate) claims: Vec<Arc<Proposer>>,
 }
 
-/// Serves callers.
+/// State shared by all requests of callers on this instance.
 pub(crate) struct Server {
     deps: Dependencies,
     dispatcher: Mutex<Dispatcher<Waiter>>,
     budget: Mutex<Budget>,
-    /// Latest load report of each upstream, and when it came.
+    /// Latest load report of each upstream and the time it was received.
     reports: Mutex<HashMap<UpstreamId, (Load, Time)>>,
-    /// Signalled when a question for shares is due at once.
-    urgent: Notify,
-    /// Number of the next request. Never used twice in an incarnation.
-    sequence: AtomicU64,
+    /// Notified when a request for limit shares is due at once.
+    share_request_due: Notify,
+    /// Sequence number of the next request. Unique within an incarnation.
+    next_sequence: AtomicU64,
 }
 
 impl Server {
@@ -79,8 +79,8 @@
             dispatcher: Mutex::new(dispatcher),
             budget: Mutex::new(budget),
             reports: Mutex::default(),
-            urgent: Notify::new(),
-            sequence: AtomicU64::new(1),
+            share_request_due: Notify::new(),
+            next_sequence: AtomicU64::new(1),
         })
     }
 
@@ -92,7 +92,7 @@
         RequestId {
             instance: self.deps.settings.instance,
             incarnation: self.deps.incarnation,
-            sequence: self.sequence.fetch_add(1, Ordering::Relaxed),
+            sequence: self.next_sequence.fetch_add(1, Ordering::Relaxed),
         }
     }
 
@@ -100,7 +100,7 @@
         self.budget.lock().expect("no holder panics")
     }
 
-    /// Steps the dispatcher and tells its waiters.
+    /// Runs one step of the dispatcher and sends its decisions to the waiters.
     fn dispatch(
         &self,
         step: impl FnOnce(&mut Dispatcher<Waiter>, Time, &mut Vec<Notification<Waiter>>),
@@ -112,16 +112,16 @@
         let due = dispatcher.due();
         drop(dispatcher);
         if due <= now + MIN_REQUEST_GAP {
-            self.urgent.notify_one();
+            self.share_request_due.notify_one();
         }
-        for (waiter, told) in out {
-            // A waiter that left drops what it was told, and with it the
-            // permit or ticket, which gives itself back.
-            let _ = waiter.send(told);
+        for (waiter, decision) in out {
+            // If the waiter is gone, the decision is dropped, and its permit or
+            // ticket is released.
+            let _ = waiter.send(decision);
         }
     }
 
-    /// Hands the upstreams that are alive to routing.
+    /// Passes the current view of upstreams to the router.
     pub(crate) fn refresh_upstreams(&self) {
         let view = self.deps.fleet.upstreams();
         let members = self.deps.fleet.members();
@@ -131,7 +131,7 @@
             reports.retain(|id, _| view.get(id).is_some());
             let upstreams = view.upstreams.iter();
             upstreams
-                .map(|u| stage(u, reported(&mut reports, u, now)))
+                .map(|u| stage(u, report_time(&mut reports, u, now)))
                 .collect()
         };
         let active = members.present().filter(|m| !m.draining).count();
@@ -141,12 +141,12 @@
         });
     }
 
-    /// Takes note of the time.
+    /// Advances the dispatcher to the current time.
     pub(crate) fn tick(&self) {
         self.dispatch(|dispatcher, now, out| dispatcher.tick(now, out));
     }
 
-    /// Waits until a question for shares is due.
+    /// Waits until a request for limit shares is due.
     pub(crate) async fn wait_share_request_due(&self) {
         loop {
             let due = self.dispatcher.lock().expect("no holder panics").due();
@@ -156,30 +156,30 @@
             }
             tokio::select! {
                 () = tokio::time::sleep(left) => {}
-                () = self.urgent.notified() => {}
+                () = self.share_request_due.notified() => {}
             }
         }
     }
 
-    /// The question for shares, if one is due.
+    /// Returns the request for limit shares if one is due.
     pub(crate) fn share_request(&self) -> Option<ShareRequest> {
         let now = self.now();
         let mut dispatcher = self.dispatcher.lock().expect("no holder panics");
         (dispatcher.due() <= now).then(|| dispatcher.share_request(now))
     }
 
-    /// Takes the answer to a question for shares.
+    /// Applies the grant that answers a request for limit shares.
     pub(crate) fn apply_grant(&self, grant: &Grant) {
         self.dispatch(|dispatcher, now, out| dispatcher.grant(now, grant, out));
     }
 
-    /// Requests that wait.
+    /// Number of requests waiting for admission or placement.
     pub(crate) fn queued(&self) -> usize {
         let dispatcher = self.dispatcher.lock().expect("no holder panics");
         dispatcher.queued()
     }
 
-    /// Tokens a second that the hardware allows for each route's model.
+    /// Upper bound on the throughput of each route's model, in tokens per second.
     pub(crate) fn throughput_bounds(&self) -> Vec<(String, f64)> {
         let catalogue = self.deps.catalogue.latest();
         let now = self.now();
@@ -189,7 +189,7 @@
             .filter_map(|route| match &route.target {
                 crate::catalogue::Target::Model(model) => {
                     let bound = dispatcher.bound(now, model, &route.pools);
-                    // The sum over no engine is -0.0, which would read strangely.
+                    // An empty sum is -0.0; adding 0.0 makes it print as 0.
                     Some((route.name.clone(), bound + 0.0))
                 }
                 crate::catalogue::Target::Service(_) => None,
@@ -197,7 +197,8 @@
             .collect()
     }
 
-    /// Whether the start of an instance that holds a claim is believed to run.
+    /// Whether this incarnation of an instance, which holds a claim, is believed
+    /// to be alive.
     fn alive(&self, instance: InstanceId, incarnation: Incarnation) -> bool {
         if instance == self.deps.settings.instance {
             return incarnation == self.deps.incarnation;
@@ -206,21 +207,21 @@
     }
 }
 
-/// When the load of an upstream was reported, as far as this instance can tell:
-/// upstreams report once a second, and only a load that differs is spread.
+/// Time of the latest load report of an upstream, as far as this instance can
+/// tell: upstreams report once a second, and gossip spreads only changed loads.
 ///
-/// Taken as new at each look, an old load would be acted on ten times: many
-/// instances with work waiting would take the same few free places again and
-/// again, which shows as throughput far below the bound under overload.
-fn reported(reports: &mut HashMap<UpstreamId, (Load, Time)>, u: &Upstream, now: Time) -> Time {
+/// If a load counted as new at each refresh, the router would act on it ten
+/// times: under overload, many instances would keep sending requests to the
+/// same few free slots, and throughput would stay far below the bound.
+fn report_time(reports: &mut HashMap<UpstreamId, (Load, Time)>, u: &Upstream, now: Time) -> Time {
     let report = reports.entry(u.id.clone()).or_insert((u.load, now));
-    if report.0 != u.load || now.since(report.1) >= REPORT_PERIOD {
+    if report.0 != u.load || now.since(report.1) >= REPORT_INTERVAL {
         *report = (u.load, now);
     }
     report.1
 }
 
-/// An upstream as routing sees it.
+/// Converts an upstream to a stage of the router.
 fn stage(upstream: &Upstream, reported: Time) -> Stage {
     let base = Stage {
         id: upstream.id.clone(),
@@ -260,15 +261,15 @@
     }
 }
 
-/// A permit that books what was really used when its request ends.
-pub(crate) struct Held {
+/// An admission permit that is settled with the tokens used when it is dropped.
+pub(crate) struct PermitGuard {
     server: Arc<Server>,
     permit: Option<Permit>,
-    /// Tokens used so far, shared with the request that counts them.
+    /// Tokens used so far, updated by the running request.
     used: Arc<std::sync::atomic::AtomicU32>,
 }
 
-impl Drop for Held {
+impl Drop for PermitGuard {
     fn drop(&mut self) {
         let used = self.used.load(Ordering::Relaxed);
         if let Some(permit) = self.permit.take() {
--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -1,4 +1,4 @@
-//! From a caller's head to an admitted request.
+//! Authentication, admission and placement of requests.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU32;
@@ -8,8 +8,8 @@
 use tokio::sync::oneshot;
 
 use super::claims::ClaimKey;
-use super::head::Head;
-use super::{Held, Server, Waiter, listen, respond};
+use super::head::RequestHeaders;
+use super::{PermitGuard, Server, Waiter, listen, respond};
 use crate::catalogue::{Catalogue, Route, Target};
 use crate::clock::Time;
 use crate::dispatch::{Admission, Decision, Dispatcher, Placement, PlacementError};
@@ -19,30 +19,31 @@
 use crate::id::OrganisationId;
 use crate::request::{Admitted, Answer, Lifecycle, Received, RefusalCode, RequestId};
 
-/// Pause for a caller whose instance has lost its catalogue lease. Another
-/// instance may serve it at once.
-const LEASE_PAUSE: Duration = Duration::from_secs(1);
+/// Retry delay for a caller whose instance has lost its catalogue lease. Another
+/// instance may be able to serve the request at once.
+const LEASE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A request that belongs to an organisation and has a route.
-pub(crate) struct Known {
+/// A request whose API key belongs to an organisation.
+pub(crate) struct AuthenticatedRequest {
     pub(crate) id: RequestId,
     pub(crate) organisation: OrganisationId,
-    pub(crate) head: Head,
+    pub(crate) headers: RequestHeaders,
     pub(crate) catalogue: Arc<Catalogue>,
     pub(crate) deadline: Time,
-    /// Counts the request as running for a graceful shutdown.
+    /// Delays a graceful shutdown until the request has ended.
     pub(crate) running: Running,
 }
 
-impl Known {
-    /// The route of that name, if the organisation has it.
+impl AuthenticatedRequest {
+    /// Returns the organisation's route with this name.
     pub(crate) fn route(&self, name: &str) -> Option<&Route> {
         self.catalogue.route(&self.organisation, name)
     }
 
-    /// Name of the claim that the request has if it needs one.
+    /// Returns the key of the request's claim if the caller sent an idempotency
+    /// key.
     pub(crate) fn claim_key(&self, digest: Vec<u8>) -> Option<ClaimKey> {
-        let key = self.head.key.clone()?;
+        let key = self.headers.idempotency_key.clone()?;
         Some(ClaimKey {
             organisation: self.organisation.to_string(),
             key,
@@ -50,21 +51,22 @@
         })
     }
 
-    /// Starts the life of a request on `route`.
-    pub(crate) fn life(&self, route: &Route) -> Lifecycle<Received> {
-        let idempotent = route.idempotent && !self.head.once;
-        let keyed = self.head.key.is_some();
+    /// Starts the lifecycle of a request on `route`.
+    pub(crate) fn lifecycle(&self, route: &Route) -> Lifecycle<Received> {
+        let idempotent = route.idempotent && !self.headers.non_idempotent;
+        let keyed = self.headers.idempotency_key.is_some();
         Lifecycle::new(self.id, self.organisation.clone(), idempotent, keyed)
     }
 }
 
-/// Leaves the dispatcher's queues when dropped: the caller may go at any time.
-struct Leave {
+/// Removes a request from the dispatcher's queues when dropped. A disconnecting
+/// caller can drop the waiting task at any time.
+struct CancelOnDrop {
     server: Arc<Server>,
     id: u64,
 }
 
-impl Drop for Leave {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         self.server
             .dispatch(|dispatcher, _, _| dispatcher.cancel(self.id));
@@ -72,120 +74,124 @@
 }
 
 impl Server {
-    /// Finds out whose request it is, or says why it gets no further.
-    pub(crate) fn identify(
+    /// Determines the organisation that sent the request, or returns a refusal.
+    pub(crate) fn authenticate(
         &self,
         head: &hyper::http::request::Parts,
-    ) -> Result<Known, Box<Response<ResponseBody>>> {
-        let head = Head::parse(&head.headers)
-            .map_err(|_| Box::new(listen::refuse(RefusalCode::InvalidRequest)))?;
-        let keyed = head.key.is_some();
-        let refuse = |code, pause| {
-            let answer = Answer::refused_early(code, keyed, pause);
-            Box::new(respond::refuse(&answer, "-"))
+    ) -> Result<AuthenticatedRequest, Box<Response<ResponseBody>>> {
+        let headers = RequestHeaders::parse(&head.headers)
+            .map_err(|_| Box::new(listen::refuse_unidentified(RefusalCode::InvalidRequest)))?;
+        let keyed = headers.idempotency_key.is_some();
+        let refuse = |code, retry_after| {
+            let answer = Answer::refused_early(code, keyed, retry_after);
+            Box::new(respond::error(&answer, "-"))
         };
         let running = self.deps.gate.enter();
         let running = running.ok_or_else(|| refuse(RefusalCode::Draining, Some(Duration::ZERO)))?;
         let now = self.now();
         let catalogue = self.deps.catalogue.get(now);
         let catalogue =
-            catalogue.map_err(|_| refuse(RefusalCode::CatalogueLease, Some(LEASE_PAUSE)))?;
-        let secret = head.secret.as_deref();
-        let organisation = secret.and_then(|s| catalogue.organisation(s)).cloned();
+            catalogue.map_err(|_| refuse(RefusalCode::CatalogueLease, Some(LEASE_RETRY_AFTER)))?;
+        let api_key = headers.api_key.as_deref();
+        let organisation = api_key.and_then(|s| catalogue.organisation(s)).cloned();
         let organisation =
             organisation.ok_or_else(|| refuse(RefusalCode::Unauthenticated, None))?;
-        let longest = self.deps.settings.deadline;
-        let time = head.deadline.map_or(longest, |d| d.min(longest));
-        Ok(Known {
+        let max_time = self.deps.settings.deadline;
+        let time = headers.deadline.map_or(max_time, |d| d.min(max_time));
+        Ok(AuthenticatedRequest {
             id: self.next_id(),
             organisation,
-            head,
+            headers,
             catalogue,
             deadline: now + time,
             running,
         })
     }
 
-    /// Admits a request by the limits of its route, after a wait if need be.
+    /// Admits a request within the limits of its route, waiting if necessary.
     pub(crate) async fn admit(
         self: &Arc<Self>,
-        life: Lifecycle<Received>,
+        lifecycle: Lifecycle<Received>,
         route: &Route,
         tokens: u32,
         deadline: Time,
         used: &Arc<AtomicU32>,
-    ) -> Result<Lifecycle<Admitted<Held>>, Answer> {
+    ) -> Result<Lifecycle<Admitted<PermitGuard>>, Answer> {
         let admission = Admission {
-            id: life.id.sequence,
+            id: lifecycle.id.sequence,
             route: route.name.as_str().into(),
             limits: route.limits,
             tokens,
             deadline,
         };
-        let told = self
-            .wait(life.id.sequence, |dispatcher, now, waiter, out| {
+        let decision = self
+            .wait(lifecycle.id.sequence, |dispatcher, now, waiter, out| {
                 dispatcher.admit(now, admission, waiter, out);
             })
             .await;
-        match told {
-            Some(Decision::Admitted(permit)) => Ok(life.admit(Held {
+        match decision {
+            Some(Decision::Admitted(permit)) => Ok(lifecycle.admit(PermitGuard {
                 server: Arc::clone(self),
                 permit: Some(permit),
                 used: Arc::clone(used),
             })),
-            Some(Decision::Denied(pause)) => {
-                Err(life.refuse(RefusalCode::LimitReached, Some(pause)))
+            Some(Decision::Denied(retry_after)) => {
+                Err(lifecycle.refuse(RefusalCode::LimitReached, Some(retry_after)))
             }
-            Some(Decision::Full(pause)) => Err(life.refuse(RefusalCode::QueueFull, Some(pause))),
-            _ => Err(life.refuse(RefusalCode::QueueTimeout, None)),
+            Some(Decision::Full(retry_after)) => {
+                Err(lifecycle.refuse(RefusalCode::QueueFull, Some(retry_after)))
+            }
+            _ => Err(lifecycle.refuse(RefusalCode::QueueTimeout, None)),
         }
     }
 
-    /// Places a request on a path, after a wait if need be.
+    /// Places a request on a path, waiting if necessary.
     pub(crate) async fn place(
         self: &Arc<Self>,
         placement: Placement,
     ) -> Result<crate::dispatch::Placed, (PlacementError, Duration)> {
-        let told = self
+        let decision = self
             .wait(placement.id, |dispatcher, now, waiter, out| {
                 dispatcher.place(now, placement, waiter, out);
             })
             .await;
-        match told {
+        match decision {
             Some(Decision::Placed(placed)) => Ok(placed),
-            Some(Decision::Unplaced(why, pause)) => Err((why, pause)),
+            Some(Decision::Unplaced(error, retry_after)) => Err((error, retry_after)),
             _ => Err((PlacementError::Deadline, Duration::ZERO)),
         }
     }
 
+    /// Enqueues a request and waits for the decision. Returns `None` if the
+    /// dispatcher dropped the waiter.
     async fn wait(
         self: &Arc<Self>,
         id: u64,
-        enter: impl FnOnce(
+        enqueue: impl FnOnce(
             &mut Dispatcher<Waiter>,
             Time,
             Waiter,
             &mut Vec<crate::dispatch::Notification<Waiter>>,
         ),
     ) -> Option<Decision> {
-        let (waiter, told) = oneshot::channel();
-        let _leave = Leave {
+        let (waiter, receiver) = oneshot::channel();
+        let _guard = CancelOnDrop {
             server: Arc::clone(self),
             id,
         };
-        self.dispatch(|dispatcher, now, out| enter(dispatcher, now, waiter, out));
-        told.await.ok()
+        self.dispatch(|dispatcher, now, out| enqueue(dispatcher, now, waiter, out));
+        receiver.await.ok()
     }
 
-    /// The models that the caller's organisation may use.
+    /// Answers `GET /v1/models`: the model routes of the caller's organisation.
     pub(crate) fn models<B>(&self, request: &Request<B>) -> Response<ResponseBody> {
         let Ok(catalogue) = self.deps.catalogue.get(self.now()) else {
-            return listen::refuse(RefusalCode::CatalogueLease);
+            return listen::refuse_unidentified(RefusalCode::CatalogueLease);
         };
-        let head = Head::parse(request.headers()).unwrap_or_default();
-        let secret = head.secret.as_deref();
-        let Some(organisation) = secret.and_then(|s| catalogue.organisation(s)) else {
-            return listen::refuse(RefusalCode::Unauthenticated);
+        let headers = RequestHeaders::parse(request.headers()).unwrap_or_default();
+        let api_key = headers.api_key.as_deref();
+        let Some(organisation) = api_key.and_then(|s| catalogue.organisation(s)) else {
+            return listen::refuse_unidentified(RefusalCode::Unauthenticated);
         };
         let owned = catalogue
             .routes()
@@ -194,11 +200,11 @@
             .map(|r| serde_json::json!({"id": r.name, "object": "model", "owned_by": organisation}))
             .collect();
         let body = serde_json::json!({"object": "list", "data": data}).to_string();
-        respond::reply(StatusCode::OK, respond::JSON, body, "-")
+        respond::response(StatusCode::OK, respond::JSON, body, "-")
     }
 
-    /// Logs and counts how a request ended.
-    pub(crate) fn note(&self, id: RequestId, answer: &Answer) {
+    /// Logs and counts the final answer to a request.
+    pub(crate) fn record_answer(&self, id: RequestId, answer: &Answer) {
         let code = answer.code();
         metrics::counter!("requests_total", "code" => code).increment(1);
         match answer {
--- a/src/serve/claims.rs
+++ b/src/serve/claims.rs
@@ -1,11 +1,11 @@
-//! Claims of non-idempotent requests, committed over the replicated log.
+//! Claims of non-idempotent requests, committed through the replicated log.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use sha2::{Digest, Sha256};
 
-use super::{Held, Server};
+use super::{PermitGuard, Server};
 use crate::claim::{
     Action, Bounds, Claim, ClaimLease, ClaimToken, DISPATCH_WINDOW, Outcome, Purpose, Release,
     Reply, Settle, shard,
@@ -15,35 +15,37 @@
 use crate::propose::Proposer;
 use crate::request::{Admitted, Answer, Claimed, Lifecycle, RefusalCode};
 
-/// Time to get a settlement or release recorded. It runs in the background; a
-/// claim that stays open is answered "unknown", never run again.
-const RECORD: Duration = Duration::from_secs(20);
+/// Timeout for committing a settlement or release in the background. If it
+/// fails, the claim stays open: a repeated request is answered with "unknown"
+/// and never runs again.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Margin behind the request's own time in which its outcome is awaited.
+/// Time that a claim stays open after the request's deadline, for its outcome to
+/// be recorded.
 const SETTLE_MARGIN: Duration = Duration::from_secs(5);
 
-/// What one claim is about.
+/// Identity of a claimed request.
 #[derive(Clone, Debug)]
 pub(crate) struct ClaimKey {
     pub(crate) organisation: String,
     pub(crate) key: String,
-    /// SHA-256 of what makes it the same request.
+    /// SHA-256 digest of the request, see [`request_digest`].
     pub(crate) digest: Vec<u8>,
 }
 
-/// Gives a claim back that isn't used.
+/// Releases an unused claim when dropped.
 ///
-/// Guards against a caller that leaves while its claim is being recorded: the
-/// task ends at that point, and its next sending would be told "in progress"
-/// and then "unknown" of a request that nobody runs.
-struct Unused {
+/// If the caller disconnects while its claim is being committed, the task ends
+/// at that point. Without the release, a repeated request would be answered with
+/// "in progress" and then "unknown", although nothing runs.
+struct ReleaseOnDrop {
     server: Arc<Server>,
     key: ClaimKey,
     token: ClaimToken,
     armed: bool,
 }
 
-impl Drop for Unused {
+impl Drop for ReleaseOnDrop {
     fn drop(&mut self) {
         if self.armed {
             self.server.release(self.key.clone(), self.token);
@@ -51,7 +53,8 @@
     }
 }
 
-/// SHA-256 over the parts of a request that make it the same request.
+/// SHA-256 digest of the parts that identify a request. Each part is prefixed
+/// with its length, so that different splits differ.
 pub(crate) fn request_digest(parts: &[&[u8]]) -> Vec<u8> {
     let mut digest = Sha256::new();
     for part in parts {
@@ -62,39 +65,44 @@
 }
 
 impl Server {
-    /// Claims the request's key, if it has to. Nothing may be sent before.
+    /// Claims the request's key if it needs a claim. The request must not be sent
+    /// to an upstream before.
     pub(crate) async fn claim(
         self: &Arc<Self>,
-        life: Lifecycle<Admitted<Held>>,
+        lifecycle: Lifecycle<Admitted<PermitGuard>>,
         key: Option<&ClaimKey>,
         deadline: Time,
-    ) -> Result<Lifecycle<Claimed<Held>>, Answer> {
-        let (life, key) = match (life.without_claim(), key) {
-            (Ok(life), _) => return Ok(life),
-            (Err(life), Some(key)) => (life, key),
-            (Err(life), None) => return Err(life.refuse(RefusalCode::ClaimUnavailable, None)),
+    ) -> Result<Lifecycle<Claimed<PermitGuard>>, Answer> {
+        let (lifecycle, key) = match (lifecycle.without_claim(), key) {
+            (Ok(lifecycle), _) => return Ok(lifecycle),
+            (Err(lifecycle), Some(key)) => (lifecycle, key),
+            (Err(lifecycle), None) => {
+                return Err(lifecycle.refuse(RefusalCode::ClaimUnavailable, None));
+            }
         };
-        let token = ClaimToken::from(life.id);
+        let token = ClaimToken::from(lifecycle.id);
         let lease = self.lease(token);
-        let mut unused = Unused {
+        let mut guard = ReleaseOnDrop {
             server: Arc::clone(self),
             key: key.clone(),
             token,
             armed: true,
         };
-        let mut reply = self.claims(key, token, deadline, Purpose::Run).await;
-        if self.doubts(reply.as_ref()) {
-            reply = self.claims(key, token, deadline, Purpose::HolderDown).await;
+        let mut reply = self.propose_claim(key, token, deadline, Purpose::Run).await;
+        if self.holder_is_down(reply.as_ref()) {
+            reply = self
+                .propose_claim(key, token, deadline, Purpose::HolderDown)
+                .await;
         }
         let Some(reply) = reply else {
-            return Err(life.refuse(RefusalCode::ClaimUnavailable, None));
+            return Err(lifecycle.refuse(RefusalCode::ClaimUnavailable, None));
         };
-        // A claim of ours that others count as lost is given back as well.
-        unused.armed = matches!(reply, Reply::Stale(()));
-        life.claimed(self.now(), lease, reply)
+        // A claim that others already consider lost is released as well.
+        guard.armed = matches!(reply, Reply::Stale(()));
+        lifecycle.claimed(self.now(), lease, reply)
     }
 
-    /// Renews a claim before dispatch. `None` leaves it as it is.
+    /// Renews a claim before dispatch. Returns `None` if it isn't renewed.
     pub(crate) async fn renew(
         &self,
         key: &ClaimKey,
@@ -102,17 +110,19 @@
         deadline: Time,
     ) -> Option<ClaimLease> {
         let lease = self.lease(token);
-        let reply = self.claims(key, token, deadline, Purpose::Renew).await?;
+        let reply = self
+            .propose_claim(key, token, deadline, Purpose::Renew)
+            .await?;
         matches!(reply, Reply::Granted(granted) if granted.token == Some(token)).then_some(lease)
     }
 
-    /// The lease of a claim that is sent now.
+    /// Returns the lease of a claim that is proposed now.
     fn lease(&self, token: ClaimToken) -> ClaimLease {
         ClaimLease::new(token, self.now(), Bounds::default().retention)
     }
 
-    /// Sends a claim and gives the reply, or `None` if it may not be recorded.
-    async fn claims(
+    /// Proposes a claim. Returns `None` if it may not have been committed.
+    async fn propose_claim(
         &self,
         key: &ClaimKey,
         token: ClaimToken,
@@ -131,14 +141,15 @@
         };
         let command = Action::Claim(claim).into_bytes();
         let reply = self
-            .register(key)
+            .claim_proposer(key)
             .propose(command.into(), DISPATCH_WINDOW)
             .await;
         Reply::from_bytes(&reply.ok()?)
     }
 
-    /// Whether the claim's holder is down and can't dispatch any more.
-    fn doubts(&self, reply: Option<&Reply>) -> bool {
+    /// Returns whether the holder of the claim is down and can't dispatch it any
+    /// more.
+    fn holder_is_down(&self, reply: Option<&Reply>) -> bool {
         let Some(Reply::InProgress(found)) = reply else {
             return false;
         };
@@ -146,42 +157,44 @@
         !found.may_dispatch && !found.holder.is_some_and(alive)
     }
 
-    /// Records in the background that a claim wasn't used.
+    /// Releases an unused claim in the background.
     pub(crate) fn release(self: &Arc<Self>, key: ClaimKey, token: ClaimToken) {
-        let register = self.register(&key);
+        let proposer = self.claim_proposer(&key);
         let action = Action::Release(Release {
             organisation: key.organisation,
             key: key.key,
             token: Some(token),
         });
-        self.record(register, action);
+        self.propose_in_background(proposer, action);
     }
 
-    /// Records in the background how a claimed request ended.
+    /// Records the outcome of a claimed request in the background.
     pub(crate) fn settle(self: &Arc<Self>, key: ClaimKey, token: ClaimToken, outcome: Outcome) {
-        let register = self.register(&key);
+        let proposer = self.claim_proposer(&key);
         let action = Action::Settle(Settle {
             organisation: key.organisation,
             key: key.key,
             token: Some(token),
             outcome: Some(outcome),
         });
-        self.record(register, action);
+        self.propose_in_background(proposer, action);
     }
 
-    /// The register that holds the claim.
-    fn register(&self, key: &ClaimKey) -> Arc<Proposer> {
+    /// Returns the proposer for the shard of the claim.
+    fn claim_proposer(&self, key: &ClaimKey) -> Arc<Proposer> {
         let claims = &self.deps.claims;
         let shards = u32::try_from(claims.len()).unwrap_or(1);
         let shard = shard(&key.organisation, &key.key, shards);
         Arc::clone(&claims[usize::try_from(shard).unwrap_or(0)])
     }
 
-    fn record(self: &Arc<Self>, claims: Arc<Proposer>, action: Action) {
-        // A graceful shutdown waits for it as for a running request.
+    fn propose_in_background(self: &Arc<Self>, proposer: Arc<Proposer>, action: Action) {
+        // A graceful shutdown waits for the commit as for a running request.
         let running = self.deps.gate.hold();
         tokio::spawn(async move {
-            let _ = claims.propose(action.into_bytes().into(), RECORD).await;
+            let _ = proposer
+                .propose(action.into_bytes().into(), COMMIT_TIMEOUT)
+                .await;
             drop(running);
         });
     }
--- a/src/serve/complete.rs
+++ b/src/serve/complete.rs
@@ -1,4 +1,4 @@
-//! Completions: admission, claim, generation, and the answer's HTTP form.
+//! Completions: admission, claim, generation and the HTTP response.
 
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -9,21 +9,21 @@
 use tokio::sync::mpsc;
 
 use super::Server;
-use super::admit::Known;
+use super::admit::AuthenticatedRequest;
 use super::claims::{ClaimKey, request_digest};
-use super::job::{Job, OUTPUT, Output, Work};
+use super::job::{Job, OUTPUT_CAPACITY, Output, Work};
 use super::listen::Received;
-use super::respond::{self, EVENTS, JSON};
+use super::respond::{self, EVENT_STREAM, JSON};
 use crate::catalogue::{Route, Target};
 use crate::http::ResponseBody;
 use crate::id::OrganisationId;
-use crate::openai::{Completion, Form, Writer};
+use crate::openai::{CompletionRequest, Form, ResponseWriter};
 use crate::request::{Answer, Claimed, Lifecycle, RefusalCode};
 
-/// Bytes of a prompt that make one token, roughly.
-const TOKEN_BYTES: usize = 4;
+/// Approximate number of prompt bytes per token.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// Bytes of a prompt that an engine's prefix cache is looked up by.
+/// Length of the prompt prefix by which an engine's cache is looked up, in bytes.
 const PREFIX_BYTES: usize = 512;
 
 impl Server {
@@ -33,157 +33,161 @@
         form: Form,
         received: Received,
     ) -> Response<ResponseBody> {
-        let known = match self.identify(&received.head) {
-            Ok(known) => known,
+        let request = match self.authenticate(&received.head) {
+            Ok(request) => request,
             Err(response) => return *response,
         };
-        let id = known.id.to_string();
-        match self.begin(form, &known, &received).await {
+        let id = request.id.to_string();
+        match self.begin_completion(form, &request, &received).await {
             Ok((completion, output)) => {
-                let writer = Writer {
+                let writer = ResponseWriter {
                     form,
                     id: id.clone(),
                     model: completion.route,
                     limit: completion.limit,
                 };
-                present(writer, completion.stream, output, known).await
+                respond_with_output(writer, completion.stream, output, request).await
             }
             Err((answer, form)) => {
-                self.note(known.id, &answer);
-                earlier(&answer, form, id)
+                self.record_answer(request.id, &answer);
+                respond_without_run(&answer, form, id)
             }
         }
     }
 
-    /// Everything up to the start of the generation.
-    async fn begin(
+    /// Parses, admits and claims the request and starts the generation.
+    async fn begin_completion(
         self: &Arc<Self>,
         form: Form,
-        known: &Known,
+        request: &AuthenticatedRequest,
         received: &Received,
-    ) -> Result<(Completion, mpsc::Receiver<Output>), (Answer, Option<(Completion, Form)>)> {
-        let keyed = known.head.key.is_some();
-        let unread = |code| (Answer::refused_early(code, keyed, None), None);
-        let completion = Completion::parse(form, &received.body)
-            .map_err(|_| unread(RefusalCode::InvalidRequest))?;
-        let route = known.route(&completion.route);
-        let route = route.ok_or_else(|| unread(RefusalCode::UnknownRoute))?;
+    ) -> Result<
+        (CompletionRequest, mpsc::Receiver<Output>),
+        (Answer, Option<(CompletionRequest, Form)>),
+    > {
+        let keyed = request.headers.idempotency_key.is_some();
+        let refuse = |code| (Answer::refused_early(code, keyed, None), None);
+        let completion = CompletionRequest::parse(form, &received.body)
+            .map_err(|_| refuse(RefusalCode::InvalidRequest))?;
+        let route = request.route(&completion.route);
+        let route = route.ok_or_else(|| refuse(RefusalCode::UnknownRoute))?;
         let Target::Model(model) = &route.target else {
-            return Err(unread(RefusalCode::UnknownRoute));
+            return Err(refuse(RefusalCode::UnknownRoute));
         };
-        // Whether the answer is streamed isn't part of it: a caller whose
-        // stream was cut may ask for the kept answer whole.
+        // The digest excludes `stream`: a caller whose stream was cut may
+        // request the stored answer in one piece.
         let digest = request_digest(&[
             route.name.as_bytes(),
             completion.prompt.as_bytes(),
             &completion.limit.to_be_bytes(),
         ]);
-        let key = known.claim_key(digest);
+        let key = request.claim_key(digest);
         let used = Arc::new(AtomicU32::new(0));
-        let life = self
-            .enter(known, route, &completion, key.as_ref(), &used)
+        let lifecycle = self
+            .admit_and_claim(request, route, &completion, key.as_ref(), &used)
             .await
             .map_err(|answer| (answer, Some((completion.clone(), form))))?;
         let job = Job {
-            id: known.id,
-            organisation: known.organisation.clone(),
+            id: request.id,
+            organisation: request.organisation.clone(),
             route: route.name.as_str().into(),
             class: route.class,
             model: model.as_str().into(),
             pools: route.pools.clone().into(),
             prompt_tokens: prompt_tokens(&completion.prompt),
-            prefix: prefix(&known.organisation, &completion.prompt),
+            prefix: prefix_hash(&request.organisation, &completion.prompt),
             limit: completion.limit,
-            idempotent: life.idempotent,
-            deadline: known.deadline,
+            idempotent: lifecycle.idempotent,
+            deadline: request.deadline,
             key,
             used,
             work: Work::Engine(completion.prompt.clone()),
             running: self.deps.gate.hold(),
         };
-        Ok((completion, self.start(job, life)))
+        Ok((completion, self.start(job, lifecycle)))
     }
 
-    async fn enter(
+    async fn admit_and_claim(
         self: &Arc<Self>,
-        known: &Known,
+        request: &AuthenticatedRequest,
         route: &Route,
-        completion: &Completion,
+        completion: &CompletionRequest,
         key: Option<&ClaimKey>,
         used: &Arc<AtomicU32>,
-    ) -> Result<Lifecycle<Claimed<super::Held>>, Answer> {
+    ) -> Result<Lifecycle<Claimed<super::PermitGuard>>, Answer> {
         let tokens = prompt_tokens(&completion.prompt) + completion.limit;
-        let life = known.life(route);
-        let life = self
-            .admit(life, route, tokens, known.deadline, used)
+        let lifecycle = request.lifecycle(route);
+        let lifecycle = self
+            .admit(lifecycle, route, tokens, request.deadline, used)
             .await?;
-        self.claim(life, key, known.deadline).await
+        self.claim(lifecycle, key, request.deadline).await
     }
 }
 
-/// Hash of the beginning of a prompt that is long enough to be worth a cache.
-/// It covers the organisation: a cache shared with others would tell one, by
-/// the time to the first token, what another one asks.
-fn prefix(organisation: &OrganisationId, prompt: &str) -> Option<u64> {
-    let start = prompt.as_bytes().get(..PREFIX_BYTES)?;
+/// Hash of the prompt's prefix, if the prompt is long enough for the cache to
+/// matter. The hash covers the organisation: with a shared cache, the time to the
+/// first token would reveal the prompts of other organisations.
+fn prefix_hash(organisation: &OrganisationId, prompt: &str) -> Option<u64> {
+    let prefix = prompt.as_bytes().get(..PREFIX_BYTES)?;
     let mut hasher = rustc_hash::FxHasher::default();
-    (organisation, start).hash(&mut hasher);
+    (organisation, prefix).hash(&mut hasher);
     Some(hasher.finish())
 }
 
 fn prompt_tokens(prompt: &str) -> u32 {
-    u32::try_from(prompt.len().div_ceil(TOKEN_BYTES)).unwrap_or(u32::MAX / 2)
+    u32::try_from(prompt.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX / 2)
 }
 
-/// An answer without a generation: a refusal, or what an earlier sending with
-/// the same key got.
-fn earlier(
+/// Response to a request that didn't run: a refusal, or the stored answer to an
+/// earlier request with the same key.
+fn respond_without_run(
     answer: &Answer,
-    form: Option<(Completion, Form)>,
+    form: Option<(CompletionRequest, Form)>,
     id: String,
 ) -> Response<ResponseBody> {
-    let (Answer::Stored(kept), Some((completion, form))) = (answer, form) else {
-        return respond::refuse(answer, &id);
+    let (Answer::Stored(stored), Some((completion, form))) = (answer, form) else {
+        return respond::error(answer, &id);
     };
-    let text = String::from_utf8_lossy(&kept.body);
-    let writer = Writer {
+    let text = String::from_utf8_lossy(&stored.body);
+    let writer = ResponseWriter {
         form,
         id: id.clone(),
         model: completion.route,
         limit: completion.limit,
     };
-    let count = kept.tokens().unwrap_or(completion.limit);
+    let count = stored.tokens().unwrap_or(completion.limit);
     if completion.stream {
         let events = writer.token(&text) + &writer.end(count);
-        return respond::reply(StatusCode::OK, EVENTS, events, &id);
+        return respond::response(StatusCode::OK, EVENT_STREAM, events, &id);
     }
-    let body = writer.whole(&text, count);
-    respond::reply(StatusCode::OK, JSON, body, &id)
+    let body = writer.complete(&text, count);
+    respond::response(StatusCode::OK, JSON, body, &id)
 }
 
-/// Gives a generation's output the form that the caller asked for.
-async fn present(
-    writer: Writer,
+/// Response with the output of a generation, streamed or in one piece as the
+/// caller requested.
+async fn respond_with_output(
+    writer: ResponseWriter,
     stream: bool,
     mut output: mpsc::Receiver<Output>,
-    known: Known,
+    request: AuthenticatedRequest,
 ) -> Response<ResponseBody> {
     let id = writer.id.clone();
     if !stream {
-        return whole(&writer, output).await;
+        return respond_complete(&writer, output).await;
     }
-    // The status line waits for the first token, so that a request which
-    // fails before it gets its own status.
+    // The status line is sent with the first token, so that a request that
+    // fails earlier gets an error status.
     let first = match output.recv().await {
-        None => return respond::lost(&id),
+        None => return respond::missing_answer(&id),
         Some(Output::Finish(answer)) if !matches!(answer, Answer::Complete { .. }) => {
-            return respond::refuse(&answer, &id);
+            return respond::error(&answer, &id);
         }
         Some(first) => first,
     };
-    let (pieces, body) = mpsc::channel(OUTPUT);
+    let (sender, body) = mpsc::channel(OUTPUT_CAPACITY);
     tokio::spawn(async move {
-        let _running = known.running;
+        let _running = request.running;
         let mut next = Some(first);
         while let Some(piece) = next {
             let (text, last) = match piece {
@@ -191,26 +195,35 @@
                 Output::Finish(Answer::Complete { count }) => (writer.end(count), true),
                 Output::Finish(answer) => (respond::error_event(&answer), true),
             };
-            if pieces.send(Bytes::from(text)).await.is_err() || last {
+            if sender.send(Bytes::from(text)).await.is_err() || last {
                 return;
             }
             next = output.recv().await;
         }
     });
-    respond::reply(StatusCode::OK, EVENTS, ResponseBody::Chunks(body), &id)
+    respond::response(
+        StatusCode::OK,
+        EVENT_STREAM,
+        ResponseBody::Chunks(body),
+        &id,
+    )
 }
 
-async fn whole(writer: &Writer, mut output: mpsc::Receiver<Output>) -> Response<ResponseBody> {
+/// Response in one piece, after the generation has ended.
+async fn respond_complete(
+    writer: &ResponseWriter,
+    mut output: mpsc::Receiver<Output>,
+) -> Response<ResponseBody> {
     let mut text = String::new();
     while let Some(piece) = output.recv().await {
         match piece {
             Output::Token(token) => text.push_str(&token),
             Output::Finish(Answer::Complete { count }) => {
-                let body = writer.whole(&text, count);
-                return respond::reply(StatusCode::OK, JSON, body, &writer.id);
+                let body = writer.complete(&text, count);
+                return respond::response(StatusCode::OK, JSON, body, &writer.id);
             }
-            Output::Finish(answer) => return respond::refuse(&answer, &writer.id),
+            Output::Finish(answer) => return respond::error(&answer, &writer.id),
         }
     }
-    respond::lost(&writer.id)
+    respond::missing_answer(&writer.id)
 }
--- a/src/serve/generate.rs
+++ b/src/serve/generate.rs
@@ -1,4 +1,4 @@
-//! Runs the state machine of one generation against engines.
+//! Drives the state machine of one generation against engines and services.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,13 +9,13 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use super::job::{Job, OUTPUT, Output, Work};
+use super::job::{Job, OUTPUT_CAPACITY, Output, Work};
 use super::service;
-use super::{Held, Server, stream};
+use super::{PermitGuard, Server, stream};
 use crate::claim::{ClaimLease, Outcome as Settled};
 use crate::clock::{Time, millis};
 use crate::dispatch::{Placed, Placement, PlacementError};
-use crate::engine::{Cutoff, HttpEngine, Order, Stage};
+use crate::engine::{Cutoff, HttpEngine, PipelineRequest, Stage};
 use crate::event;
 use crate::id::UpstreamId;
 use crate::request::{
@@ -24,64 +24,64 @@
 };
 use crate::route::Outcome;
 
-/// Layers that a plain service counts as.
+/// Number of layers of a plain service in routing.
 const SERVICE_LAYERS: u32 = 1;
 
-/// Most attempts of one request, the first one included.
-const ATTEMPTS: u32 = 4;
+/// Maximum number of attempts of one request, including the first.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Pause for a caller whose retry budget is used up; the floor of the budget
-/// earns one retry in this time.
-const BUDGET_PAUSE: Duration = Duration::from_secs(1);
+/// Retry delay for a caller whose retry budget is exhausted. The budget's minimum
+/// refill rate earns one retry in this time.
+const RETRY_BUDGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Events of an attempt that may wait while the caller is slow.
-const EVENTS: usize = 16;
+/// Number of buffered events of an attempt while the caller is slow.
+const EVENT_CAPACITY: usize = 16;
 
-/// Why an attempt can't be opened, and the pause that the caller should make.
-type Closed = (OpenError, Option<Duration>);
+/// Why an attempt can't be opened, and the delay before the caller should retry.
+type OpenFailure = (OpenError, Option<Duration>);
 
-/// The attempt in flight.
-struct Flight {
+/// The current attempt.
+struct ActiveAttempt {
     placed: Placed,
     path: Vec<Stage>,
-    /// Reads the engine's stream; present once the order was sent.
-    reader: Option<Reader>,
+    /// Task that reads the upstream's response, once the request was sent.
+    reader: Option<ReaderTask>,
     started: Time,
 }
 
-/// Ends its task, and so the engine's connection, when dropped.
-struct Reader(JoinHandle<()>);
+/// Aborts the task, and with it the connection to the upstream, when dropped.
+struct ReaderTask(JoinHandle<()>);
 
-impl Drop for Reader {
+impl Drop for ReaderTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// Runs one generation.
-struct Run {
+/// A running generation or service call.
+struct GenerationTask {
     server: Arc<Server>,
     job: Job,
-    generation: Generation<Held>,
-    flight: Option<Flight>,
-    /// Version that the answer was begun with; a resume stays with it.
+    generation: Generation<PermitGuard>,
+    active: Option<ActiveAttempt>,
+    /// Model version that started the answer; resumed attempts use the same one.
     version: Option<Arc<str>>,
     events: mpsc::Sender<Event>,
     incoming: mpsc::Receiver<Event>,
     output: mpsc::Sender<Output>,
-    /// Whether the caller's leaving was told to the state machine.
-    left: bool,
+    /// Whether the state machine was told that the caller disconnected.
+    leave_reported: bool,
 }
 
 impl Server {
-    /// Starts a generation or call; its output comes piece by piece.
+    /// Starts a generation or service call and returns its output channel.
     pub(crate) fn start(
         self: &Arc<Self>,
         job: Job,
-        life: Lifecycle<Claimed<Held>>,
+        lifecycle: Lifecycle<Claimed<PermitGuard>>,
     ) -> mpsc::Receiver<Output> {
-        let (output, pieces) = mpsc::channel(OUTPUT);
-        tokio::spawn(Arc::clone(self).generate(job, life, output));
+        let (output, pieces) = mpsc::channel(OUTPUT_CAPACITY);
+        tokio::spawn(Arc::clone(self).generate(job, lifecycle, output));
         pieces
     }
 
@@ -89,7 +89,7 @@
     async fn generate(
         self: Arc<Self>,
         job: Job,
-        life: Lifecycle<Claimed<Held>>,
+        lifecycle: Lifecycle<Claimed<PermitGuard>>,
         output: mpsc::Sender<Output>,
     ) {
         let settings = &self.deps.settings;
@@ -100,29 +100,29 @@
         let bounds = Bounds {
             max_tokens: job.limit,
             layers,
-            max_attempts: ATTEMPTS,
+            max_attempts: MAX_ATTEMPTS,
             deadline: job.deadline,
             first_timeout: first,
             idle_timeout: settings.idle,
         };
         let mut effects = Vec::new();
-        let generation = Generation::new(life, bounds, &mut effects);
-        let (events, incoming) = mpsc::channel(EVENTS);
-        let run = Run {
+        let generation = Generation::new(lifecycle, bounds, &mut effects);
+        let (events, incoming) = mpsc::channel(EVENT_CAPACITY);
+        let run = GenerationTask {
             server: Arc::clone(&self),
             job,
             generation,
-            flight: None,
+            active: None,
             version: None,
             events,
             incoming,
             output,
-            left: false,
+            leave_reported: false,
         };
         run.run(effects.into()).await;
     }
 
-    /// Layers of the model as its engines announce it; 0 when none is known,
+    /// Layers of the model as its engines announce it; 0 when none is request,
     /// which no path covers.
     fn layers(&self, model: &str, pools: &[String]) -> u32 {
         let view = self.deps.fleet.upstreams();
@@ -137,16 +137,16 @@
     }
 }
 
-impl Run {
+impl GenerationTask {
     async fn run(mut self, mut effects: VecDeque<Effect>) {
         loop {
             while let Some(effect) = effects.pop_front() {
                 if let Effect::Finish(answer) = effect {
                     return self.finish(answer).await;
                 }
-                self.carry_out(effect, &mut effects).await;
+                self.execute(effect, &mut effects).await;
             }
-            let event = self.wait().await;
+            let event = self.next_event().await;
             self.step(event, &mut effects);
         }
     }
@@ -157,13 +157,13 @@
         effects.extend(out);
     }
 
-    /// The next event: from the engine, the clock or the caller.
-    async fn wait(&mut self) -> Event {
+    /// Waits for the next event from the upstream, the clock or the caller.
+    async fn next_event(&mut self) -> Event {
         let wake = self.generation.next_tick().since(self.server.now());
         tokio::select! {
             biased;
-            () = self.output.closed(), if !self.left => {
-                self.left = true;
+            () = self.output.closed(), if !self.leave_reported => {
+                self.leave_reported = true;
                 Event::CallerLeft
             }
             Some(event) = self.incoming.recv() => event,
@@ -171,7 +171,7 @@
         }
     }
 
-    async fn carry_out(&mut self, effect: Effect, effects: &mut VecDeque<Effect>) {
+    async fn execute(&mut self, effect: Effect, effects: &mut VecDeque<Effect>) {
         match effect {
             Effect::Open {
                 attempt,
@@ -189,7 +189,7 @@
                 text,
             } => self.emit(request, index, text).await,
             Effect::Cancel { .. } => self.cancel(),
-            Effect::Report { report, .. } => self.report(&report),
+            Effect::Report { report, .. } => self.settle_attempt(&report),
             Effect::Release { token } => {
                 if let Some(key) = self.job.key.clone() {
                     self.server.release(key, token);
@@ -197,7 +197,7 @@
             }
             Effect::Settle { token, outcome } => {
                 let outcome = match (&self.job.work, outcome) {
-                    (Work::Call(call), Settled::Stored(_)) => call.kept(),
+                    (Work::Call(call), Settled::Stored(_)) => call.claim_outcome(),
                     (_, outcome) => outcome,
                 };
                 if let Some(key) = self.job.key.clone() {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Opens an attempt, or tells why it can't be opened.
+    /// Opens an attempt. Returns an event with the reason if that fails.
     async fn open(
         &mut self,
         attempt: u32,
@@ -217,10 +217,10 @@
         exclude: Vec<UpstreamId>,
     ) -> Event {
         let opened = self.try_open(attempt, retry, resume, exclude).await;
-        opened.unwrap_or_else(|(reason, pause)| Event::OpenFailed {
+        opened.unwrap_or_else(|(reason, retry_after)| Event::OpenFailed {
             attempt,
             reason,
-            retry_after: pause,
+            retry_after,
         })
     }
 
@@ -230,63 +230,63 @@
         retry: bool,
         resume: u32,
         exclude: Vec<UpstreamId>,
-    ) -> Result<Event, Closed> {
-        if retry && !self.retry_allowed() {
-            return Err((OpenError::RetryBudget, Some(BUDGET_PAUSE)));
+    ) -> Result<Event, OpenFailure> {
+        if retry && !self.take_retry() {
+            return Err((OpenError::RetryBudget, Some(RETRY_BUDGET_RETRY_AFTER)));
         }
-        let pools = self.pools()?;
+        let pools = self.current_pools()?;
         let placement = self.placement(retry, resume, exclude, pools.clone());
         let Some((placed, path)) = self.find_path(placement).await? else {
             return Ok(Event::CallerLeft);
         };
-        let lease = self.renew().await;
-        // The wait may have been long. A lease that ended, or a change that
-        // came meanwhile, must not be passed over.
-        match self.pools() {
-            Ok(now) if now == pools => Ok(self.planned(attempt, placed, path, lease)),
+        let lease = self.renew_claim().await;
+        // While the request waited, the catalogue lease may have expired or the
+        // route may have changed.
+        match self.current_pools() {
+            Ok(now) if now == pools => Ok(self.begin_attempt(attempt, placed, path, lease)),
             changed => {
-                self.give_back(placed, Outcome::Cancelled, 0);
+                self.release_path(placed, Outcome::Cancelled, 0);
                 changed.map(|_| Event::Outdated { attempt })
             }
         }
     }
 
-    /// Waits for a path whose upstreams all have an address; nothing when the
-    /// caller leaves first.
+    /// Waits for a path whose upstreams all have an address. Returns `None` if the
+    /// caller disconnects first.
     async fn find_path(
         &mut self,
         placement: Placement,
-    ) -> Result<Option<(Placed, Vec<Stage>)>, Closed> {
+    ) -> Result<Option<(Placed, Vec<Stage>)>, OpenFailure> {
         loop {
             let placed = tokio::select! {
                 placed = self.server.place(placement.clone()) => placed,
-                () = self.output.closed(), if !self.left => {
-                    self.left = true;
+                () = self.output.closed(), if !self.leave_reported => {
+                    self.leave_reported = true;
                     return Ok(None);
                 }
             };
-            let placed = placed.map_err(|(why, pause)| match why {
-                PlacementError::NoPath => (OpenError::NoPath, Some(pause)),
-                PlacementError::Deadline => (OpenError::Deadline, Some(pause)),
+            let placed = placed.map_err(|(error, retry_after)| match error {
+                PlacementError::NoPath => (OpenError::NoPath, Some(retry_after)),
+                PlacementError::Deadline => (OpenError::Deadline, Some(retry_after)),
             })?;
-            if let Some(path) = self.path(&placed) {
+            if let Some(path) = self.resolve_path(&placed) {
                 return Ok(Some((placed, path)));
             }
-            // Routing learns of a leaving upstream a moment after the view
-            // does, and still chooses it: callers were refused for want of an
-            // upstream while others were free. It takes the view over now and
-            // can't choose that one again.
-            self.give_back(placed, Outcome::Cancelled, 0);
+            // The router learns later than the view that an upstream has left, and
+            // may still choose it. Failing here refused callers although other
+            // upstreams were free. After a refresh, the router can't choose that
+            // upstream again.
+            self.release_path(placed, Outcome::Cancelled, 0);
             self.server.refresh_upstreams();
         }
     }
 
-    /// Pools that the route allows by the catalogue in force now.
+    /// Pools allowed for the route by the current catalogue.
     ///
-    /// A request may have waited since it was let in. Sent on by what the
-    /// catalogue said then, it could reach capacity that its organisation has
-    /// lost meanwhile, or go on under an instance that is cut off.
-    fn pools(&self) -> Result<Arc<[String]>, Closed> {
+    /// A request may have waited since its admission. The catalogue of that time
+    /// could send it to capacity that its organisation has since lost, or let it
+    /// continue on an instance that is cut off from the voters.
+    fn current_pools(&self) -> Result<Arc<[String]>, OpenFailure> {
         let now = self.server.now();
         let catalogue = self.server.deps.catalogue.get(now);
         let catalogue = catalogue.map_err(|_| (OpenError::CatalogueLease, None))?;
@@ -295,7 +295,8 @@
         Ok(route.pools.clone().into())
     }
 
-    fn retry_allowed(&self) -> bool {
+    /// Takes one retry from the budget. Returns false if none is left.
+    fn take_retry(&self) -> bool {
         let now = self.server.now();
         let allowed = self.server.budget().take(now, &self.job.organisation);
         if allowed {
@@ -330,19 +331,20 @@
         }
     }
 
-    /// Renews the claim if the wait for a path has used up its lease.
-    async fn renew(&self) -> Option<ClaimLease> {
-        let held = self.generation.pending_lease()?;
+    /// Renews the claim if its lease was used up by the wait for a path.
+    async fn renew_claim(&self) -> Option<ClaimLease> {
+        let lease = self.generation.pending_lease()?;
         let key = self.job.key.as_ref()?;
-        if !held.needs_renewal(self.server.now()) {
+        if !lease.needs_renewal(self.server.now()) {
             return None;
         }
         let deadline = self.job.deadline;
-        self.server.renew(key, held.token(), deadline).await
+        self.server.renew(key, lease.token(), deadline).await
     }
 
-    /// The path with its addresses; none when an upstream has just gone.
-    fn path(&self, placed: &Placed) -> Option<Vec<Stage>> {
+    /// Returns the path with its addresses, or `None` if an upstream has left the
+    /// view.
+    fn resolve_path(&self, placed: &Placed) -> Option<Vec<Stage>> {
         let view = self.server.deps.fleet.upstreams();
         let stage = |hop: &crate::route::Hop| {
             Some(Stage {
@@ -355,16 +357,16 @@
         placed.hops.iter().map(stage).collect()
     }
 
-    fn planned(
+    fn begin_attempt(
         &mut self,
         attempt: u32,
         placed: Placed,
         path: Vec<Stage>,
         lease: Option<ClaimLease>,
     ) -> Event {
-        let hops = path.iter().map(hop).collect();
+        let hops = path.iter().map(to_hop).collect();
         self.version = Some(placed.version.clone());
-        self.flight = Some(Flight {
+        self.active = Some(ActiveAttempt {
             placed,
             path,
             reader: None,
@@ -379,21 +381,22 @@
 
     fn send(&mut self, attempt: u32, send_by: Option<Time>) {
         let cutoff = Cutoff::new(send_by, Arc::clone(&self.server.deps.clock));
-        let Some(flight) = &mut self.flight else {
+        let Some(active) = &mut self.active else {
             return;
         };
         let events = self.events.clone();
-        flight.started = self.server.now();
+        active.started = self.server.now();
         let prompt = match &self.job.work {
             Work::Engine(prompt) => prompt,
             Work::Call(call) => {
-                let path = flight.path.clone();
-                let read = service::read(call.clone(), self.job.id, attempt, path, events, cutoff);
-                flight.reader = Some(Reader(tokio::spawn(read)));
+                let path = active.path.clone();
+                let attempt_task =
+                    service::run_attempt(call.clone(), self.job.id, attempt, path, events, cutoff);
+                active.reader = Some(ReaderTask(tokio::spawn(attempt_task)));
                 return;
             }
         };
-        let order = Order {
+        let request = PipelineRequest {
             request: self.job.id.to_string(),
             attempt,
             organisation: self.job.organisation.to_string(),
@@ -402,19 +405,19 @@
             tokens: self.generation.tokens().to_vec(),
             limit: self.job.limit,
             priority: self.job.class as u8,
-            remaining: millis(self.job.deadline.since(flight.started)),
-            path: flight.path.clone(),
+            remaining: millis(self.job.deadline.since(active.started)),
+            path: active.path.clone(),
         };
-        flight.reader = Some(Reader(tokio::spawn(stream::read(
-            HttpEngine, order, events, cutoff,
+        active.reader = Some(ReaderTask(tokio::spawn(stream::run_attempt(
+            HttpEngine, request, events, cutoff,
         ))));
     }
 
-    /// Hands a verified token to the caller's side.
+    /// Sends a verified token to the response writer.
     async fn emit(&mut self, request: RequestId, index: u32, text: String) {
-        // The last check before a token leaves: it must be this request's. A
-        // token of another organisation would be the worst of all answers.
-        assert_eq!(request, self.job.id, "a token of another request");
+        // Last check before a token is sent: it must belong to this request. A
+        // token of another organisation's request must never reach the caller.
+        assert_eq!(request, self.job.id, "token belongs to another request");
         self.job.used.store(
             self.job.prompt_tokens.saturating_add(index + 1),
             Ordering::Relaxed,
@@ -423,28 +426,28 @@
             metrics::histogram!("first_token_seconds").record(self.since_start().as_secs_f64());
         }
         let left = self.job.deadline.since(self.server.now());
-        // A caller that reads nothing is bounded by the request's own time.
+        // A caller that doesn't read is bounded by the request's deadline.
         let _ = tokio::time::timeout(left, self.output.send(Output::Token(text))).await;
     }
 
     fn since_start(&self) -> Duration {
-        let started = self.flight.as_ref().map(|f| f.started);
+        let started = self.active.as_ref().map(|f| f.started);
         started.map_or(Duration::ZERO, |s| self.server.now().since(s))
     }
 
     fn cancel(&mut self) {
-        if let Some(flight) = self.flight.take() {
-            self.give_back(flight.placed, Outcome::Cancelled, 0);
+        if let Some(active) = self.active.take() {
+            self.release_path(active.placed, Outcome::Cancelled, 0);
         }
     }
 
-    fn report(&mut self, report: &AttemptReport) {
-        let Some(flight) = self.flight.take() else {
+    fn settle_attempt(&mut self, report: &AttemptReport) {
+        let Some(active) = self.active.take() else {
             return;
         };
         let tokens = u32::try_from(self.generation.tokens().len()).unwrap_or(u32::MAX);
-        let blamed = |suspect: &Option<UpstreamId>| {
-            let stages = flight.path.iter();
+        let suspect_stage = |suspect: &Option<UpstreamId>| {
+            let stages = active.path.iter();
             suspect
                 .as_ref()
                 .and_then(|s| stages.clone().position(|stage| stage.upstream == *s))
@@ -452,24 +455,24 @@
         let outcome = match report {
             AttemptReport::Served => {
                 self.server.budget().succeeded(&self.job.organisation);
-                let spent = self.server.now().since(flight.started);
+                let spent = self.server.now().since(active.started);
                 Outcome::Done {
                     token: spent / tokens.max(1),
                 }
             }
             AttemptReport::Busy => Outcome::Busy { stage: 0 },
-            AttemptReport::Failed { cause, suspect } => match (blamed(suspect), cause) {
+            AttemptReport::Failed { cause, suspect } => match (suspect_stage(suspect), cause) {
                 (Some(stage), _) => Outcome::Failed { stage },
-                // Only the first stage takes connections from here.
+                // Only the first stage accepts connections from this instance.
                 (None, AttemptError::Refused) => Outcome::Failed { stage: 0 },
                 (None, _) => Outcome::Unattributed,
             },
         };
-        drop(flight.reader);
-        self.give_back(flight.placed, outcome, tokens);
+        drop(active.reader);
+        self.release_path(active.placed, outcome, tokens);
     }
 
-    fn give_back(&self, placed: Placed, outcome: Outcome, tokens: u32) {
+    fn release_path(&self, placed: Placed, outcome: Outcome, tokens: u32) {
         self.server.dispatch(|dispatcher, now, out| {
             dispatcher.finish(now, placed.receipt, outcome, tokens, out);
         });
@@ -477,16 +480,16 @@
 
     async fn finish(mut self, answer: Answer) {
         self.cancel();
-        self.server.note(self.job.id, &answer);
-        // The closing event may wait for a slow reader a little longer; one
-        // that reads nothing sees its stream end without the marker.
+        self.server.record_answer(self.job.id, &answer);
+        // The final event waits for a slow caller up to the idle timeout. A caller
+        // that doesn't read gets a stream without the end marker.
         let grace = self.server.deps.settings.idle;
         let _ = tokio::time::timeout(grace, self.output.send(Output::Finish(answer))).await;
         drop(self.job.running);
     }
 }
 
-fn hop(stage: &Stage) -> Hop {
+fn to_hop(stage: &Stage) -> Hop {
     Hop {
         upstream: stage.upstream.clone(),
         first: stage.first,
--- a/src/serve/job.rs
+++ b/src/serve/job.rs
@@ -1,4 +1,4 @@
-//! A generation or call to run, and what it hands to the caller's side.
+//! A generation or service call to run, and its output to the response writer.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU32;
@@ -11,10 +11,10 @@
 use crate::id::OrganisationId;
 use crate::request::{Answer, RequestId};
 
-/// Pieces of an answer that may wait for a slow caller.
-pub(crate) const OUTPUT: usize = 64;
+/// Capacity of the channel to a slow caller, in pieces of the answer.
+pub(crate) const OUTPUT_CAPACITY: usize = 64;
 
-/// A generation to run.
+/// A generation or service call to run.
 pub(crate) struct Job {
     pub(crate) id: RequestId,
     pub(crate) organisation: OrganisationId,
@@ -23,31 +23,30 @@
     pub(crate) model: Arc<str>,
     pub(crate) pools: Arc<[String]>,
     pub(crate) prompt_tokens: u32,
-    /// Hash of the prompt's beginning, for engines that cached it.
+    /// Hash of the prompt's prefix, to prefer engines that have it cached.
     pub(crate) prefix: Option<u64>,
-    /// Tokens of the whole answer.
+    /// Maximum number of tokens of the answer.
     pub(crate) limit: u32,
     pub(crate) idempotent: bool,
     pub(crate) deadline: Time,
-    /// The claim's name; used only if the request has a claim.
+    /// Key of the claim; used only if the request has a claim.
     pub(crate) key: Option<ClaimKey>,
-    /// Tokens used so far, for the limits.
+    /// Tokens used so far, counted against the limits.
     pub(crate) used: Arc<AtomicU32>,
-    /// What each attempt does.
     pub(crate) work: Work,
-    /// Keeps a graceful shutdown waiting until the answer is whole.
+    /// Delays a graceful shutdown until the answer is complete.
     pub(crate) running: Running,
 }
 
-/// What each attempt does.
+/// Work of each attempt.
 pub(crate) enum Work {
-    /// Sends this prompt to engines.
+    /// Sends the prompt to an engine.
     Engine(String),
     /// Calls a plain service.
     Call(Call),
 }
 
-/// What a generation hands to the caller's side.
+/// Output of a generation or service call, in order.
 #[derive(Debug)]
 pub(crate) enum Output {
     /// A verified token.
--- a/src/serve/listen.rs
+++ b/src/serve/listen.rs
@@ -1,4 +1,4 @@
-//! The listener for callers, and which handler a path has.
+//! Accepts callers' connections and routes requests to their handlers.
 
 use std::net::TcpListener as StdListener;
 use std::sync::Arc;
@@ -15,33 +15,33 @@
 use crate::request::{Answer, RefusalCode};
 
 /// Prefix of the paths of plain services.
-const SERVICES: &str = "/services/";
+const SERVICES_PREFIX: &str = "/services/";
 
-/// A request's head and whole body.
+/// A request with its complete body.
 pub(crate) struct Received {
     pub(crate) head: hyper::http::request::Parts,
     pub(crate) body: Bytes,
 }
 
 impl Server {
-    /// Accepts callers until the runtime ends.
+    /// Accepts connections until the runtime stops.
     pub(crate) async fn accept(self: Arc<Self>, listener: StdListener) {
-        let bounds = ReceiveLimits {
+        let limits = ReceiveLimits {
             max_head: self.deps.settings.head,
             receive_timeout: self.deps.settings.receive,
         };
-        http::accept(listener, bounds, move |request| {
-            Arc::clone(&self).answer(request)
+        http::accept(listener, limits, move |request| {
+            Arc::clone(&self).handle(request)
         })
         .await;
     }
 
-    /// Answers a request, and closes its connection while draining: a caller
-    /// that keeps one open might send its next request at the very moment at
-    /// which the process ends, and would never hear of it.
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
+    /// Handles a request. While draining, the connection is closed afterwards: on
+    /// an open one, the caller could send its next request just as the process
+    /// exits, and would get no response.
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let gate = Arc::clone(&self.deps.gate);
-        let mut response = self.respond(request).await;
+        let mut response = self.route_request(request).await;
         if gate.closed() {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
@@ -49,48 +49,48 @@
         response
     }
 
-    async fn respond(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
+    async fn route_request(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         let path = request.uri().path();
         match (request.method(), path) {
-            (&Method::GET, "/healthz") => respond::plain(StatusCode::OK, "ok\n"),
+            (&Method::GET, "/healthz") => respond::plain_text(StatusCode::OK, "ok\n"),
             (&Method::GET, "/readyz") => self.ready(),
             (&Method::GET, "/v1/models") => self.models(&request),
-            (&Method::POST, "/v1/completions") => self.complete_form(Form::Text, request).await,
+            (&Method::POST, "/v1/completions") => self.handle_completion(Form::Text, request).await,
             (&Method::POST, "/v1/chat/completions") => {
-                self.complete_form(Form::Chat, request).await
+                self.handle_completion(Form::Chat, request).await
             }
-            (_, path) if path.starts_with(SERVICES) => self.call_form(request).await,
-            _ => refuse(RefusalCode::UnknownPath),
+            (_, path) if path.starts_with(SERVICES_PREFIX) => self.handle_call(request).await,
+            _ => refuse_unidentified(RefusalCode::UnknownPath),
         }
     }
 
     fn ready(&self) -> Response<ResponseBody> {
         match self.deps.gate.not_ready(&self.deps.catalogue, self.now()) {
-            None => respond::plain(StatusCode::OK, "ready\n"),
-            Some(reason) => respond::plain(StatusCode::SERVICE_UNAVAILABLE, reason),
+            None => respond::plain_text(StatusCode::OK, "ready\n"),
+            Some(reason) => respond::plain_text(StatusCode::SERVICE_UNAVAILABLE, reason),
         }
     }
 
-    async fn complete_form(
+    async fn handle_completion(
         self: Arc<Self>,
         form: Form,
         request: Request<Incoming>,
     ) -> Response<ResponseBody> {
-        match self.receive(request).await {
+        match self.read_request(request).await {
             Ok(received) => self.complete(form, received).await,
-            Err(code) => refuse(code),
+            Err(code) => refuse_unidentified(code),
         }
     }
 
-    async fn call_form(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
-        match self.receive(request).await {
+    async fn handle_call(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
+        match self.read_request(request).await {
             Ok(received) => self.call(received).await,
-            Err(code) => refuse(code),
+            Err(code) => refuse_unidentified(code),
         }
     }
 
-    /// Reads a body whole, within the bounds of size and time.
-    async fn receive(&self, request: Request<Incoming>) -> Result<Received, RefusalCode> {
+    /// Reads the complete body, within the limits of size and time.
+    async fn read_request(&self, request: Request<Incoming>) -> Result<Received, RefusalCode> {
         let settings = &self.deps.settings;
         let (head, body) = request.into_parts();
         match http::read_body(body, settings.body, settings.receive).await {
@@ -102,7 +102,7 @@
     }
 }
 
-/// A refusal of something that never became a request of an organisation.
-pub(crate) fn refuse(code: RefusalCode) -> Response<ResponseBody> {
-    respond::refuse(&Answer::refused_early(code, false, None), "-")
+/// Refuses a request before it is assigned to an organisation.
+pub(crate) fn refuse_unidentified(code: RefusalCode) -> Response<ResponseBody> {
+    respond::error(&Answer::refused_early(code, false, None), "-")
 }
--- a/src/serve/service.rs
+++ b/src/serve/service.rs
@@ -1,7 +1,8 @@
-//! Calls to plain services: one request, one whole answer.
+//! Calls to plain services: one request, one response.
 //!
-//! The answer is read whole before its first byte goes to the caller, so a cut
-//! one can't pass for a whole one and a kept one is the same to the letter.
+//! The response is buffered completely before its first byte is sent to the
+//! caller. A truncated response therefore can't look complete, and a stored one is
+//! identical to the original.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::{Arc, Mutex};
@@ -12,7 +13,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use tokio::sync::mpsc;
 
-use super::admit::Known;
+use super::admit::AuthenticatedRequest;
 use super::claims::request_digest;
 use super::job::{Job, Output, Work};
 use super::listen::Received;
@@ -24,67 +25,67 @@
 use crate::http::ResponseBody;
 use crate::request::{Answer, AttemptError, Event, Frame, Hop, RefusalCode, RequestId};
 
-/// Longest answer of a plain service, in bytes.
-const MAX_ANSWER: usize = 8 << 20;
+/// Maximum body size of a plain service's response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Path prefix, its name and the rest.
-const SERVICES: &str = "/services/";
+/// Prefix of the paths of plain services; the service's name and its own path follow.
+const SERVICES_PREFIX: &str = "/services/";
 
-/// The caller's key, handed on so that the service can know a repetition.
+/// Idempotency key, forwarded so that the service can detect repeated calls.
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// A whole answer of a service.
+/// A complete response of a service.
 #[derive(Debug)]
-pub(crate) struct Whole {
+pub(crate) struct ServiceResponse {
     status: StatusCode,
-    kind: String,
+    content_type: String,
     body: Bytes,
 }
 
-/// Where an attempt leaves the answer for the caller's side.
-pub(crate) type Slot = Arc<Mutex<Option<Whole>>>;
+/// Slot through which an attempt passes the response to the response writer.
+pub(crate) type ResponseSlot = Arc<Mutex<Option<ServiceResponse>>>;
 
-/// One call, as it is sent on each attempt.
+/// A call, sent unchanged on each attempt.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     method: Method,
-    /// Path and query behind the service's name.
-    rest: String,
-    kind: Option<HeaderValue>,
+    /// Path and query that follow the service's name.
+    path_and_query: String,
+    content_type: Option<HeaderValue>,
     key: Option<String>,
     body: Bytes,
-    /// Whether it may be made more than once.
+    /// Whether the call may be made more than once.
     idempotent: bool,
-    /// Empty until an attempt was answered.
-    slot: Slot,
+    /// Empty until an attempt receives a response.
+    slot: ResponseSlot,
 }
 
 impl Server {
     /// Answers `/services/NAME/...`.
     pub(crate) async fn call(self: Arc<Self>, received: Received) -> Response<ResponseBody> {
-        let known = match self.identify(&received.head) {
-            Ok(known) => known,
+        let request = match self.authenticate(&received.head) {
+            Ok(request) => request,
             Err(response) => return *response,
         };
-        let id = known.id.to_string();
-        match self.begin_call(&known, received).await {
+        let id = request.id.to_string();
+        match self.begin_call(&request, received).await {
             Err(answer) => {
-                self.note(known.id, &answer);
-                refuse(&answer, &id)
+                self.record_answer(request.id, &answer);
+                respond_with_answer(&answer, &id)
             }
-            Ok((slot, output)) => present(&slot, output, &id).await,
+            Ok((slot, output)) => respond_with_output(&slot, output, &id).await,
         }
     }
 
-    /// Everything up to the first attempt.
+    /// Admits and claims the request and starts the call.
     async fn begin_call(
         self: &Arc<Self>,
-        known: &Known,
+        request: &AuthenticatedRequest,
         received: Received,
-    ) -> Result<(Slot, mpsc::Receiver<Output>), Answer> {
-        let (name, _) = split(received.head.uri.path());
-        let keyed = known.head.key.is_some();
-        let route = known.route(name);
+    ) -> Result<(ResponseSlot, mpsc::Receiver<Output>), Answer> {
+        let (name, _) = split_path(received.head.uri.path());
+        let keyed = request.headers.idempotency_key.is_some();
+        let route = request.route(name);
         let route = route.filter(|r| matches!(r.target, Target::Service(_)));
         let Some(route) = route else {
             return Err(Answer::refused_early(
@@ -94,42 +95,46 @@
             ));
         };
         let used = Arc::new(AtomicU32::new(1));
-        let life = known.life(route);
-        let life = self.admit(life, route, 1, known.deadline, &used).await?;
+        let lifecycle = request.lifecycle(route);
+        let lifecycle = self
+            .admit(lifecycle, route, 1, request.deadline, &used)
+            .await?;
         let target = received.head.uri.path_and_query();
         let digest = request_digest(&[
             received.head.method.as_str().as_bytes(),
             target.map_or("", |p| p.as_str()).as_bytes(),
             &received.body,
         ]);
-        let key = known.claim_key(digest);
-        let life = self.claim(life, key.as_ref(), known.deadline).await?;
-        let call = call(known, received, life.idempotent);
+        let key = request.claim_key(digest);
+        let lifecycle = self
+            .claim(lifecycle, key.as_ref(), request.deadline)
+            .await?;
+        let call = build_call(request, received, lifecycle.idempotent);
         let slot = Arc::clone(&call.slot);
         let job = Job {
-            id: known.id,
-            organisation: known.organisation.clone(),
+            id: request.id,
+            organisation: request.organisation.clone(),
             route: route.name.as_str().into(),
             class: route.class,
-            model: service_model(name_of(&route.target)),
+            model: service_model(target_name(&route.target)),
             pools: route.pools.clone().into(),
             prompt_tokens: 0,
             prefix: None,
             limit: 1,
-            idempotent: life.idempotent,
-            deadline: known.deadline,
+            idempotent: lifecycle.idempotent,
+            deadline: request.deadline,
             key,
             used,
             work: Work::Call(call),
             running: self.deps.gate.hold(),
         };
-        Ok((slot, self.start(job, life)))
+        Ok((slot, self.start(job, lifecycle)))
     }
 }
 
-/// The caller's side: the answer as it is once the request has ended.
-async fn present(
-    slot: &Slot,
+/// Waits for the request to end and returns the service's response, or an error.
+async fn respond_with_output(
+    slot: &ResponseSlot,
     mut output: mpsc::Receiver<Output>,
     id: &str,
 ) -> Response<ResponseBody> {
@@ -137,18 +142,20 @@
         match piece {
             Output::Token(_) => {}
             Output::Finish(Answer::Complete { .. }) => break,
-            Output::Finish(answer) => return refuse(&answer, id),
+            Output::Finish(answer) => return respond_with_answer(&answer, id),
         }
     }
     match slot.lock().expect("no holder panics").take() {
-        Some(whole) => respond::reply(whole.status, &whole.kind, whole.body, id),
-        None => respond::lost(id),
+        Some(response) => {
+            respond::response(response.status, &response.content_type, response.body, id)
+        }
+        None => respond::missing_answer(id),
     }
 }
 
-/// Makes the call on one attempt and reports it like a generation of a single
-/// token, so that the same state machine guards both.
-pub(crate) async fn read(
+/// Makes the call in one attempt and reports it as a generation of a single token,
+/// so that the same state machine handles both.
+pub(crate) async fn run_attempt(
     call: Call,
     id: RequestId,
     attempt: u32,
@@ -157,42 +164,44 @@
     cutoff: Cutoff,
 ) {
     let Some(stage) = path.first() else { return };
-    let broken = |cause| Event::Failed {
+    let failed = |cause| Event::Failed {
         attempt,
         cause,
         suspect: Some(stage.upstream.clone()),
     };
-    let whole = match Connection::open(stage.address).await {
-        Err(_) => Err(broken(AttemptError::Refused)),
+    let result = match Connection::open(stage.address).await {
+        Err(_) => Err(failed(AttemptError::Refused)),
         Ok(connection) => {
             let request = call.request(&stage.address.to_string(), &id.to_string());
             match exchange(connection, request, &cutoff).await {
-                // A service that says so may have done its work all the same.
-                // An idempotent call is tried elsewhere; else its answer is
-                // the answer.
-                Ok(whole) if whole.status == StatusCode::SERVICE_UNAVAILABLE && call.idempotent => {
+                // A service that answers 503 may have run the call nevertheless.
+                // An idempotent call is retried on another upstream; otherwise the
+                // caller gets this response.
+                Ok(response)
+                    if response.status == StatusCode::SERVICE_UNAVAILABLE && call.idempotent =>
+                {
                     let not_run = false;
                     Err(Event::Busy { attempt, not_run })
                 }
-                Ok(whole) => Ok(whole),
-                Err(EngineError::Connect) => Err(broken(AttemptError::Refused)),
-                Err(_) => Err(broken(AttemptError::ConnectionLost)),
+                Ok(response) => Ok(response),
+                Err(EngineError::Connect) => Err(failed(AttemptError::Refused)),
+                Err(_) => Err(failed(AttemptError::ConnectionLost)),
             }
         }
     };
-    match whole {
+    match result {
         Err(event) => {
             let _ = events.send(event).await;
         }
-        Ok(whole) => {
-            *call.slot.lock().expect("no holder panics") = Some(whole);
-            let _ = events.send(token(id, attempt, stage)).await;
-            let _ = events.send(end(id, attempt)).await;
+        Ok(response) => {
+            *call.slot.lock().expect("no holder panics") = Some(response);
+            let _ = events.send(token_event(id, attempt, stage)).await;
+            let _ = events.send(done_event(id, attempt)).await;
         }
     }
 }
 
-fn token(id: RequestId, attempt: u32, stage: &Stage) -> Event {
+fn token_event(id: RequestId, attempt: u32, stage: &Stage) -> Event {
     Event::Frame {
         conn_attempt: attempt,
         frame: Frame {
@@ -209,7 +218,7 @@
     }
 }
 
-fn end(id: RequestId, attempt: u32) -> Event {
+fn done_event(id: RequestId, attempt: u32) -> Event {
     Event::Done {
         conn_attempt: attempt,
         request: id.to_string(),
@@ -218,60 +227,63 @@
     }
 }
 
-fn name_of(target: &Target) -> &str {
+fn target_name(target: &Target) -> &str {
     match target {
         Target::Service(name) | Target::Model(name) => name,
     }
 }
 
-fn refuse(answer: &Answer, id: &str) -> Response<ResponseBody> {
-    let Answer::Stored(kept) = answer else {
-        return respond::refuse(answer, id);
+fn respond_with_answer(answer: &Answer, id: &str) -> Response<ResponseBody> {
+    let Answer::Stored(stored) = answer else {
+        return respond::error(answer, id);
     };
-    let status = u16::try_from(kept.status).ok();
+    let status = u16::try_from(stored.status).ok();
     let status = status.and_then(|s| StatusCode::from_u16(s).ok());
-    let body = Bytes::from(kept.body.clone());
-    respond::reply(
+    let body = Bytes::from(stored.body.clone());
+    respond::response(
         status.unwrap_or(StatusCode::OK),
-        &kept.content_type,
+        &stored.content_type,
         body,
         id,
     )
 }
 
 impl Call {
-    /// The outcome to keep with the call's claim.
-    pub(crate) fn kept(&self) -> Settled {
+    /// Outcome to store with the claim of the call.
+    pub(crate) fn claim_outcome(&self) -> Settled {
         match &*self.slot.lock().expect("no holder panics") {
-            Some(whole) if whole.body.len() <= MAX_STORED_ANSWER => Settled::Stored(StoredAnswer {
-                status: u32::from(whole.status.as_u16()),
-                content_type: whole.kind.clone(),
-                body: whole.body.to_vec(),
-            }),
+            Some(response) if response.body.len() <= MAX_STORED_ANSWER => {
+                Settled::Stored(StoredAnswer {
+                    status: u32::from(response.status.as_u16()),
+                    content_type: response.content_type.clone(),
+                    body: response.body.to_vec(),
+                })
+            }
             _ => Settled::NotStored(()),
         }
     }
 }
 
-/// The service's name and the rest of the path, which begins with a slash.
-fn split(path: &str) -> (&str, &str) {
-    let path = path.strip_prefix(SERVICES).unwrap_or_default();
+/// Splits a path into the service's name and the remaining path, which starts with
+/// a slash.
+fn split_path(path: &str) -> (&str, &str) {
+    let path = path.strip_prefix(SERVICES_PREFIX).unwrap_or_default();
     match path.find('/') {
         Some(at) => path.split_at(at),
         None => (path, "/"),
     }
 }
 
-fn call(known: &Known, received: Received, idempotent: bool) -> Call {
+fn build_call(request: &AuthenticatedRequest, received: Received, idempotent: bool) -> Call {
     let uri = &received.head.uri;
-    let (_, rest) = split(uri.path());
+    let (_, path) = split_path(uri.path());
     let query = uri.query().map(|q| format!("?{q}")).unwrap_or_default();
     Call {
-        slot: Slot::default(),
+        slot: ResponseSlot::default(),
         idempotent,
-        rest: format!("{rest}{query}"),
-        kind: received.head.headers.get(CONTENT_TYPE).cloned(),
-        key: known.head.key.clone(),
+        path_and_query: format!("{path}{query}"),
+        content_type: received.head.headers.get(CONTENT_TYPE).cloned(),
+        key: request.headers.idempotency_key.clone(),
         method: received.head.method,
         body: received.body,
     }
@@ -281,11 +293,11 @@
     fn request(&self, host: &str, id: &str) -> Request<Full<Bytes>> {
         let mut builder = Request::builder()
             .method(self.method.clone())
-            .uri(&self.rest)
+            .uri(&self.path_and_query)
             .header(HOST, host)
             .header(respond::REQUEST_ID, id);
-        if let Some(kind) = &self.kind {
-            builder = builder.header(CONTENT_TYPE, kind);
+        if let Some(content_type) = &self.content_type {
+            builder = builder.header(CONTENT_TYPE, content_type);
         }
         if let Some(key) = &self.key {
             builder = builder.header(IDEMPOTENCY_KEY, key);
@@ -300,17 +312,21 @@
     connection: Connection,
     request: Request<Full<Bytes>>,
     cutoff: &Cutoff,
-) -> Result<Whole, EngineError> {
-    let mut answer = connection.send(request, cutoff).await?;
-    let status = answer.response.status();
-    let kind = answer.response.headers().get(CONTENT_TYPE);
-    let kind = kind
+) -> Result<ServiceResponse, EngineError> {
+    let mut response = connection.send(request, cutoff).await?;
+    let status = response.response.status();
+    let content_type = response.response.headers().get(CONTENT_TYPE);
+    let content_type = content_type
         .and_then(|k| k.to_str().ok())
         .unwrap_or("application/octet-stream");
-    let kind = kind.to_owned();
-    let body = Limited::new(answer.response.body_mut(), MAX_ANSWER)
+    let content_type = content_type.to_owned();
+    let body = Limited::new(response.response.body_mut(), MAX_RESPONSE_BYTES)
         .collect()
         .await;
-    let body = body.map_err(|_| EngineError::Cut)?.to_bytes();
-    Ok(Whole { status, kind, body })
+    let body = body.map_err(|_| EngineError::ConnectionLost)?.to_bytes();
+    Ok(ServiceResponse {
+        status,
+        content_type,
+        body,
+    })
 }
--- a/src/serve/stream.rs
+++ b/src/serve/stream.rs
@@ -1,20 +1,20 @@
-//! Reads an engine's stream into events of the request's state machine.
+//! Converts an engine's event stream to events of the request's state machine.
 
 use tokio::sync::mpsc;
 
-use crate::engine::{Cutoff, Engine, EngineError, EngineEvent, Events, Order};
+use crate::engine::{Cutoff, Engine, EngineError, EngineEvent, EventStream, PipelineRequest};
 use crate::id::UpstreamId;
 use crate::request::{AttemptError, Event, Frame, Hop};
 
-/// Sends the order and hands on each event of its stream.
-pub(crate) async fn read(
+/// Sends the request to the engine and forwards each event of its stream.
+pub(crate) async fn run_attempt(
     engine: impl Engine,
-    order: Order,
+    request: PipelineRequest,
     events: mpsc::Sender<Event>,
     cutoff: Cutoff,
 ) {
-    let attempt = order.attempt;
-    let started = engine.start(&order, &cutoff).await;
+    let attempt = request.attempt;
+    let started = engine.start(&request, &cutoff).await;
     let mut stream = match started {
         Ok(stream) => stream,
         Err(e) => {
@@ -32,7 +32,7 @@
     }
 }
 
-fn translate(on: u32, event: Result<EngineEvent, EngineError>) -> Event {
+fn translate(conn_attempt: u32, event: Result<EngineEvent, EngineError>) -> Event {
     match event {
         Ok(EngineEvent::Token {
             request,
@@ -41,7 +41,7 @@
             text,
             passed,
         }) => Event::Frame {
-            conn_attempt: on,
+            conn_attempt,
             frame: Frame {
                 request,
                 attempt,
@@ -64,14 +64,16 @@
             done: true,
             ..
         }) => Event::Done {
-            conn_attempt: on,
+            conn_attempt,
             request,
             attempt,
             count,
         },
-        Ok(EngineEvent::Failed { upstream, .. }) => failure(on, &EngineError::Cut, Some(upstream)),
-        Ok(EngineEvent::Done { .. }) => failure(on, &EngineError::Garbage, None),
-        Err(e) => failure(on, &e, None),
+        Ok(EngineEvent::Failed { upstream, .. }) => {
+            failure(conn_attempt, &EngineError::ConnectionLost, Some(upstream))
+        }
+        Ok(EngineEvent::Done { .. }) => failure(conn_attempt, &EngineError::InvalidEvent, None),
+        Err(e) => failure(conn_attempt, &e, None),
     }
 }
 
@@ -82,8 +84,8 @@
             return Event::Busy { attempt, not_run };
         }
         EngineError::Connect => AttemptError::Refused,
-        EngineError::Cut => AttemptError::ConnectionLost,
-        EngineError::Status { .. } | EngineError::Garbage => AttemptError::InvalidData,
+        EngineError::ConnectionLost => AttemptError::ConnectionLost,
+        EngineError::Status { .. } | EngineError::InvalidEvent => AttemptError::InvalidData,
     };
     Event::Failed {
         attempt,
