--- a/src/openai.rs
+++ b/src/openai.rs
@@ -13,7 +13,7 @@
 
 /// Endpoint that a caller uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Form {
+pub(crate) enum Endpoint {
     /// `POST /v1/completions`.
     Text,
     /// `POST /v1/chat/completions`.
@@ -40,7 +40,7 @@
 /// A validated completion request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CompletionRequest {
-    pub(crate) form: Form,
+    pub(crate) endpoint: Endpoint,
     /// Name of the route.
     pub(crate) route: String,
     pub(crate) prompt: String,
@@ -51,21 +51,21 @@
 
 impl CompletionRequest {
     /// Parses a request body. The error says what the caller must correct.
-    pub(crate) fn parse(form: Form, body: &[u8]) -> Result<Self, String> {
+    pub(crate) fn parse(endpoint: Endpoint, body: &[u8]) -> Result<Self, String> {
         let parsed: RequestBody =
             serde_json::from_slice(body).map_err(|e| format!("the body isn't valid: {e}"))?;
-        let prompt = match (form, parsed.prompt, parsed.messages) {
-            (Form::Text, Some(prompt), _) => prompt,
-            (Form::Chat, _, Some(messages)) if !messages.is_empty() => join_messages(&messages),
-            (Form::Text, ..) => return Err("the body has no prompt".to_owned()),
-            (Form::Chat, ..) => return Err("the body has no messages".to_owned()),
+        let prompt = match (endpoint, parsed.prompt, parsed.messages) {
+            (Endpoint::Text, Some(prompt), _) => prompt,
+            (Endpoint::Chat, _, Some(messages)) if !messages.is_empty() => join_messages(&messages),
+            (Endpoint::Text, ..) => return Err("the body has no prompt".to_owned()),
+            (Endpoint::Chat, ..) => return Err("the body has no messages".to_owned()),
         };
         let limit = parsed.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
         if limit == 0 || limit > MAX_TOKENS {
             return Err(format!("max_tokens must be from 1 to {MAX_TOKENS}"));
         }
         Ok(Self {
-            form,
+            endpoint,
             route: parsed.model,
             prompt,
             limit,
@@ -114,7 +114,7 @@
 
 /// Formats the response to one request.
 pub(crate) struct ResponseWriter {
-    pub(crate) form: Form,
+    pub(crate) endpoint: Endpoint,
     /// ID of the request.
     pub(crate) id: String,
     /// Name of the route.
@@ -147,8 +147,8 @@
             role: "assistant",
             content: text,
         };
-        let (object, choice) = match self.form {
-            Form::Text => (
+        let (object, choice) = match self.endpoint {
+            Endpoint::Text => (
                 "text_completion",
                 Choice {
                     text: Some(text),
@@ -156,7 +156,7 @@
                     ..Choice::default()
                 },
             ),
-            Form::Chat => (
+            Endpoint::Chat => (
                 "chat.completion.chunk",
                 Choice {
                     delta: Some(part),
@@ -175,8 +175,8 @@
             content: text,
         };
         let finish_reason = Some(self.finish_reason(count));
-        let (object, choice) = match self.form {
-            Form::Text => (
+        let (object, choice) = match self.endpoint {
+            Endpoint::Text => (
                 "text_completion",
                 Choice {
                     text: Some(text),
@@ -184,7 +184,7 @@
                     ..Choice::default()
                 },
             ),
-            Form::Chat => (
+            Endpoint::Chat => (
                 "chat.completion",
                 Choice {
                     message: Some(part),
--- a/src/serve/claims.rs
+++ b/src/serve/claims.rs
@@ -15,13 +15,12 @@
 use crate::propose::Proposer;
 use crate::request::{Admitted, Answer, Claimed, Lifecycle, RefusalCode};
 
-/// Timeout for committing a settlement or release in the background. If it
-/// fails, the claim stays open: a repeated request is answered with "unknown"
-/// and never runs again.
+/// Timeout for committing a settlement or release in the background. If the commit
+/// fails, the claim stays open, and a repeated request is answered with "unknown"
+/// but never runs again.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time that a claim stays open after the request's deadline, for its outcome to
-/// be recorded.
+/// Time after the request's deadline during which its outcome is still awaited.
 const SETTLE_MARGIN: Duration = Duration::from_secs(5);
 
 /// Identity of a claimed request.
--- a/src/serve/complete.rs
+++ b/src/serve/complete.rs
@@ -12,12 +12,12 @@
 use super::admit::AuthenticatedRequest;
 use super::claims::{ClaimKey, request_digest};
 use super::job::{Job, OUTPUT_CAPACITY, Output, Work};
-use super::listen::Received;
+use super::listen::ReceivedRequest;
 use super::respond::{self, EVENT_STREAM, JSON};
 use crate::catalogue::{Route, Target};
 use crate::http::ResponseBody;
 use crate::id::OrganisationId;
-use crate::openai::{CompletionRequest, Form, ResponseWriter};
+use crate::openai::{CompletionRequest, Endpoint, ResponseWriter};
 use crate::request::{Answer, Claimed, Lifecycle, RefusalCode};
 
 /// Approximate number of prompt bytes per token.
@@ -30,27 +30,27 @@
     /// Answers `POST /v1/completions` and `/v1/chat/completions`.
     pub(crate) async fn complete(
         self: Arc<Self>,
-        form: Form,
-        received: Received,
+        endpoint: Endpoint,
+        received: ReceivedRequest,
     ) -> Response<ResponseBody> {
         let request = match self.authenticate(&received.head) {
             Ok(request) => request,
             Err(response) => return *response,
         };
         let id = request.id.to_string();
-        match self.begin_completion(form, &request, &received).await {
+        match self.begin_completion(endpoint, &request, &received).await {
             Ok((completion, output)) => {
                 let writer = ResponseWriter {
-                    form,
+                    endpoint,
                     id: id.clone(),
                     model: completion.route,
                     limit: completion.limit,
                 };
                 respond_with_output(writer, completion.stream, output, request).await
             }
-            Err((answer, form)) => {
+            Err((answer, parsed)) => {
                 self.record_answer(request.id, &answer);
-                respond_without_run(&answer, form, id)
+                respond_without_run(&answer, parsed, id)
             }
         }
     }
@@ -58,16 +58,16 @@
     /// Parses, admits and claims the request and starts the generation.
     async fn begin_completion(
         self: &Arc<Self>,
-        form: Form,
+        endpoint: Endpoint,
         request: &AuthenticatedRequest,
-        received: &Received,
+        received: &ReceivedRequest,
     ) -> Result<
         (CompletionRequest, mpsc::Receiver<Output>),
-        (Answer, Option<(CompletionRequest, Form)>),
+        (Answer, Option<(CompletionRequest, Endpoint)>),
     > {
         let keyed = request.headers.idempotency_key.is_some();
         let refuse = |code| (Answer::refused_early(code, keyed, None), None);
-        let completion = CompletionRequest::parse(form, &received.body)
+        let completion = CompletionRequest::parse(endpoint, &received.body)
             .map_err(|_| refuse(RefusalCode::InvalidRequest))?;
         let route = request.route(&completion.route);
         let route = route.ok_or_else(|| refuse(RefusalCode::UnknownRoute))?;
@@ -86,7 +86,7 @@
         let lifecycle = self
             .admit_and_claim(request, route, &completion, key.as_ref(), &used)
             .await
-            .map_err(|answer| (answer, Some((completion.clone(), form))))?;
+            .map_err(|answer| (answer, Some((completion.clone(), endpoint))))?;
         let job = Job {
             id: request.id,
             organisation: request.organisation.clone(),
@@ -142,15 +142,15 @@
 /// earlier request with the same key.
 fn respond_without_run(
     answer: &Answer,
-    form: Option<(CompletionRequest, Form)>,
+    parsed: Option<(CompletionRequest, Endpoint)>,
     id: String,
 ) -> Response<ResponseBody> {
-    let (Answer::Stored(stored), Some((completion, form))) = (answer, form) else {
+    let (Answer::Stored(stored), Some((completion, endpoint))) = (answer, parsed) else {
         return respond::error(answer, &id);
     };
     let text = String::from_utf8_lossy(&stored.body);
     let writer = ResponseWriter {
-        form,
+        endpoint,
         id: id.clone(),
         model: completion.route,
         limit: completion.limit,
--- a/src/serve/generate.rs
+++ b/src/serve/generate.rs
@@ -12,7 +12,7 @@
 use super::job::{Job, OUTPUT_CAPACITY, Output, Work};
 use super::service;
 use super::{PermitGuard, Server, stream};
-use crate::claim::{ClaimLease, Outcome as Settled};
+use crate::claim::{ClaimLease, Outcome as ClaimOutcome};
 use crate::clock::{Time, millis};
 use crate::dispatch::{Placed, Placement, PlacementError};
 use crate::engine::{Cutoff, HttpEngine, PipelineRequest, Stage};
@@ -44,7 +44,7 @@
 struct ActiveAttempt {
     placed: Placed,
     path: Vec<Stage>,
-    /// Task that reads the upstream's response, once the request was sent.
+    /// Task that reads the upstream's response; set once the request was sent.
     reader: Option<ReaderTask>,
     started: Time,
 }
@@ -94,7 +94,7 @@
     ) {
         let settings = &self.deps.settings;
         let (layers, first) = match &job.work {
-            Work::Engine(_) => (self.layers(&job.model, &job.pools), settings.first),
+            Work::Engine(_) => (self.model_layers(&job.model, &job.pools), settings.first),
             Work::Call(_) => (SERVICE_LAYERS, settings.call),
         };
         let bounds = Bounds {
@@ -108,7 +108,7 @@
         let mut effects = Vec::new();
         let generation = Generation::new(lifecycle, bounds, &mut effects);
         let (events, incoming) = mpsc::channel(EVENT_CAPACITY);
-        let run = GenerationTask {
+        let task = GenerationTask {
             server: Arc::clone(&self),
             job,
             generation,
@@ -119,12 +119,12 @@
             output,
             leave_reported: false,
         };
-        run.run(effects.into()).await;
+        task.run(effects.into()).await;
     }
 
-    /// Layers of the model as its engines announce it; 0 when none is request,
-    /// which no path covers.
-    fn layers(&self, model: &str, pools: &[String]) -> u32 {
+    /// Number of layers of the model, as announced by its engines. Returns 0 if no
+    /// engine is known; no path covers 0 layers.
+    fn model_layers(&self, model: &str, pools: &[String]) -> u32 {
         let view = self.deps.fleet.upstreams();
         let engines = view.upstreams.iter().filter(|u| pools.contains(&u.pool));
         engines
@@ -197,7 +197,7 @@
             }
             Effect::Settle { token, outcome } => {
                 let outcome = match (&self.job.work, outcome) {
-                    (Work::Call(call), Settled::Stored(_)) => call.claim_outcome(),
+                    (Work::Call(call), ClaimOutcome::Stored(_)) => call.claim_outcome(),
                     (_, outcome) => outcome,
                 };
                 if let Some(key) = self.job.key.clone() {
--- a/src/serve/listen.rs
+++ b/src/serve/listen.rs
@@ -11,14 +11,14 @@
 use super::Server;
 use super::respond;
 use crate::http::{self, ReceiveError, ReceiveLimits, ResponseBody};
-use crate::openai::Form;
+use crate::openai::Endpoint;
 use crate::request::{Answer, RefusalCode};
 
 /// Prefix of the paths of plain services.
 const SERVICES_PREFIX: &str = "/services/";
 
 /// A request with its complete body.
-pub(crate) struct Received {
+pub(crate) struct ReceivedRequest {
     pub(crate) head: hyper::http::request::Parts,
     pub(crate) body: Bytes,
 }
@@ -55,9 +55,11 @@
             (&Method::GET, "/healthz") => respond::plain_text(StatusCode::OK, "ok\n"),
             (&Method::GET, "/readyz") => self.ready(),
             (&Method::GET, "/v1/models") => self.models(&request),
-            (&Method::POST, "/v1/completions") => self.handle_completion(Form::Text, request).await,
+            (&Method::POST, "/v1/completions") => {
+                self.handle_completion(Endpoint::Text, request).await
+            }
             (&Method::POST, "/v1/chat/completions") => {
-                self.handle_completion(Form::Chat, request).await
+                self.handle_completion(Endpoint::Chat, request).await
             }
             (_, path) if path.starts_with(SERVICES_PREFIX) => self.handle_call(request).await,
             _ => refuse_unidentified(RefusalCode::UnknownPath),
@@ -73,11 +75,11 @@
 
     async fn handle_completion(
         self: Arc<Self>,
-        form: Form,
+        endpoint: Endpoint,
         request: Request<Incoming>,
     ) -> Response<ResponseBody> {
         match self.read_request(request).await {
-            Ok(received) => self.complete(form, received).await,
+            Ok(received) => self.complete(endpoint, received).await,
             Err(code) => refuse_unidentified(code),
         }
     }
@@ -90,11 +92,14 @@
     }
 
     /// Reads the complete body, within the limits of size and time.
-    async fn read_request(&self, request: Request<Incoming>) -> Result<Received, RefusalCode> {
+    async fn read_request(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<ReceivedRequest, RefusalCode> {
         let settings = &self.deps.settings;
         let (head, body) = request.into_parts();
         match http::read_body(body, settings.body, settings.receive).await {
-            Ok(body) => Ok(Received { head, body }),
+            Ok(body) => Ok(ReceivedRequest { head, body }),
             Err(ReceiveError::TooLarge) => Err(RefusalCode::TooLarge),
             Err(ReceiveError::Incomplete) => Err(RefusalCode::InvalidRequest),
             Err(ReceiveError::Timeout) => Err(RefusalCode::TooSlow),
--- a/src/serve/service.rs
+++ b/src/serve/service.rs
@@ -16,10 +16,10 @@
 use super::admit::AuthenticatedRequest;
 use super::claims::request_digest;
 use super::job::{Job, Output, Work};
-use super::listen::Received;
+use super::listen::ReceivedRequest;
 use super::{Server, respond};
 use crate::catalogue::Target;
-use crate::claim::{MAX_STORED_ANSWER, Outcome as Settled, StoredAnswer};
+use crate::claim::{MAX_STORED_ANSWER, Outcome as ClaimOutcome, StoredAnswer};
 use crate::dispatch::service_model;
 use crate::engine::{Connection, Cutoff, EngineError, Stage};
 use crate::http::ResponseBody;
@@ -62,7 +62,7 @@
 
 impl Server {
     /// Answers `/services/NAME/...`.
-    pub(crate) async fn call(self: Arc<Self>, received: Received) -> Response<ResponseBody> {
+    pub(crate) async fn call(self: Arc<Self>, received: ReceivedRequest) -> Response<ResponseBody> {
         let request = match self.authenticate(&received.head) {
             Ok(request) => request,
             Err(response) => return *response,
@@ -81,7 +81,7 @@
     async fn begin_call(
         self: &Arc<Self>,
         request: &AuthenticatedRequest,
-        received: Received,
+        received: ReceivedRequest,
     ) -> Result<(ResponseSlot, mpsc::Receiver<Output>), Answer> {
         let (name, _) = split_path(received.head.uri.path());
         let keyed = request.headers.idempotency_key.is_some();
@@ -250,16 +250,16 @@
 
 impl Call {
     /// Outcome to store with the claim of the call.
-    pub(crate) fn claim_outcome(&self) -> Settled {
+    pub(crate) fn claim_outcome(&self) -> ClaimOutcome {
         match &*self.slot.lock().expect("no holder panics") {
             Some(response) if response.body.len() <= MAX_STORED_ANSWER => {
-                Settled::Stored(StoredAnswer {
+                ClaimOutcome::Stored(StoredAnswer {
                     status: u32::from(response.status.as_u16()),
                     content_type: response.content_type.clone(),
                     body: response.body.to_vec(),
                 })
             }
-            _ => Settled::NotStored(()),
+            _ => ClaimOutcome::NotStored(()),
         }
     }
 }
@@ -274,7 +274,7 @@
     }
 }
 
-fn build_call(request: &AuthenticatedRequest, received: Received, idempotent: bool) -> Call {
+fn build_call(request: &AuthenticatedRequest, received: ReceivedRequest, idempotent: bool) -> Call {
     let uri = &received.head.uri;
     let (_, path) = split_path(uri.path());
     let query = uri.query().map(|q| format!("?{q}")).unwrap_or_default();
