--- a/src/tests/engine.rs
+++ b/src/tests/engine.rs
@@ -12,16 +12,17 @@
 use crate::engine::{Connection, Cutoff, EngineError};
 use crate::{Clock, Time};
 
-struct Fixed(Time);
+struct FixedClock(Time);
 
-impl Clock for Fixed {
+impl Clock for FixedClock {
     fn now(&self) -> Time {
         self.0
     }
 }
 
-/// An instance freezes between the connection to a service and the first byte.
-/// When it wakes, its claim's lease has ended, so no byte may leave.
+/// The process is suspended after connecting to a service and before sending the
+/// first byte. After the cutoff, the claim's lease has expired, so nothing may be
+/// sent.
 #[rstest]
 #[case::before(Time(9), false)]
 #[case::after(Time(10), true)]
@@ -34,7 +35,7 @@
         stream.read(&mut [0; 64]).await.expect("bytes or the end")
     });
     let connection = Connection::open(addr).await.expect("a listener");
-    let cutoff = Cutoff::new(Some(Time(10)), Arc::new(Fixed(now)));
+    let cutoff = Cutoff::new(Some(Time(10)), Arc::new(FixedClock(now)));
     let request = Request::post("/letters").body(Full::new(Bytes::new()));
     let sent = connection.send(request.expect("valid"), &cutoff).await;
     let error = sent.err().expect("the server answers nothing");
--- a/src/tests/http.rs
+++ b/src/tests/http.rs
@@ -12,30 +12,31 @@
 
 use crate::http::{ReceiveLimits, accept_until};
 
-const BOUNDS: ReceiveLimits = ReceiveLimits {
+const LIMITS: ReceiveLimits = ReceiveLimits {
     max_head: 16 << 10,
     receive_timeout: Duration::from_secs(5),
 };
 
-/// How long the handler takes.
-const WORK: Duration = Duration::from_millis(400);
+/// Duration of the handler.
+const HANDLER_TIME: Duration = Duration::from_millis(400);
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n";
 
 #[tokio::test]
 async fn accept_until_closing() {
-    // An instance is told to end while most of its domain restarts. The
-    // balancer goes on sending callers there; what they are promised would be
-    // cut off with the process. What runs must end whole all the same.
+    // An instance is shut down while most of its failure domain restarts, so that
+    // the load balancer still sends callers to it. Accepted connections would be cut
+    // off when the process exits, so new ones must be refused. The running request
+    // must still be answered completely.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     let addr = listener.local_addr().unwrap();
     let (close, closing) = watch::channel(false);
     tokio::spawn(accept_until(
         listener,
-        BOUNDS,
+        LIMITS,
         |_| async {
-            sleep(WORK).await;
+            sleep(HANDLER_TIME).await;
             let body: Full<Bytes> = Full::from(Bytes::from_static(b"whole"));
             Response::new(body)
         },
@@ -44,19 +45,22 @@
     let mut running = TcpStream::connect(addr).await.unwrap();
     let mut idle = TcpStream::connect(addr).await.unwrap();
     running.write_all(REQUEST).await.unwrap();
-    sleep(WORK / 4).await;
+    sleep(HANDLER_TIME / 4).await;
     close.send_replace(true);
-    sleep(WORK / 4).await;
+    sleep(HANDLER_TIME / 4).await;
     assert!(
         TcpStream::connect(addr).await.is_err(),
-        "a late caller is taken in"
+        "the listener still accepts connections"
     );
     let mut answer = String::new();
     let read = running.read_to_string(&mut answer);
-    timeout(4 * WORK, read).await.expect("it closes").unwrap();
+    timeout(4 * HANDLER_TIME, read)
+        .await
+        .expect("it closes")
+        .unwrap();
     assert!(answer.ends_with("whole"), "{answer}");
     let mut rest = Vec::new();
     let read = idle.read_to_end(&mut rest);
-    let _: Result<usize, std::io::Error> = timeout(WORK, read).await.expect("it closes");
+    let _: Result<usize, std::io::Error> = timeout(HANDLER_TIME, read).await.expect("it closes");
     assert!(rest.is_empty());
 }
--- a/tests/e2e/answers.rs
+++ b/tests/e2e/answers.rs
@@ -1,4 +1,4 @@
-//! Whole answers, and upstreams that break the protocol.
+//! Complete answers, and upstreams that violate the protocol.
 
 use std::thread;
 
@@ -12,8 +12,8 @@
 use crate::common::fleet::{Fleet, KEY, OTHER_KEY};
 use crate::common::until;
 
-/// A route over two stages answers exactly as the model does, whole and
-/// streamed, and each layer range runs once for each token.
+/// A pipeline of two stages gives exactly the model's answer, in one piece and
+/// streamed, and each layer range runs once per token.
 #[test]
 fn completions_two_stages_answer_exactly() {
     let fleet = Fleet::single();
@@ -40,9 +40,8 @@
     }
 }
 
-/// An officer must see the draft grow. The engine stops behind the first
-/// token until the caller has it: an instance that collects the answer before
-/// it hands on any of it would never end this test.
+/// Tokens must be streamed as they are generated. The engine stalls after the
+/// first token: an instance that buffers the answer would never send it.
 #[test]
 fn completions_stream_hands_on_the_first_token_before_the_last_is_made() {
     let fleet = Fleet::single();
@@ -57,9 +56,9 @@
     assert!(ask.expected(32).starts_with(&token));
 }
 
-/// An engine goes wrong in the middle of an answer. The caller must never see
-/// a wrong, doubled or missing token: the answer comes whole by another
-/// attempt, here on a second engine or the healed first one.
+/// An engine fails in the middle of an answer. The caller must not see a wrong,
+/// repeated or missing token: another attempt completes the answer, on the second
+/// engine or on the recovered first one.
 #[rstest]
 #[case::garbage("garbage")]
 #[case::skip_layer("skip_layer")]
@@ -95,9 +94,8 @@
     }
 }
 
-/// The same faults without end: no engine is left that answers rightly. The
-/// caller then gets a typed failure, and what came before it is a true
-/// beginning of the answer.
+/// The fault persists on the only engine. The caller gets a failure with a code,
+/// and the tokens received before it are a prefix of the correct answer.
 #[rstest]
 #[case::garbage("garbage")]
 #[case::skip_layer("skip_layer")]
@@ -118,9 +116,9 @@
     assert_ne!(end, Event::Done);
 }
 
-/// Hundreds of requests of two organisations run at once while an engine puts
-/// other requests' identifiers into its events. Nobody may get another's
-/// tokens; whoever gets an answer gets exactly their own.
+/// Hundreds of requests of two organisations run concurrently while the engines
+/// put identifiers of other requests into their events. No caller may receive
+/// tokens of another request, and each complete answer must be the caller's own.
 #[test]
 fn completions_swapped_ids_reach_nobody_else() {
     let fleet = Fleet::single();
@@ -157,14 +155,17 @@
             })
         })
         .collect();
-    let whole: usize = callers
+    let complete: usize = callers
         .into_iter()
         .map(|c| c.join().expect("a caller"))
         .sum();
-    assert!(whole > 100, "only {whole} of 200 answers came whole");
+    assert!(
+        complete > 100,
+        "only {complete} of 200 answers were complete"
+    );
 }
 
-/// The order-lookup pages: method, path and body reach the service as sent.
+/// Method, path and body reach the service unchanged.
 #[test]
 fn services_call_reaches_the_service_as_sent() {
     let fleet = Fleet::single();
@@ -186,20 +187,20 @@
     assert_eq!(service.total("began"), 1);
 }
 
-/// The load tool's verdict rests on what the engines count. Here the same
-/// prompts run a second time, now marked as non-idempotent: the tool must see
-/// each of them as run twice and fail.
+/// The load tool checks the execution counts of the engines. The same prompts run
+/// again, now marked as non-idempotent: the tool must report each of them as
+/// repeated, and fail.
 #[test]
 fn load_second_run_of_a_request_violates() {
     let fleet = Fleet::single();
     let engine = fleet.engine("eng-1", "0..32");
     fleet.serving();
-    let load = |marked: &str| {
+    let load = |non_idempotent_share: &str| {
         Command::new(example("load"))
             .args(["--target", &fleet.caller(0).to_string(), "--key", KEY])
             .args(["--emulators", &engine.address.to_string()])
             .args(["--requests", "20", "--tokens", "2", "--stream", "--json"])
-            .args(["--non-idempotent", marked])
+            .args(["--non-idempotent", non_idempotent_share])
             .output()
             .expect("run the load tool")
     };
--- a/tests/e2e/bad_input.rs
+++ b/tests/e2e/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input from callers: a typed answer each time, and nothing is lost.
+//! Invalid input from callers: each gets an error code, and others are not affected.
 
 use std::io::Write;
 
@@ -18,8 +18,8 @@
     .into_bytes()
 }
 
-/// Status, code and what the refusal says of the run.
-fn refusal(answer: &str) -> (u16, String, String) {
+/// Returns the status and the fields `code` and `ran` of a refusal.
+fn parse_refusal(answer: &str) -> (u16, String, String) {
     let status = answer.split(' ').nth(1).and_then(|s| s.parse().ok());
     let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
     let from = body.find('{').unwrap_or(0);
@@ -29,8 +29,8 @@
     (status.unwrap_or(0), field("code"), field("ran"))
 }
 
-/// A caller's program is broken or has a wrong setting. It gets a refusal that
-/// says what is wrong and that nothing ran, and no engine hears of it.
+/// Invalid requests get a refusal with a code that says that nothing ran, and don't
+/// reach an engine.
 #[test]
 fn completions_bad_request_refused_as_not_run() {
     let fleet = Fleet::single();
@@ -50,15 +50,15 @@
     let before = engine.total("began");
     for (status, head, body) in cases {
         let answer = raw(fleet.caller(0), &post(head, body));
-        let (found, code, ran) = refusal(&answer);
+        let (found, code, ran) = parse_refusal(&answer);
         assert_eq!((found, ran.as_str()), (status, "no"), "{body}: {answer}");
         assert!(!code.is_empty(), "{answer}");
     }
     assert_eq!(engine.total("began"), before);
 }
 
-/// An organisation names another's route. It must learn no more than for a
-/// route that doesn't exist, or it could feel out the other's catalogue.
+/// A request for another organisation's route gets the same answer as one for an
+/// unknown route. Otherwise it could probe the other organisation's catalogue.
 #[test]
 fn completions_foreign_route_looks_unknown() {
     let fleet = Fleet::single();
@@ -73,8 +73,8 @@
     assert_eq!(engine.total("began"), before);
 }
 
-/// A caller sends far more than a prompt. The instance must not buffer it all:
-/// it answers while the rest still comes, and goes on serving others.
+/// A body exceeds the limit. The instance must not buffer it: it answers while
+/// the body is still being sent, and continues to serve others.
 #[test]
 fn completions_oversized_body_refused_and_others_served() {
     let fleet = Fleet::single();
@@ -83,12 +83,12 @@
     let key = format!("authorization: Bearer {KEY}\r\n");
     let prompt = "x".repeat(64 * 1024 * 1024);
     let body = format!(r#"{{"model":"quotations","prompt":"{prompt}"}}"#);
-    let (status, _, ran) = refusal(&raw(fleet.caller(0), &post(&key, &body)));
+    let (status, _, ran) = parse_refusal(&raw(fleet.caller(0), &post(&key, &body)));
     assert_eq!((status, ran.as_str()), (413, "no"));
     fleet.serving();
 }
 
-/// A header block without end would fill the memory as a body would.
+/// An unlimited request head would exhaust memory just like a body.
 #[test]
 fn completions_oversized_header_refused_and_others_served() {
     let fleet = Fleet::single();
@@ -96,13 +96,13 @@
     fleet.serving();
     let head = format!("x-filler: {}\r\n", "x".repeat(4 * 1024 * 1024));
     let answer = raw(fleet.caller(0), &post(&head, "{}"));
-    let status = refusal(&answer).0;
+    let status = parse_refusal(&answer).0;
     assert!(status == 431 || answer.is_empty(), "{answer}");
     fleet.serving();
 }
 
-/// A caller on a bad line sends half a request and then nothing. It must not
-/// hold a place for ever: the instance ends it, and others don't notice.
+/// A caller stops sending in the middle of a request. It must not hold resources
+/// for ever: the instance times it out, and others are not affected.
 #[test]
 fn completions_slow_sender_given_up() {
     let fleet = Fleet::single();
@@ -110,15 +110,16 @@
     fleet.serving();
     let request = post("", r#"{"model":"quotations","prompt":"x"}"#);
     let address = fleet.caller(0);
-    let slow = std::thread::spawn(move || raw_slowly(address, &request));
+    let slow = std::thread::spawn(move || send_partial(address, &request));
     fleet.serving();
     let answer = slow.join().expect("join the slow sender");
-    let status = refusal(&answer).0;
+    let status = parse_refusal(&answer).0;
     assert!(status == 408 || answer.is_empty(), "{answer}");
 }
 
-/// Sends all but the last bytes; answers what comes until the other side ends.
-fn raw_slowly(to: std::net::SocketAddr, bytes: &[u8]) -> String {
+/// Sends all but the last bytes, and returns what is received until the other side
+/// closes the connection.
+fn send_partial(to: std::net::SocketAddr, bytes: &[u8]) -> String {
     use std::io::Read;
     let mut socket = connect(to);
     let _ = socket.write_all(&bytes[..bytes.len() - 5]);
@@ -128,9 +129,9 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// A fitter closes the app in the middle of an answer. The engine must stop at
-/// once, or abandoned work eats the capacity; and the place in the route's
-/// limit must come back, or the route starves after a few such callers.
+/// A caller disconnects in the middle of an answer. The engine must stop at once,
+/// or abandoned work uses up the capacity. The slot in the route's limit must be
+/// released, or a few such callers would block the route.
 #[rstest]
 #[case::mid_answer(2)]
 #[case::before_the_first_token(0)]
@@ -138,7 +139,7 @@
     let fleet = Fleet::single();
     let engine = fleet.engine("eng-1", "0..32");
     fleet.serving();
-    // The route "narrow" lets one request run and none wait.
+    // The route "narrow" allows one running request and no waiting ones.
     let reply = |prompt: &str| {
         let ask = Ask::new(KEY, prompt, 4).route("narrow");
         until("a free place", || {
--- a/tests/e2e/drain.rs
+++ b/tests/e2e/drain.rs
@@ -1,4 +1,4 @@
-//! Shutting down: instances and upstreams that leave cut off nothing.
+//! Graceful shutdown of instances and upstreams without interrupted answers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,9 +12,9 @@
 use crate::common::fleet::{Fleet, KEY};
 use crate::common::until;
 
-/// The platform stops an instance for an update while fitters wait for their
-/// drafts. It stops being ready first, takes nothing new, ends what runs, and
-/// exits with 0; no answer is cut off.
+/// An instance receives SIGTERM while requests are running. It first stops being
+/// ready, accepts no new requests, completes the running ones and exits with 0. No
+/// answer is cut off.
 #[test]
 fn serve_terminated_ends_running_answers_first() {
     let mut fleet = Fleet::single();
@@ -44,9 +44,9 @@
     assert_eq!(engine.total("cancelled"), 0);
 }
 
-/// An answer takes minutes and the platform can't wait: it sends SIGTERM a
-/// second time, or the drain limit runs out. The instance ends, and the caller
-/// sees a stream without its closing marker, never one that looks whole.
+/// A running answer would take minutes, and a second SIGTERM is received or the
+/// drain timeout expires. The instance exits, and the caller's stream ends without
+/// the end marker, so that it can't look complete.
 #[rstest]
 #[case::second_signal("--drain-ms=120000", 2)]
 #[case::limit("--drain-ms=700", 1)]
@@ -68,8 +68,8 @@
     assert_ne!(stream.rest().1, Event::Done);
 }
 
-/// An engine is taken out of service under load. It gets no new work after a
-/// few seconds, ends what it runs, and no caller notices.
+/// An engine is shut down under load. It gets no new requests after a few seconds
+/// and completes the running ones, so that no caller sees a failure.
 #[test]
 fn upstream_leaving_gets_no_new_work_and_cuts_off_nothing() {
     let fleet = Fleet::of(3);
--- a/tests/e2e/once.rs
+++ b/tests/e2e/once.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent requests: at most one run, whatever dies.
+//! Non-idempotent requests run at most once, also when a process fails.
 
 use serde_json::json;
 
@@ -7,18 +7,18 @@
 use crate::common::fleet::{Fleet, KEY, OTHER_KEY};
 use crate::common::until;
 
-fn engines(fleet: &Fleet) -> [Emulator; 2] {
+fn start_engines(fleet: &Fleet) -> [Emulator; 2] {
     let engines = ["eng-1", "eng-2"].map(|id| fleet.engine(id, "0..32"));
     fleet.serving();
     engines
 }
 
-fn attempts(engines: &[Emulator], prompt: &str) -> u64 {
+fn total_attempts(engines: &[Emulator], prompt: &str) -> u64 {
     engines.iter().map(|e| e.attempts(prompt)).sum()
 }
 
-/// Starts a demand letter on instance 0 that stalls behind two tokens.
-fn half(fleet: &Fleet, engines: &[Emulator], ask: &Ask) -> crate::common::caller::Stream {
+/// Starts a request on instance 0 that stalls after two tokens.
+fn start_stalled(fleet: &Fleet, engines: &[Emulator], ask: &Ask) -> crate::common::caller::Stream {
     for engine in engines {
         engine.fault(&json!({"mode": "stall", "count": 1, "after": 2}));
     }
@@ -32,11 +32,11 @@
     stream
 }
 
-/// Codes that ask the caller to come back with the same key.
-const PENDING: [&str; 2] = ["in_progress", "claim_unavailable"];
+/// Codes that ask the caller to retry with the same key.
+const RETRY_CODES: [&str; 2] = ["in_progress", "claim_unavailable"];
 
-/// Resends the same request until the answer is definite: whole, or a failure.
-/// Answers the text and the failure's code. No refusal may deny the run.
+/// Resends the request until it gets a final answer. Returns its text and the
+/// failure's code, if any. No failure may claim that the request didn't run.
 fn resend(fleet: &Fleet, ask: &Ask) -> (String, String) {
     until("a definite answer", || {
         let (text, end) = ask.stream(fleet.caller(1)).rest();
@@ -45,38 +45,37 @@
             Event::Failed(error) => {
                 let code = error["code"].as_str().unwrap_or("").to_owned();
                 assert_ne!(error["ran"], "no", "it has run: {error}");
-                (!PENDING.contains(&code.as_str())).then_some((text, code))
+                (!RETRY_CODES.contains(&code.as_str())).then_some((text, code))
             }
             _ => None,
         }
     })
 }
 
-/// An officer's screen loses its connection because the instance died in the
-/// middle of a demand letter, and sends again through another instance. The
-/// letter was claimed before it left, so the second instance says that the
-/// outcome is unknown; it never runs it again.
+/// An instance is killed in the middle of an answer, and the caller resends the
+/// request through another instance. The request was claimed before it was sent,
+/// so the second instance answers that its outcome is unknown, and doesn't run it.
 #[test]
 fn completions_instance_killed_resend_runs_nothing_twice() {
     let mut fleet = Fleet::of(3);
-    let engines = engines(&fleet);
+    let engines = start_engines(&fleet);
     let ask = Ask::new(KEY, "demand letter, kill", 8).once("letter-1");
-    let mut stream = half(&fleet, &engines, &ask);
+    let mut stream = start_stalled(&fleet, &engines, &ask);
     fleet.instance(0).process.kill();
     assert_ne!(stream.rest().1, Event::Done);
     let (_, code) = resend(&fleet, &ask);
     assert_eq!(code, "outcome_unknown");
-    assert_eq!(attempts(&engines, &ask.prompt), 1);
+    assert_eq!(total_attempts(&engines, &ask.prompt), 1);
 }
 
-/// The instance freezes instead, and wakes when its resend is long answered.
-/// Waking, it must not send the letter again on its old claim.
+/// The instance is suspended instead, and resumes after the resend was answered.
+/// It must not send the request again under its old claim.
 #[test]
 fn completions_instance_frozen_resend_runs_nothing_twice() {
     let mut fleet = Fleet::of(3);
-    let engines = engines(&fleet);
+    let engines = start_engines(&fleet);
     let ask = Ask::new(KEY, "demand letter, freeze", 8).once("letter-2");
-    let stream = half(&fleet, &engines, &ask);
+    let stream = start_stalled(&fleet, &engines, &ask);
     fleet.instance(0).process.freeze();
     let (_, code) = resend(&fleet, &ask);
     assert_eq!(code, "outcome_unknown");
@@ -87,48 +86,48 @@
         let reply = probe.send(fleet.caller(0)).ok()?;
         (reply.status == 200).then_some(())
     });
-    assert_eq!(attempts(&engines, &ask.prompt), 1);
+    assert_eq!(total_attempts(&engines, &ask.prompt), 1);
 }
 
-/// The answer was whole but the caller lost it. A resend through another
-/// instance gets the kept answer, word for word, without a second run.
+/// The answer was complete, but the caller lost it. A resend through another
+/// instance gets the identical stored answer without a second run.
 #[test]
 fn completions_resend_elsewhere_gets_the_kept_answer() {
     let fleet = Fleet::of(3);
-    let engines = engines(&fleet);
+    let engines = start_engines(&fleet);
     let ask = Ask::new(KEY, "demand letter, lost answer", 8).once("letter-3");
     let first = ask.stream(fleet.caller(0)).rest();
     assert_eq!(first, (ask.expected(32), Event::Done));
     let (text, code) = resend(&fleet, &ask);
     assert_eq!((text, code.as_str()), (ask.expected(32), ""));
-    assert_eq!(attempts(&engines, &ask.prompt), 1);
+    assert_eq!(total_attempts(&engines, &ask.prompt), 1);
 }
 
-/// The caller's stream was cut behind the last token, and it asks for the
-/// answer whole. It is the same request in another form: the kept answer is
-/// given, with its true number of tokens.
+/// The caller's stream was cut after the last token, and the resend is not
+/// streamed. It is the same request, so it gets the stored answer with the correct
+/// number of tokens.
 #[test]
 fn completions_resend_in_another_form_gets_the_kept_answer() {
     let fleet = Fleet::of(3);
-    let engines = engines(&fleet);
+    let engines = start_engines(&fleet);
     let ask = Ask::new(KEY, "demand letter, other form", 8).once("letter-7");
     let first = ask.stream(fleet.caller(0)).rest();
     assert_eq!(first, (ask.expected(32), Event::Done));
     let reply = until("the kept answer", || {
         let reply = ask.send(fleet.caller(1)).ok()?;
-        (!PENDING.contains(&reply.code())).then_some(reply)
+        (!RETRY_CODES.contains(&reply.code())).then_some(reply)
     });
     assert_eq!((reply.status, reply.text()), (200, &*ask.expected(32)));
     assert_eq!(reply.body["usage"]["completion_tokens"], 8);
-    assert_eq!(attempts(&engines, &ask.prompt), 1);
+    assert_eq!(total_attempts(&engines, &ask.prompt), 1);
 }
 
-/// Two organisations use the same key. Each has its own claim: the second one
-/// is served, and learns nothing of the first one's letter.
+/// Two organisations use the same key. Each has its own claim: the second
+/// organisation is served and learns nothing about the first one's request.
 #[test]
 fn completions_same_key_of_another_organisation_is_another_claim() {
     let fleet = Fleet::single();
-    let _engines = engines(&fleet);
+    let _engines = start_engines(&fleet);
     let _other = fleet.engine_in("eng-3", "0..32", "midlands");
     let mine = Ask::new(KEY, "mine", 4).once("letter-4");
     let theirs = Ask::new(OTHER_KEY, "theirs", 4)
@@ -143,28 +142,28 @@
     assert_eq!(reply.text(), theirs.expected(32), "{reply:?}");
 }
 
-/// The engine dies in the middle of a demand letter. Idempotent work would go
-/// on elsewhere; this may have run, so the caller learns that it is unknown.
+/// The engine is killed in the middle of an answer. An idempotent request would be
+/// retried on another engine; this one may have run, so its outcome is unknown.
 #[test]
 fn completions_stage_killed_non_idempotent_is_unknown() {
     let fleet = Fleet::single();
-    let mut engines = engines(&fleet);
+    let mut engines = start_engines(&fleet);
     let ask = Ask::new(KEY, "demand letter, stage", 8).once("letter-5");
-    let mut stream = half(&fleet, &engines, &ask);
-    let leader = engines
+    let mut stream = start_stalled(&fleet, &engines, &ask);
+    let serving = engines
         .iter()
         .position(|e| e.attempts(&ask.prompt) == 1)
-        .expect("a leader");
-    engines[leader].process.kill();
+        .expect("a serving engine");
+    engines[serving].process.kill();
     let Event::Failed(error) = stream.rest().1 else {
         panic!("no failure");
     };
     assert_ne!(error["ran"], "no", "{error}");
-    assert_eq!(engines[1 - leader].attempts(&ask.prompt), 0);
+    assert_eq!(engines[1 - serving].attempts(&ask.prompt), 0);
 }
 
-/// A booking call hangs and the caller sends it again under the same key. The
-/// service must see the call once.
+/// A call to a service hangs, and the caller resends it with the same key. The
+/// service must receive it only once.
 #[test]
 fn services_stalled_call_is_not_repeated() {
     let fleet = Fleet::single();
--- a/tests/e2e/resume.rs
+++ b/tests/e2e/resume.rs
@@ -1,4 +1,4 @@
-//! Stages that die or freeze in the middle of an answer.
+//! Stages that are killed, suspended or unreachable in the middle of an answer.
 
 use serde_json::json;
 
@@ -8,11 +8,13 @@
 use crate::common::port;
 use crate::common::shim::Shim;
 
-const TOKENS: usize = 12;
-const SEEN: usize = 3;
+const ANSWER_TOKENS: usize = 12;
 
-/// Two stages, each held by two engines.
-fn stages(fleet: &Fleet) -> Vec<Emulator> {
+/// Tokens that the caller receives before the failure.
+const RECEIVED_TOKENS: usize = 3;
+
+/// Starts two engines for each of two stages.
+fn start_stages(fleet: &Fleet) -> Vec<Emulator> {
     let plan = [
         ("a-1", "0..16"),
         ("a-2", "0..16"),
@@ -24,79 +26,80 @@
     engines.into()
 }
 
-/// Reads [`SEEN`] tokens.
-fn tokens(stream: &mut Stream) -> String {
+/// Reads [`RECEIVED_TOKENS`] tokens.
+fn read_tokens(stream: &mut Stream) -> String {
     let token = |_| match stream.next() {
         Event::Token(token) => token,
         other => panic!("{other:?} in place of a token"),
     };
-    (0..SEEN).map(token).collect()
+    (0..RECEIVED_TOKENS).map(token).collect()
 }
 
-/// Starts an answer that stalls behind [`SEEN`] tokens at its first stage.
-/// Answers the stream, the text so far and the index of the engine that leads.
-fn half(fleet: &Fleet, engines: &[Emulator], ask: &Ask) -> (Stream, String, usize) {
+/// Starts an answer that stalls after [`RECEIVED_TOKENS`] tokens at its first
+/// stage. Returns the stream, the text so far and the index of the first stage's
+/// engine.
+fn start_stalled(fleet: &Fleet, engines: &[Emulator], ask: &Ask) -> (Stream, String, usize) {
     for engine in &engines[..2] {
-        engine.fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
+        engine.fault(&json!({"mode": "stall", "count": 1, "after": RECEIVED_TOKENS}));
     }
     let mut stream = ask.stream(fleet.caller(0));
-    let text = tokens(&mut stream);
-    let leader = engines.iter().position(|e| e.attempts(&ask.prompt) > 0);
-    (stream, text, leader.expect("an engine leads"))
+    let text = read_tokens(&mut stream);
+    let first = engines.iter().position(|e| e.attempts(&ask.prompt) > 0);
+    (stream, text, first.expect("a first stage"))
 }
 
-/// The first stage is lost in the middle of a quotation draft. The caller sees
-/// a pause, then the rest: each token once, none changed.
+/// The first stage is killed in the middle of an answer. After a pause, the caller
+/// receives the rest, with each token once and unchanged.
 #[test]
 fn completions_first_stage_killed_goes_on_elsewhere() {
     let fleet = Fleet::single();
-    let mut engines = stages(&fleet);
-    let ask = Ask::new(KEY, "kill the first stage", TOKENS);
-    let (mut stream, begun, leader) = half(&fleet, &engines, &ask);
-    engines[1 - leader].clear();
-    engines[leader].process.kill();
+    let mut engines = start_stages(&fleet);
+    let ask = Ask::new(KEY, "kill the first stage", ANSWER_TOKENS);
+    let (mut stream, received, first) = start_stalled(&fleet, &engines, &ask);
+    engines[1 - first].clear();
+    engines[first].process.kill();
     let (rest, end) = stream.rest();
-    assert_eq!((begun + &rest, end), (ask.expected(32), Event::Done));
+    assert_eq!((received + &rest, end), (ask.expected(32), Event::Done));
 }
 
-/// The same with a stage that freezes: its connections stay open and silent,
-/// so that only a timeout between tokens can find it out.
+/// The first stage is suspended. Its connections stay open but silent, so that
+/// only the timeout between tokens can detect the failure.
 #[test]
 fn completions_first_stage_frozen_goes_on_elsewhere() {
     let fleet = Fleet::single();
-    let engines = stages(&fleet);
-    let ask = Ask::new(KEY, "freeze the first stage", TOKENS);
-    let (mut stream, begun, leader) = half(&fleet, &engines, &ask);
-    engines[1 - leader].clear();
-    engines[leader].process.freeze();
+    let engines = start_stages(&fleet);
+    let ask = Ask::new(KEY, "freeze the first stage", ANSWER_TOKENS);
+    let (mut stream, received, first) = start_stalled(&fleet, &engines, &ask);
+    engines[1 - first].clear();
+    engines[first].process.freeze();
     let (rest, end) = stream.rest();
-    engines[leader].process.thaw();
-    assert_eq!((begun + &rest, end), (ask.expected(32), Event::Done));
+    engines[first].process.thaw();
+    assert_eq!((received + &rest, end), (ask.expected(32), Event::Done));
 }
 
-/// A later stage is lost: the first stage cuts its stream, and the answer goes
-/// on over the other engine of that range.
+/// A later stage is killed. The first stage ends its stream, and the answer is
+/// resumed with the other engine of that layer range.
 #[test]
 fn completions_later_stage_killed_goes_on_elsewhere() {
     let fleet = Fleet::single();
-    let mut engines = stages(&fleet);
+    let mut engines = start_stages(&fleet);
     for engine in &engines[2..] {
-        engine.fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
+        engine.fault(&json!({"mode": "stall", "count": 1, "after": RECEIVED_TOKENS}));
     }
-    let ask = Ask::new(KEY, "kill a later stage", TOKENS);
+    let ask = Ask::new(KEY, "kill a later stage", ANSWER_TOKENS);
     let mut stream = ask.stream(fleet.caller(0));
-    let begun = tokens(&mut stream);
-    let stuck = (2..4)
+    let received = read_tokens(&mut stream);
+    let stalled = (2..4)
         .max_by_key(|at| engines[*at].total("tokens"))
         .expect("two engines");
-    engines[5 - stuck].clear();
-    engines[stuck].process.kill();
+    engines[5 - stalled].clear();
+    engines[stalled].process.kill();
     let (rest, end) = stream.rest();
-    assert_eq!((begun + &rest, end), (ask.expected(32), Event::Done));
+    assert_eq!((received + &rest, end), (ask.expected(32), Event::Done));
 }
 
-/// Twice over: the first attempt's engine is lost, and the second one's, too.
-/// What either had verified stands; nothing of it comes again.
+/// The engines of two successive attempts are killed. The tokens verified in both
+/// attempts are kept and none is sent twice.
 #[test]
 fn completions_two_engines_killed_one_after_the_other() {
     let fleet = Fleet::single();
@@ -105,27 +108,27 @@
         .into();
     fleet.serving();
     for engine in &engines {
-        engine.fault(&json!({"mode": "stall", "count": 1, "after": SEEN}));
+        engine.fault(&json!({"mode": "stall", "count": 1, "after": RECEIVED_TOKENS}));
     }
-    let ask = Ask::new(KEY, "kill two engines", TOKENS);
+    let ask = Ask::new(KEY, "kill two engines", ANSWER_TOKENS);
     let mut stream = ask.stream(fleet.caller(0));
     let mut text = String::new();
     for _ in 0..2 {
-        text.push_str(&tokens(&mut stream));
-        let leader = engines.iter().position(|e| e.attempts(&ask.prompt) > 0);
-        let mut leader = engines.swap_remove(leader.expect("an engine leads"));
+        text.push_str(&read_tokens(&mut stream));
+        let first = engines.iter().position(|e| e.attempts(&ask.prompt) > 0);
+        let mut first = engines.swap_remove(first.expect("a first stage"));
         if engines.len() == 1 {
             engines[0].clear();
         }
-        leader.process.kill();
+        first.process.kill();
     }
     let (rest, end) = stream.rest();
     assert_eq!((text + &rest, end), (ask.expected(32), Event::Done));
 }
 
-/// The link to an engine goes silent in the middle of an answer: nothing is
-/// closed, and the engine is well and works on. The answer goes on elsewhere;
-/// what the first engine sends when the link heals reaches nobody.
+/// The link to an engine drops all traffic in the middle of an answer without
+/// closing connections, while the engine keeps working. The answer is resumed on
+/// another engine, and late tokens of the first one are discarded.
 #[test]
 fn completions_link_silent_goes_on_elsewhere() {
     let fleet = Fleet::single();
@@ -135,14 +138,14 @@
         plan.with("listen", address).with("advertise", shim.address)
     });
     fleet.serving();
-    near.fault(&json!({"mode": "slow", "count": 1, "after": SEEN, "ms": 300}));
-    let ask = Ask::new(KEY, "cut the link", TOKENS);
+    near.fault(&json!({"mode": "slow", "count": 1, "after": RECEIVED_TOKENS, "ms": 300}));
+    let ask = Ask::new(KEY, "cut the link", ANSWER_TOKENS);
     let mut stream = ask.stream(fleet.caller(0));
-    let begun = tokens(&mut stream);
+    let received = read_tokens(&mut stream);
     let far = fleet.engine("far", "0..32");
     shim.silence();
     let (rest, end) = stream.rest();
     shim.heal();
-    assert_eq!((begun + &rest, end), (ask.expected(32), Event::Done));
+    assert_eq!((received + &rest, end), (ask.expected(32), Event::Done));
     assert_eq!(far.attempts(&ask.prompt), 1);
 }
