--- a/tests/e2e/answers.rs
+++ b/tests/e2e/answers.rs
@@ -20,15 +20,15 @@
     let first = fleet.start_engine("eng-1", "0..16");
     let second = fleet.start_engine("eng-2", "16..32");
     fleet.wait_until_serving();
-    let ask = CompletionRequest::new(KEY, "window 120 by 210", 9);
-    let reply = ask.send(fleet.caller_addr(0)).expect("an answer");
+    let request = CompletionRequest::new(KEY, "window 120 by 210", 9);
+    let reply = request.send(fleet.caller_addr(0)).expect("an answer");
     assert_eq!(
         (reply.status, reply.text()),
-        (200, ask.expected(32).as_str())
+        (200, request.expected(32).as_str())
     );
-    let ask = CompletionRequest::new(KEY, "window 90 by 80", 9);
-    let (text, end) = ask.stream(fleet.caller_addr(0)).read_to_end();
-    assert_eq!((text, end), (ask.expected(32), Event::Done));
+    let request = CompletionRequest::new(KEY, "window 90 by 80", 9);
+    let (text, end) = request.stream(fleet.caller_addr(0)).read_to_end();
+    assert_eq!((text, end), (request.expected(32), Event::Done));
     for engine in [&first, &second] {
         let executions = engine.executions();
         let requests = executions["requests"].as_object().expect("a map");
@@ -48,12 +48,12 @@
     let engine = fleet.start_engine("eng-1", "0..32");
     fleet.wait_until_serving();
     engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": 1}));
-    let ask = CompletionRequest::new(KEY, "grow", 4);
-    let mut stream = ask.stream(fleet.caller_addr(0));
+    let request = CompletionRequest::new(KEY, "grow", 4);
+    let mut stream = request.stream(fleet.caller_addr(0));
     let Event::Token(token) = stream.next() else {
         panic!("no token");
     };
-    assert!(ask.expected(32).starts_with(&token));
+    assert!(request.expected(32).starts_with(&token));
 }
 
 /// An engine fails in the middle of an answer. The caller must not see a wrong,
@@ -84,11 +84,11 @@
         engine.inject_fault(&json!({"mode": mode, "count": 1, "after": 3}));
     }
     for round in 0..6 {
-        let ask = CompletionRequest::new(KEY, &format!("{mode} {round}"), 8);
-        let (text, end) = ask.stream(fleet.caller_addr(0)).read_to_end();
+        let request = CompletionRequest::new(KEY, &format!("{mode} {round}"), 8);
+        let (text, end) = request.stream(fleet.caller_addr(0)).read_to_end();
         assert_eq!(
             (text, end),
-            (ask.expected(32), Event::Done),
+            (request.expected(32), Event::Done),
             "round {round}"
         );
     }
@@ -106,14 +106,14 @@
     let engine = fleet.start_engine("eng-1", "0..32");
     fleet.wait_until_serving();
     engine.inject_fault(&json!({"mode": mode, "after": 0}));
-    let ask =
+    let request =
         CompletionRequest::new(KEY, &format!("hopeless {mode}"), 8).header("x-deadline-ms", "5000");
-    let reply = ask.send(fleet.caller_addr(0)).expect("an answer");
+    let reply = request.send(fleet.caller_addr(0)).expect("an answer");
     assert_ne!(reply.status, 200);
     assert!(!reply.code().is_empty(), "{reply:?}");
     assert_ne!(reply.ran(), "no", "{reply:?}");
-    let (text, end) = ask.stream(fleet.caller_addr(0)).read_to_end();
-    assert!(ask.expected(32).starts_with(&text), "{text:?}");
+    let (text, end) = request.stream(fleet.caller_addr(0)).read_to_end();
+    assert!(request.expected(32).starts_with(&text), "{text:?}");
     assert_ne!(end, Event::Done);
 }
 
@@ -145,10 +145,11 @@
                 };
                 (0..5)
                     .filter(|round| {
-                        let ask = CompletionRequest::new(key, &format!("swap {caller} {round}"), 8)
-                            .route(route);
-                        let (text, end) = ask.stream(address).read_to_end();
-                        let expected = ask.expected(32);
+                        let request =
+                            CompletionRequest::new(key, &format!("swap {caller} {round}"), 8)
+                                .route(route);
+                        let (text, end) = request.stream(address).read_to_end();
+                        let expected = request.expected(32);
                         assert!(expected.starts_with(&text), "{text:?} for {expected:?}");
                         assert_eq!(end == Event::Done, text == expected);
                         end == Event::Done
--- a/tests/e2e/bad_input.rs
+++ b/tests/e2e/bad_input.rs
@@ -143,10 +143,10 @@
     fleet.wait_until_serving();
     // The route "narrow" allows one running request and no waiting ones.
     let reply = |prompt: &str| {
-        let ask = CompletionRequest::new(KEY, prompt, 4).route("narrow");
+        let request = CompletionRequest::new(KEY, prompt, 4).route("narrow");
         wait_for("a free place", || {
-            let reply = ask.send(fleet.caller_addr(0)).ok()?;
-            (reply.status == 200).then(|| (reply.text().to_owned(), ask.expected(32)))
+            let reply = request.send(fleet.caller_addr(0)).ok()?;
+            (reply.status == 200).then(|| (reply.text().to_owned(), request.expected(32)))
         })
     };
     reply("before all");
@@ -154,10 +154,10 @@
         let cancelled = engine.total("cancelled");
         let stall = serde_json::json!({"mode": "stall", "count": 1, "after": tokens});
         engine.inject_fault(&stall);
-        let ask = CompletionRequest::new(KEY, &format!("leave {round}"), 8).route("narrow");
+        let request = CompletionRequest::new(KEY, &format!("leave {round}"), 8).route("narrow");
         let mut stream = wait_for("a free place", || {
-            let mut stream = ask.stream(fleet.caller_addr(0));
-            let begun = || (engine.attempts(&ask.prompt) > 0).then_some(());
+            let mut stream = request.stream(fleet.caller_addr(0));
+            let begun = || (engine.attempts(&request.prompt) > 0).then_some(());
             match tokens {
                 0 => wait_for("a running attempt", begun),
                 _ => match stream.next() {
--- a/tests/e2e/drain.rs
+++ b/tests/e2e/drain.rs
@@ -22,13 +22,13 @@
     fleet.wait_until_serving();
     engine.inject_fault(&json!({"mode": "slow", "count": 8, "ms": 100}));
     let address = fleet.caller_addr(0);
-    let asks: Vec<_> = (0..8)
+    let requests: Vec<_> = (0..8)
         .map(|i| CompletionRequest::new(KEY, &format!("drain {i}"), 12))
         .collect();
-    let streams: Vec<_> = asks.iter().map(|a| a.stream(address)).collect();
-    for ask in &asks {
+    let streams: Vec<_> = requests.iter().map(|a| a.stream(address)).collect();
+    for request in &requests {
         wait_for("a running answer", || {
-            (engine.attempts(&ask.prompt) == 1).then_some(())
+            (engine.attempts(&request.prompt) == 1).then_some(())
         });
     }
     fleet.instance(0).process.terminate();
@@ -37,8 +37,8 @@
         let reply = agent().get(&uri).call();
         reply.map_or(true, |r| r.status() != 200).then_some(())
     });
-    for (ask, mut stream) in asks.iter().zip(streams) {
-        assert_eq!(stream.read_to_end(), (ask.expected(32), Event::Done));
+    for (request, mut stream) in requests.iter().zip(streams) {
+        assert_eq!(stream.read_to_end(), (request.expected(32), Event::Done));
     }
     assert!(fleet.instance(0).process.wait_for_exit().success());
     assert_eq!(engine.total("cancelled"), 0);
@@ -55,10 +55,10 @@
     let engine = fleet.start_engine("eng-1", "0..32");
     fleet.wait_until_serving();
     engine.inject_fault(&json!({"mode": "slow", "count": 1, "ms": 20_000}));
-    let ask = CompletionRequest::new(KEY, "an answer of minutes", 12);
-    let mut stream = ask.stream(fleet.caller_addr(0));
+    let request = CompletionRequest::new(KEY, "an answer of minutes", 12);
+    let mut stream = request.stream(fleet.caller_addr(0));
     wait_for("a running answer", || {
-        (engine.attempts(&ask.prompt) == 1).then_some(())
+        (engine.attempts(&request.prompt) == 1).then_some(())
     });
     for _ in 0..signals {
         fleet.instance(0).process.terminate();
@@ -83,9 +83,10 @@
             thread::spawn(move || {
                 let mut round = 0;
                 while !ended.load(Ordering::SeqCst) {
-                    let ask = CompletionRequest::new(KEY, &format!("leaving {caller} {round}"), 6);
-                    let outcome = ask.stream(address).read_to_end();
-                    assert_eq!(outcome, (ask.expected(32), Event::Done));
+                    let request =
+                        CompletionRequest::new(KEY, &format!("leaving {caller} {round}"), 6);
+                    let outcome = request.stream(address).read_to_end();
+                    assert_eq!(outcome, (request.expected(32), Event::Done));
                     round += 1;
                 }
             })
--- a/tests/e2e/once.rs
+++ b/tests/e2e/once.rs
@@ -21,12 +21,12 @@
 fn start_stalled(
     fleet: &Fleet,
     engines: &[Emulator],
-    ask: &CompletionRequest,
+    request: &CompletionRequest,
 ) -> crate::common::caller::EventStream {
     for engine in engines {
         engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": 2}));
     }
-    let mut stream = ask.stream(fleet.caller_addr(0));
+    let mut stream = request.stream(fleet.caller_addr(0));
     for _ in 0..2 {
         assert!(matches!(stream.next(), Event::Token(_)));
     }
@@ -41,9 +41,9 @@
 
 /// Resends the request until it gets a final answer. Returns its text and the
 /// failure's code, if any. No failure may claim that the request didn't run.
-fn resend(fleet: &Fleet, ask: &CompletionRequest) -> (String, String) {
+fn resend(fleet: &Fleet, request: &CompletionRequest) -> (String, String) {
     wait_for("a definite answer", || {
-        let (text, end) = ask.stream(fleet.caller_addr(1)).read_to_end();
+        let (text, end) = request.stream(fleet.caller_addr(1)).read_to_end();
         match end {
             Event::Done => Some((text, String::new())),
             Event::Failed(error) => {
@@ -63,13 +63,13 @@
 fn completions_instance_killed_resend_runs_nothing_twice() {
     let mut fleet = Fleet::with_instances(3);
     let engines = start_engines(&fleet);
-    let ask = CompletionRequest::new(KEY, "demand letter, kill", 8).non_idempotent("letter-1");
-    let mut stream = start_stalled(&fleet, &engines, &ask);
+    let request = CompletionRequest::new(KEY, "demand letter, kill", 8).non_idempotent("letter-1");
+    let mut stream = start_stalled(&fleet, &engines, &request);
     fleet.instance(0).process.kill();
     assert_ne!(stream.read_to_end().1, Event::Done);
-    let (_, code) = resend(&fleet, &ask);
+    let (_, code) = resend(&fleet, &request);
     assert_eq!(code, "outcome_unknown");
-    assert_eq!(total_attempts(&engines, &ask.prompt), 1);
+    assert_eq!(total_attempts(&engines, &request.prompt), 1);
 }
 
 /// The instance is suspended instead, and resumes after the resend was answered.
@@ -78,10 +78,11 @@
 fn completions_instance_frozen_resend_runs_nothing_twice() {
     let mut fleet = Fleet::with_instances(3);
     let engines = start_engines(&fleet);
-    let ask = CompletionRequest::new(KEY, "demand letter, freeze", 8).non_idempotent("letter-2");
-    let stream = start_stalled(&fleet, &engines, &ask);
+    let request =
+        CompletionRequest::new(KEY, "demand letter, freeze", 8).non_idempotent("letter-2");
+    let stream = start_stalled(&fleet, &engines, &request);
     fleet.instance(0).process.freeze();
-    let (_, code) = resend(&fleet, &ask);
+    let (_, code) = resend(&fleet, &request);
     assert_eq!(code, "outcome_unknown");
     fleet.instance(0).process.thaw();
     drop(stream);
@@ -90,7 +91,7 @@
         let reply = probe.send(fleet.caller_addr(0)).ok()?;
         (reply.status == 200).then_some(())
     });
-    assert_eq!(total_attempts(&engines, &ask.prompt), 1);
+    assert_eq!(total_attempts(&engines, &request.prompt), 1);
 }
 
 /// The answer was complete, but the caller lost it. A resend through another
@@ -99,13 +100,13 @@
 fn completions_resend_elsewhere_gets_the_kept_answer() {
     let fleet = Fleet::with_instances(3);
     let engines = start_engines(&fleet);
-    let ask =
+    let request =
         CompletionRequest::new(KEY, "demand letter, lost answer", 8).non_idempotent("letter-3");
-    let first = ask.stream(fleet.caller_addr(0)).read_to_end();
-    assert_eq!(first, (ask.expected(32), Event::Done));
-    let (text, code) = resend(&fleet, &ask);
-    assert_eq!((text, code.as_str()), (ask.expected(32), ""));
-    assert_eq!(total_attempts(&engines, &ask.prompt), 1);
+    let first = request.stream(fleet.caller_addr(0)).read_to_end();
+    assert_eq!(first, (request.expected(32), Event::Done));
+    let (text, code) = resend(&fleet, &request);
+    assert_eq!((text, code.as_str()), (request.expected(32), ""));
+    assert_eq!(total_attempts(&engines, &request.prompt), 1);
 }
 
 /// The caller's stream was cut after the last token, and the resend is not
@@ -115,17 +116,17 @@
 fn completions_resend_in_another_form_gets_the_kept_answer() {
     let fleet = Fleet::with_instances(3);
     let engines = start_engines(&fleet);
-    let ask =
+    let request =
         CompletionRequest::new(KEY, "demand letter, other form", 8).non_idempotent("letter-7");
-    let first = ask.stream(fleet.caller_addr(0)).read_to_end();
-    assert_eq!(first, (ask.expected(32), Event::Done));
+    let first = request.stream(fleet.caller_addr(0)).read_to_end();
+    assert_eq!(first, (request.expected(32), Event::Done));
     let reply = wait_for("the kept answer", || {
-        let reply = ask.send(fleet.caller_addr(1)).ok()?;
+        let reply = request.send(fleet.caller_addr(1)).ok()?;
         (!RETRY_CODES.contains(&reply.code())).then_some(reply)
     });
-    assert_eq!((reply.status, reply.text()), (200, &*ask.expected(32)));
+    assert_eq!((reply.status, reply.text()), (200, &*request.expected(32)));
     assert_eq!(reply.body["usage"]["completion_tokens"], 8);
-    assert_eq!(total_attempts(&engines, &ask.prompt), 1);
+    assert_eq!(total_attempts(&engines, &request.prompt), 1);
 }
 
 /// Two organisations use the same key. Each has its own claim: the second
@@ -154,18 +155,18 @@
 fn completions_stage_killed_non_idempotent_is_unknown() {
     let fleet = Fleet::single();
     let mut engines = start_engines(&fleet);
-    let ask = CompletionRequest::new(KEY, "demand letter, stage", 8).non_idempotent("letter-5");
-    let mut stream = start_stalled(&fleet, &engines, &ask);
+    let request = CompletionRequest::new(KEY, "demand letter, stage", 8).non_idempotent("letter-5");
+    let mut stream = start_stalled(&fleet, &engines, &request);
     let serving = engines
         .iter()
-        .position(|e| e.attempts(&ask.prompt) == 1)
+        .position(|e| e.attempts(&request.prompt) == 1)
         .expect("a serving engine");
     engines[serving].process.kill();
     let Event::Failed(error) = stream.read_to_end().1 else {
         panic!("no failure");
     };
     assert_ne!(error["ran"], "no", "{error}");
-    assert_eq!(engines[1 - serving].attempts(&ask.prompt), 0);
+    assert_eq!(engines[1 - serving].attempts(&request.prompt), 0);
 }
 
 /// A call to a service hangs, and the caller resends it with the same key. The
--- a/tests/e2e/resume.rs
+++ b/tests/e2e/resume.rs
@@ -41,14 +41,14 @@
 fn start_stalled(
     fleet: &Fleet,
     engines: &[Emulator],
-    ask: &CompletionRequest,
+    request: &CompletionRequest,
 ) -> (EventStream, String, usize) {
     for engine in &engines[..2] {
         engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": RECEIVED_TOKENS}));
     }
-    let mut stream = ask.stream(fleet.caller_addr(0));
+    let mut stream = request.stream(fleet.caller_addr(0));
     let text = read_tokens(&mut stream);
-    let first = engines.iter().position(|e| e.attempts(&ask.prompt) > 0);
+    let first = engines.iter().position(|e| e.attempts(&request.prompt) > 0);
     (stream, text, first.expect("a first stage"))
 }
 
@@ -58,12 +58,12 @@
 fn completions_first_stage_killed_goes_on_elsewhere() {
     let fleet = Fleet::single();
     let mut engines = start_stages(&fleet);
-    let ask = CompletionRequest::new(KEY, "kill the first stage", ANSWER_TOKENS);
-    let (mut stream, received, first) = start_stalled(&fleet, &engines, &ask);
+    let request = CompletionRequest::new(KEY, "kill the first stage", ANSWER_TOKENS);
+    let (mut stream, received, first) = start_stalled(&fleet, &engines, &request);
     engines[1 - first].clear_faults();
     engines[first].process.kill();
     let (rest, end) = stream.read_to_end();
-    assert_eq!((received + &rest, end), (ask.expected(32), Event::Done));
+    assert_eq!((received + &rest, end), (request.expected(32), Event::Done));
 }
 
 /// The first stage is suspended. Its connections stay open but silent, so that
@@ -72,13 +72,13 @@
 fn completions_first_stage_frozen_goes_on_elsewhere() {
     let fleet = Fleet::single();
     let engines = start_stages(&fleet);
-    let ask = CompletionRequest::new(KEY, "freeze the first stage", ANSWER_TOKENS);
-    let (mut stream, received, first) = start_stalled(&fleet, &engines, &ask);
+    let request = CompletionRequest::new(KEY, "freeze the first stage", ANSWER_TOKENS);
+    let (mut stream, received, first) = start_stalled(&fleet, &engines, &request);
     engines[1 - first].clear_faults();
     engines[first].process.freeze();
     let (rest, end) = stream.read_to_end();
     engines[first].process.thaw();
-    assert_eq!((received + &rest, end), (ask.expected(32), Event::Done));
+    assert_eq!((received + &rest, end), (request.expected(32), Event::Done));
 }
 
 /// A later stage is killed. The first stage ends its stream, and the answer is
@@ -90,8 +90,8 @@
     for engine in &engines[2..] {
         engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": RECEIVED_TOKENS}));
     }
-    let ask = CompletionRequest::new(KEY, "kill a later stage", ANSWER_TOKENS);
-    let mut stream = ask.stream(fleet.caller_addr(0));
+    let request = CompletionRequest::new(KEY, "kill a later stage", ANSWER_TOKENS);
+    let mut stream = request.stream(fleet.caller_addr(0));
     let received = read_tokens(&mut stream);
     let stalled = (2..4)
         .max_by_key(|at| engines[*at].total("tokens"))
@@ -99,7 +99,7 @@
     engines[5 - stalled].clear_faults();
     engines[stalled].process.kill();
     let (rest, end) = stream.read_to_end();
-    assert_eq!((received + &rest, end), (ask.expected(32), Event::Done));
+    assert_eq!((received + &rest, end), (request.expected(32), Event::Done));
 }
 
 /// The engines of two successive attempts are killed. The tokens verified in both
@@ -114,12 +114,12 @@
     for engine in &engines {
         engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": RECEIVED_TOKENS}));
     }
-    let ask = CompletionRequest::new(KEY, "kill two engines", ANSWER_TOKENS);
-    let mut stream = ask.stream(fleet.caller_addr(0));
+    let request = CompletionRequest::new(KEY, "kill two engines", ANSWER_TOKENS);
+    let mut stream = request.stream(fleet.caller_addr(0));
     let mut text = String::new();
     for _ in 0..2 {
         text.push_str(&read_tokens(&mut stream));
-        let first = engines.iter().position(|e| e.attempts(&ask.prompt) > 0);
+        let first = engines.iter().position(|e| e.attempts(&request.prompt) > 0);
         let mut first = engines.swap_remove(first.expect("a first stage"));
         if engines.len() == 1 {
             engines[0].clear_faults();
@@ -127,7 +127,7 @@
         first.process.kill();
     }
     let (rest, end) = stream.read_to_end();
-    assert_eq!((text + &rest, end), (ask.expected(32), Event::Done));
+    assert_eq!((text + &rest, end), (request.expected(32), Event::Done));
 }
 
 /// The link to an engine drops all traffic in the middle of an answer without
@@ -144,13 +144,13 @@
     });
     fleet.wait_until_serving();
     near.inject_fault(&json!({"mode": "slow", "count": 1, "after": RECEIVED_TOKENS, "ms": 300}));
-    let ask = CompletionRequest::new(KEY, "cut the link", ANSWER_TOKENS);
-    let mut stream = ask.stream(fleet.caller_addr(0));
+    let request = CompletionRequest::new(KEY, "cut the link", ANSWER_TOKENS);
+    let mut stream = request.stream(fleet.caller_addr(0));
     let received = read_tokens(&mut stream);
     let far = fleet.start_engine("far", "0..32");
     proxy.block();
     let (rest, end) = stream.read_to_end();
     proxy.unblock();
-    assert_eq!((received + &rest, end), (ask.expected(32), Event::Done));
-    assert_eq!(far.attempts(&ask.prompt), 1);
+    assert_eq!((received + &rest, end), (request.expected(32), Event::Done));
+    assert_eq!(far.attempts(&request.prompt), 1);
 }
