--- a/src/engine.rs
+++ b/src/engine.rs
@@ -139,9 +139,7 @@
 /// Time by which the first byte of a claimed request must have been sent.
 ///
 /// If the process is suspended while it connects, a repeated request may have
-/// been told that the outcome is unknown before the process resumes. The cutoff
-/// is therefore checked between connecting and writing the first byte; only the
-/// write itself remains after the check.
+/// been told that the outcome is unknown before the process resumes.
 #[derive(Clone)]
 pub(crate) struct Cutoff {
     until: Option<Time>,
@@ -160,10 +158,10 @@
 
 /// A new connection for a single call to an upstream.
 ///
-/// The upstream may close a pooled connection at the moment of its use. Whether
-/// the call ran is then unknown, and a non-idempotent call would needlessly end
-/// with an unknown outcome. With a new connection, a failure before
-/// [`Connection::send`] proves that nothing was sent.
+/// With a new connection, a failure before [`Connection::send`] proves that
+/// nothing was sent. A pooled one may be closed by the upstream at the moment of
+/// its use. Whether the call ran is then unknown, and a non-idempotent call would
+/// needlessly end with an unknown outcome.
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: Driver,
@@ -221,6 +219,8 @@
         request: Request<Full<Bytes>>,
         cutoff: &Cutoff,
     ) -> Result<UpstreamResponse, EngineError> {
+        // Checked between connecting and the first byte, so that only the write
+        // itself comes after it.
         if cutoff.passed() {
             return ConnectSnafu.fail();
         }
