--- a/src/control.rs
+++ b/src/control.rs
@@ -20,7 +20,7 @@
 use crate::event;
 use crate::gate::Gate;
 use crate::gossip::Fleet;
-use crate::http::{self, Bounds, Reply, Unreceived};
+use crate::http::{self, ReceiveError, ReceiveLimits, ResponseBody};
 use crate::lease::LeasedCatalogue;
 use crate::poll::Poller;
 use crate::propose::{NotCommitted, Proposer};
@@ -68,7 +68,7 @@
     message: String,
 }
 
-type Answer = Result<Response<Reply>, Problem>;
+type Answer = Result<Response<ResponseBody>, Problem>;
 
 fn problem(status: StatusCode, code: &'static str, message: impl Into<String>) -> Problem {
     Problem {
@@ -80,9 +80,9 @@
 
 /// Serves operators, upstreams and probes until the runtime shuts down.
 pub(crate) async fn serve(control: Arc<Control>, listener: TcpListener) {
-    let bounds = Bounds {
-        head: control.settings.max_head,
-        receive: control.settings.receive_timeout,
+    let bounds = ReceiveLimits {
+        max_head: control.settings.max_head,
+        receive_timeout: control.settings.receive_timeout,
     };
     http::accept(listener, bounds, move |request| {
         Arc::clone(&control).answer(request)
@@ -91,7 +91,7 @@
 }
 
 impl Control {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<Reply> {
+    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         self.route(request).await.unwrap_or_else(|problem| {
             let body = serde_json::json!({
                 "error": {"code": problem.code, "message": problem.message}
@@ -150,19 +150,19 @@
     }
 
     async fn read_body(&self, body: Incoming, max: usize) -> Result<Bytes, Problem> {
-        let body = http::receive(body, max, self.settings.receive_timeout).await;
+        let body = http::read_body(body, max, self.settings.receive_timeout).await;
         body.map_err(|e| match e {
-            Unreceived::TooLarge => problem(
+            ReceiveError::TooLarge => problem(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "too_large",
                 format!("the body is longer than {max} bytes; split it"),
             ),
-            Unreceived::Cut => problem(
+            ReceiveError::Incomplete => problem(
                 StatusCode::BAD_REQUEST,
                 "cut",
                 "the body was cut; send it whole",
             ),
-            Unreceived::TooSlow => problem(
+            ReceiveError::Timeout => problem(
                 StatusCode::REQUEST_TIMEOUT,
                 "too_slow",
                 "the body wasn't sent in time; send it faster",
@@ -170,7 +170,7 @@
         })
     }
 
-    fn ready(&self) -> Response<Reply> {
+    fn ready(&self) -> Response<ResponseBody> {
         let reason = self.gate.unready_reason(&self.catalogue, self.clock.now());
         match reason {
             None => text(StatusCode::OK, "ready\n"),
@@ -178,7 +178,7 @@
         }
     }
 
-    fn state(&self, head: &Parts) -> Response<Reply> {
+    fn state(&self, head: &Parts) -> Response<ResponseBody> {
         let dump = (self.dump)();
         if head.uri.query() == Some("form=text") {
             return text(StatusCode::OK, &dump::text(&dump));
@@ -352,25 +352,25 @@
     value.to_str().ok()?.strip_prefix("Bearer ")
 }
 
-fn set_etag(response: &mut Response<Reply>, revision: u64) {
+fn set_etag(response: &mut Response<ResponseBody>, revision: u64) {
     let value = format!("\"{revision}\"");
     let value = value.parse().expect("digits and quotes are a valid header");
     response.headers_mut().insert(header::ETAG, value);
 }
 
-fn json(status: StatusCode, body: &impl Serialize) -> Response<Reply> {
+fn json(status: StatusCode, body: &impl Serialize) -> Response<ResponseBody> {
     let body = serde_json::to_string(body).expect("responses are serialisable");
     respond(status, "application/json", body)
 }
 
-fn text(status: StatusCode, body: &str) -> Response<Reply> {
+fn text(status: StatusCode, body: &str) -> Response<ResponseBody> {
     respond(status, "text/plain; charset=utf-8", body.to_owned())
 }
 
-fn respond(status: StatusCode, content_type: &'static str, body: String) -> Response<Reply> {
+fn respond(status: StatusCode, content_type: &'static str, body: String) -> Response<ResponseBody> {
     Response::builder()
         .status(status)
         .header(header::CONTENT_TYPE, content_type)
-        .body(Reply::from(body))
+        .body(ResponseBody::from(body))
         .expect("status and header are valid")
 }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -25,7 +25,7 @@
 use crate::decide::refusal::Reason;
 use crate::decide::retry::{self, AttemptCounts, Failure, NextStep};
 use crate::decide::view_wait;
-use crate::engine::{Answer, Connection, Cutoff};
+use crate::engine::{Connection, Cutoff, UpstreamResponse};
 use crate::event;
 use crate::fingerprint::Fingerprint;
 use crate::metric;
@@ -75,7 +75,7 @@
 
 /// A response whose head was received and whose body is still to be read.
 pub(super) struct OpenResponse {
-    pub(super) answer: Answer,
+    pub(super) answer: UpstreamResponse,
     pub(super) selection: Selection,
 }
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,7 +1,7 @@
-//! The HTTP server that callers, operators and upstreams meet.
+//! HTTP server for callers, operators and upstreams.
 //!
-//! hyper serves all of them: astra strands connections and hands small pieces
-//! on late, see docs/TRIALS.md.
+//! It is based on hyper. astra, the alternative, left connections stuck and delayed
+//! small chunks; see docs/TRIALS.md.
 
 use std::convert::Infallible;
 use std::net::TcpListener as StdListener;
@@ -20,21 +20,21 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-/// Pause after a failed accept, such as for lack of file descriptors.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Bounds on what a client may send.
+/// Limits on the requests of a client.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bounds {
-    /// Longest head of a request, in bytes. A longer one is answered with 431.
-    pub(crate) head: usize,
-    /// Longest time to send a head, and again to send a body.
-    pub(crate) receive: Duration,
+pub(crate) struct ReceiveLimits {
+    /// Maximum size of a request head, in bytes. A larger one is answered with 431.
+    pub(crate) max_head: usize,
+    /// Timeout for receiving the head, and again for the body.
+    pub(crate) receive_timeout: Duration,
 }
 
-/// Accepts connections until the runtime ends, and answers each request with
-/// what `handler` gives.
-pub(crate) async fn accept<H, F, B>(listener: StdListener, bounds: Bounds, handler: H)
+/// Accepts connections until the runtime stops, and answers each request with
+/// `handler`.
+pub(crate) async fn accept<H, F, B>(listener: StdListener, limits: ReceiveLimits, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Response<B>> + Send + 'static,
@@ -42,14 +42,14 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let (_open, closing) = watch::channel(false);
-    accept_until(listener, bounds, handler, closing).await;
+    accept_until(listener, limits, handler, closing).await;
 }
 
-/// As [`accept`], until `closing` tells to take no new connections and to close
-/// each that is open after the answer that runs on it.
+/// Same as [`accept`], until `closing` becomes true. The listener is then closed,
+/// and each open connection after its current response.
 pub(crate) async fn accept_until<H, F, B>(
     listener: StdListener,
-    bounds: Bounds,
+    limits: ReceiveLimits,
     handler: H,
     closing: watch::Receiver<bool>,
 ) where
@@ -59,26 +59,27 @@
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let listener = TcpListener::from_std(listener).expect("the listener doesn't block");
-    let mut told = closing.clone();
+    let mut shutdown = closing.clone();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            // Dropping the listener refuses callers at once, and they go
-            // elsewhere. Taken in, they would be cut off with the process.
-            () = closed(&mut told) => return,
+            // Dropping the listener refuses new connections, so that callers try
+            // another instance. Accepted ones would be cut off when the process
+            // exits.
+            () = wait_closing(&mut shutdown) => return,
         };
         match accepted {
             Ok((stream, _)) => {
-                tokio::spawn(serve(stream, bounds, handler.clone(), closing.clone()));
+                tokio::spawn(serve(stream, limits, handler.clone(), closing.clone()));
             }
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
 async fn serve<H, F, B>(
     stream: TcpStream,
-    bounds: Bounds,
+    limits: ReceiveLimits,
     handler: H,
     mut closing: watch::Receiver<bool>,
 ) where
@@ -87,87 +88,91 @@
     B: Body<Data = Bytes> + Send + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    // Without it each token waits for the delayed acknowledgement of the one
+    // With Nagle's algorithm, each token waits for the delayed ACK of the one
     // before.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
-        let answer = handler(request);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handler(request);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let connection = Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(bounds.receive)
-        .max_buf_size(bounds.head)
+        .header_read_timeout(limits.receive_timeout)
+        .max_buf_size(limits.max_head)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let served = tokio::select! {
         served = connection.as_mut() => served,
-        () = closed(&mut closing) => {
+        () = wait_closing(&mut closing) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
     if let Err(e) = served {
-        tracing::debug!("a client's connection ended: {e}");
+        tracing::debug!("client connection failed: {e}");
     }
 }
 
-/// Returns once connections are to be closed.
-async fn closed(closing: &mut watch::Receiver<bool>) {
-    let told = closing.wait_for(|closing| *closing).await.is_ok();
-    if !told {
-        // Nobody is left who could tell.
+/// Waits until `closing` becomes true.
+async fn wait_closing(closing: &mut watch::Receiver<bool>) {
+    let signalled = closing.wait_for(|closing| *closing).await.is_ok();
+    if !signalled {
+        // The sender is gone: the signal can't come any more.
         std::future::pending::<()>().await;
     }
 }
 
-/// Why a body wasn't received.
+/// Why a request body was not received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unreceived {
-    /// It is longer than the bound.
+pub(crate) enum ReceiveError {
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The client closed in the middle of it.
-    Cut,
-    /// It wasn't sent in time.
-    TooSlow,
+    /// The connection was closed before the end of the body.
+    Incomplete,
+    /// The body was not received in time.
+    Timeout,
 }
 
-/// Reads a body whole, of at most `most` bytes within `time`.
-pub(crate) async fn receive<B>(body: B, most: usize, time: Duration) -> Result<Bytes, Unreceived>
+/// Reads a complete body of at most `max_bytes` within `time_limit`.
+pub(crate) async fn read_body<B>(
+    body: B,
+    max_bytes: usize,
+    time_limit: Duration,
+) -> Result<Bytes, ReceiveError>
 where
     B: Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    match timeout(time, Limited::new(body, most).collect()).await {
+    match timeout(time_limit, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Unreceived::TooLarge),
-        Ok(Err(_)) => Err(Unreceived::Cut),
-        Err(_) => Err(Unreceived::TooSlow),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(ReceiveError::TooLarge),
+        Ok(Err(_)) => Err(ReceiveError::Incomplete),
+        Err(_) => Err(ReceiveError::Timeout),
     }
 }
 
 /// A response body.
-pub(crate) enum Reply {
-    /// All of it; `None` once it was handed on.
-    Whole(Option<Bytes>),
-    /// Pieces as they come. The body ends when the sender is dropped; when the
-    /// caller leaves, hyper drops the receiver and the sender sees it closed.
-    Pieces(mpsc::Receiver<Bytes>),
+pub(crate) enum ResponseBody {
+    /// The complete body; `None` once it was sent.
+    Full(Option<Bytes>),
+    /// Chunks from a channel. The body ends when the sender is dropped. If the
+    /// client disconnects, hyper drops the receiver, which closes the channel.
+    Chunks(mpsc::Receiver<Bytes>),
 }
 
-impl From<String> for Reply {
+impl From<String> for ResponseBody {
     fn from(text: String) -> Self {
-        Self::Whole(Some(text.into()))
+        Self::Full(Some(text.into()))
     }
 }
 
-impl From<Bytes> for Reply {
+impl From<Bytes> for ResponseBody {
     fn from(bytes: Bytes) -> Self {
-        Self::Whole(Some(bytes))
+        Self::Full(Some(bytes))
     }
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -176,12 +181,12 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Self::Pieces(pieces) => pieces.poll_recv(cx).map(|p| p.map(|b| Ok(Frame::data(b)))),
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            Self::Chunks(chunks) => chunks.poll_recv(cx).map(|p| p.map(|b| Ok(Frame::data(b)))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 }
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -30,7 +30,7 @@
 use crate::periodic::{renew_limit_shares, run_claim_ticks, start_view_refresh};
 use crate::poll::Poller;
 use crate::propose::Proposer;
-use crate::serve::{self, Serving};
+use crate::serve::{self, Server};
 use crate::settings::Settings;
 use crate::startup::{install_metrics, listen, start_error};
 use crate::supervise::{RestartPolicy, Supervisor};
@@ -121,11 +121,11 @@
             .map(proposer)
             .collect();
         let gate = Arc::new(Gate::default());
-        let serving = Serving::new(serve::Parts {
+        let server = Server::new(serve::Dependencies {
             settings: Arc::clone(&settings),
             clock: Arc::clone(&clock),
             incarnation,
-            force: Arc::clone(&catalogue),
+            catalogue: Arc::clone(&catalogue),
             gate: Arc::clone(&gate),
             fleet: fleet.clone(),
             claims: claim_proposers.clone(),
@@ -140,14 +140,14 @@
         peer_runtime.spawn(renew_limit_shares(
             node.clone(),
             Arc::clone(&catalogue_proposer),
-            Arc::clone(&serving),
+            Arc::clone(&server),
         ));
         for (group, proposer) in (CLAIM_GROUP..).zip(claim_proposers.clone()) {
             let clock = Arc::clone(&clock);
             peer_runtime.spawn(run_claim_ticks(node.clone(), group, proposer, clock));
         }
-        caller_runtime.spawn(Arc::clone(&serving).accept(caller_listener));
-        start_view_refresh(&supervisor, &serving, &fleet, &peers);
+        caller_runtime.spawn(Arc::clone(&server).accept(caller_listener));
+        start_view_refresh(&supervisor, &server, &fleet, &peers);
         let control = Arc::new(Control {
             settings: Arc::clone(&settings),
             clock: Arc::clone(&clock),
@@ -161,7 +161,7 @@
             dump: dump_fn(
                 &settings,
                 &node,
-                (&serving, &catalogue, &gate, &fleet),
+                (&server, &catalogue, &gate, &fleet),
                 &clock,
             ),
         });
@@ -353,13 +353,13 @@
 fn dump_fn(
     settings: &Arc<Settings>,
     node: &Node,
-    parts: (&Arc<Serving>, &Arc<LeasedCatalogue>, &Arc<Gate>, &Fleet),
+    parts: (&Arc<Server>, &Arc<LeasedCatalogue>, &Arc<Gate>, &Fleet),
     clock: &Arc<dyn Clock>,
 ) -> Arc<dyn Fn() -> Dump + Send + Sync> {
     let settings = Arc::clone(settings);
     let node = node.clone();
-    let (serving, leased, gate, fleet) = parts;
-    let (serving, leased) = (Arc::clone(serving), Arc::clone(leased));
+    let (server, leased, gate, fleet) = parts;
+    let (server, leased) = (Arc::clone(server), Arc::clone(leased));
     let (gate, fleet) = (Arc::clone(gate), fleet.clone());
     let clock = Arc::clone(clock);
     Arc::new(move || {
@@ -375,7 +375,7 @@
             },
             requests: RequestDump {
                 running: gate.running(),
-                queued: serving.queued(),
+                queued: server.queued(),
                 draining: gate.is_closed(),
             },
             groups: node
@@ -383,7 +383,7 @@
                 .map(|v| v.voter.status())
                 .unwrap_or_default(),
             fleet: fleet.dump(),
-            bounds: serving.bounds().into_iter().collect(),
+            bounds: server.throughput_bounds().into_iter().collect(),
         }
     })
 }
--- a/src/periodic.rs
+++ b/src/periodic.rs
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::peer::Peers;
 use crate::propose::Proposer;
-use crate::serve::Serving;
+use crate::serve::Server;
 use crate::supervise::{RestartPolicy, Supervisor};
 
 /// Interval at which the time of the claim register is advanced.
@@ -30,10 +30,12 @@
 const VIEW_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Requests shares of the limits from the allocator whenever a request is due.
-pub(crate) async fn renew_limit_shares(node: Node, leader: Arc<Proposer>, serving: Arc<Serving>) {
+pub(crate) async fn renew_limit_shares(node: Node, leader: Arc<Proposer>, server: Arc<Server>) {
     loop {
-        serving.share_due().await;
-        let Some(ask) = serving.ask() else { continue };
+        server.wait_share_request_due().await;
+        let Some(ask) = server.share_request() else {
+            continue;
+        };
         let request = Request {
             ask: Some(Ask::LimitShares(ask)),
         };
@@ -43,7 +45,7 @@
             .await
             .map(|r| r.answer)
         {
-            Ok(Some(Answer::Grant(grant))) => serving.grant(&grant),
+            Ok(Some(Answer::Grant(grant))) => server.apply_grant(&grant),
             Ok(Some(Answer::NotLeader(hint))) => leader.set_leader_hint(to, hint),
             _ => leader.set_leader_hint(to, 0),
         }
@@ -75,25 +77,25 @@
 /// Starts the thread that passes the state of the fleet to routing and the peer connections.
 pub(crate) fn start_view_refresh(
     supervisor: &Supervisor,
-    serving: &Arc<Serving>,
+    server: &Arc<Server>,
     fleet: &Fleet,
     peers: &Peers,
 ) {
-    let serving = Arc::clone(serving);
+    let server = Arc::clone(server);
     let fleet = fleet.clone();
     let peers = peers.clone();
     supervisor.start("views", RestartPolicy::Restart, move || {
         let mut last_view = Instant::now();
         loop {
-            thread::sleep(if serving.queued() > 0 {
+            thread::sleep(if server.queued() > 0 {
                 BUSY_TICK_INTERVAL
             } else {
                 IDLE_TICK_INTERVAL
             });
-            serving.tick();
+            server.tick();
             if last_view.elapsed() >= VIEW_INTERVAL {
                 last_view = Instant::now();
-                serving.refresh();
+                server.refresh_upstreams();
                 for member in &fleet.members().members {
                     peers.set_address(member.id, member.peer);
                 }
--- a/tests/e2e/answers.rs
+++ b/tests/e2e/answers.rs
@@ -1,4 +1,4 @@
-//! Whole answers, and upstreams that break the protocol.
+//! Complete answers, and upstreams that violate the protocol.
 
 use std::thread;
 
@@ -12,23 +12,23 @@
 use crate::common::fleet::{Fleet, KEY, OTHER_KEY};
 use crate::common::wait_for;
 
-/// A route over two stages answers exactly as the model does, whole and
-/// streamed, and each layer range runs once for each token.
+/// A pipeline of two stages gives exactly the model's answer, in one piece and
+/// streamed, and each layer range runs once per token.
 #[test]
 fn completions_two_stages_answer_exactly() {
     let fleet = Fleet::single();
     let first = fleet.start_engine("eng-1", "0..16");
     let second = fleet.start_engine("eng-2", "16..32");
     fleet.wait_until_serving();
-    let ask = CompletionRequest::new(KEY, "window 120 by 210", 9);
-    let reply = ask.send(fleet.caller_addr(0)).expect("an answer");
+    let request = CompletionRequest::new(KEY, "window 120 by 210", 9);
+    let reply = request.send(fleet.caller_addr(0)).expect("an answer");
     assert_eq!(
         (reply.status, reply.text()),
-        (200, ask.expected(32).as_str())
+        (200, request.expected(32).as_str())
     );
-    let ask = CompletionRequest::new(KEY, "window 90 by 80", 9);
-    let (text, end) = ask.stream(fleet.caller_addr(0)).read_to_end();
-    assert_eq!((text, end), (ask.expected(32), Event::Done));
+    let request = CompletionRequest::new(KEY, "window 90 by 80", 9);
+    let (text, end) = request.stream(fleet.caller_addr(0)).read_to_end();
+    assert_eq!((text, end), (request.expected(32), Event::Done));
     for engine in [&first, &second] {
         let executions = engine.executions();
         let requests = executions["requests"].as_object().expect("a map");
@@ -40,26 +40,25 @@
     }
 }
 
-/// An officer must see the draft grow. The engine stops behind the first
-/// token until the caller has it: an instance that collects the answer before
-/// it hands on any of it would never end this test.
+/// Tokens must be streamed as they are generated. The engine stalls after the
+/// first token: an instance that buffers the answer would never send it.
 #[test]
 fn completions_stream_hands_on_the_first_token_before_the_last_is_made() {
     let fleet = Fleet::single();
     let engine = fleet.start_engine("eng-1", "0..32");
     fleet.wait_until_serving();
     engine.inject_fault(&json!({"mode": "stall", "count": 1, "after": 1}));
-    let ask = CompletionRequest::new(KEY, "grow", 4);
-    let mut stream = ask.stream(fleet.caller_addr(0));
+    let request = CompletionRequest::new(KEY, "grow", 4);
+    let mut stream = request.stream(fleet.caller_addr(0));
     let Event::Token(token) = stream.next() else {
         panic!("no token");
     };
-    assert!(ask.expected(32).starts_with(&token));
+    assert!(request.expected(32).starts_with(&token));
 }
 
-/// An engine goes wrong in the middle of an answer. The caller must never see
-/// a wrong, doubled or missing token: the answer comes whole by another
-/// attempt, here on a second engine or the healed first one.
+/// An engine fails in the middle of an answer. The caller must not see a wrong,
+/// repeated or missing token: another attempt completes the answer, on the second
+/// engine or on the recovered first one.
 #[rstest]
 #[case::garbage("garbage")]
 #[case::skip_layer("skip_layer")]
@@ -85,19 +84,18 @@
         engine.inject_fault(&json!({"mode": mode, "count": 1, "after": 3}));
     }
     for round in 0..6 {
-        let ask = CompletionRequest::new(KEY, &format!("{mode} {round}"), 8);
-        let (text, end) = ask.stream(fleet.caller_addr(0)).read_to_end();
+        let request = CompletionRequest::new(KEY, &format!("{mode} {round}"), 8);
+        let (text, end) = request.stream(fleet.caller_addr(0)).read_to_end();
         assert_eq!(
             (text, end),
-            (ask.expected(32), Event::Done),
+            (request.expected(32), Event::Done),
             "round {round}"
         );
     }
 }
 
-/// The same faults without end: no engine is left that answers rightly. The
-/// caller then gets a typed failure, and what came before it is a true
-/// beginning of the answer.
+/// The fault persists on the only engine. The caller gets a failure with a code,
+/// and the tokens received before it are a prefix of the correct answer.
 #[rstest]
 #[case::garbage("garbage")]
 #[case::skip_layer("skip_layer")]
@@ -108,20 +106,20 @@
     let engine = fleet.start_engine("eng-1", "0..32");
     fleet.wait_until_serving();
     engine.inject_fault(&json!({"mode": mode, "after": 0}));
-    let ask =
+    let request =
         CompletionRequest::new(KEY, &format!("hopeless {mode}"), 8).header("x-deadline-ms", "5000");
-    let reply = ask.send(fleet.caller_addr(0)).expect("an answer");
+    let reply = request.send(fleet.caller_addr(0)).expect("an answer");
     assert_ne!(reply.status, 200);
     assert!(!reply.code().is_empty(), "{reply:?}");
     assert_ne!(reply.ran(), "no", "{reply:?}");
-    let (text, end) = ask.stream(fleet.caller_addr(0)).read_to_end();
-    assert!(ask.expected(32).starts_with(&text), "{text:?}");
+    let (text, end) = request.stream(fleet.caller_addr(0)).read_to_end();
+    assert!(request.expected(32).starts_with(&text), "{text:?}");
     assert_ne!(end, Event::Done);
 }
 
-/// Hundreds of requests of two organisations run at once while an engine puts
-/// other requests' identifiers into its events. Nobody may get another's
-/// tokens; whoever gets an answer gets exactly their own.
+/// Hundreds of requests of two organisations run concurrently while the engines
+/// put identifiers of other requests into their events. No caller may receive
+/// tokens of another request, and each complete answer must be the caller's own.
 #[test]
 fn completions_swapped_ids_reach_nobody_else() {
     let fleet = Fleet::single();
@@ -147,10 +145,11 @@
                 };
                 (0..5)
                     .filter(|round| {
-                        let ask = CompletionRequest::new(key, &format!("swap {caller} {round}"), 8)
-                            .route(route);
-                        let (text, end) = ask.stream(address).read_to_end();
-                        let expected = ask.expected(32);
+                        let request =
+                            CompletionRequest::new(key, &format!("swap {caller} {round}"), 8)
+                                .route(route);
+                        let (text, end) = request.stream(address).read_to_end();
+                        let expected = request.expected(32);
                         assert!(expected.starts_with(&text), "{text:?} for {expected:?}");
                         assert_eq!(end == Event::Done, text == expected);
                         end == Event::Done
@@ -159,14 +158,17 @@
             })
         })
         .collect();
-    let whole: usize = callers
+    let complete: usize = callers
         .into_iter()
         .map(|c| c.join().expect("a caller"))
         .sum();
-    assert!(whole > 100, "only {whole} of 200 answers came whole");
+    assert!(
+        complete > 100,
+        "only {complete} of 200 answers were complete"
+    );
 }
 
-/// The order-lookup pages: method, path and body reach the service as sent.
+/// Method, path and body reach the service unchanged.
 #[test]
 fn services_call_reaches_the_service_as_sent() {
     let fleet = Fleet::single();
@@ -188,20 +190,20 @@
     assert_eq!(service.total("began"), 1);
 }
 
-/// The load tool's verdict rests on what the engines count. Here the same
-/// prompts run a second time, now marked as non-idempotent: the tool must see
-/// each of them as run twice and fail.
+/// The load tool checks the execution counts of the engines. The same prompts run
+/// again, now marked as non-idempotent: the tool must report each of them as
+/// repeated, and fail.
 #[test]
 fn load_second_run_of_a_request_violates() {
     let fleet = Fleet::single();
     let engine = fleet.start_engine("eng-1", "0..32");
     fleet.wait_until_serving();
-    let load = |marked: &str| {
+    let load = |non_idempotent_share: &str| {
         Command::new(example_path("load"))
             .args(["--target", &fleet.caller_addr(0).to_string(), "--key", KEY])
             .args(["--emulators", &engine.address.to_string()])
             .args(["--requests", "20", "--tokens", "2", "--stream", "--json"])
-            .args(["--non-idempotent", marked])
+            .args(["--non-idempotent", non_idempotent_share])
             .output()
             .expect("run the load tool")
     };
