--- a/src/client.rs
+++ b/src/client.rs
@@ -120,7 +120,7 @@
         if answer.status == 200 {
             return Ok(answer.body);
         }
-        self.refused(&answer)
+        self.status_error(&answer)
     }
 
     fn read_answer(
@@ -154,11 +154,11 @@
         if answer.status == 200 {
             return Ok(answer.body);
         }
-        self.refused(&answer)
+        self.status_error(&answer)
     }
 
     /// Returns the error for an unsuccessful response.
-    fn refused<T>(&self, answer: &Answer) -> Result<T> {
+    fn status_error<T>(&self, answer: &Answer) -> Result<T> {
         RefusedSnafu {
             target: &self.target,
             status: answer.status,
@@ -282,7 +282,7 @@
         match answer.location {
             Some(location) => target = location,
             None if answer.status == 200 => return Ok(()),
-            None => return client.refused(&answer),
+            None => return client.status_error(&answer),
         }
     }
     UnreachableSnafu {
@@ -409,7 +409,7 @@
     }
     let answer = answer?;
     if answer.status != 200 {
-        return client.refused(&answer);
+        return client.status_error(&answer);
     }
     if matches.get_flag("json") {
         return print_line(out, &answer.body);
--- a/src/control/voters.rs
+++ b/src/control/voters.rs
@@ -24,7 +24,7 @@
                 "group": proposer.group(),
                 "leader": reply.leader,
                 "members": reply.members,
-                "strangers": reply.strangers,
+                "strangers": reply.non_members,
             }));
         }
         Ok(json(StatusCode::OK, &groups))
@@ -72,7 +72,7 @@
     async fn joining_store(&self, instance: u64) -> Result<u64, Problem> {
         for proposer in self.proposers() {
             let status = self.group_status(proposer).await?;
-            let joining = status.strangers.iter().find(|p| p.id == instance);
+            let joining = status.non_members.iter().find(|p| p.id == instance);
             if let Some(peer) = joining {
                 return Ok(peer.store);
             }
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -150,7 +150,7 @@
             |p: &PendingOrder| p.born != announcement.born || announcement.layers == Some(p.range);
         if pending.is_some_and(done) {
             self.pending.remove(&announcement.id);
-            self.roster.touch(&announcement.id);
+            self.roster.mark_changed(&announcement.id);
         }
         self.roster.announce(now, announcement)
     }
@@ -177,7 +177,7 @@
         let expired: Vec<Arc<str>> = expired.map(|(id, _)| id.clone()).collect();
         for id in expired {
             self.pending.remove(&id);
-            self.roster.touch(&id);
+            self.roster.mark_changed(&id);
         }
         self.roster.tick(now, &self.reports.suspects())
     }
@@ -337,8 +337,8 @@
     /// second, there was always one that had just joined, and gaps stayed open for 5.5 s.
     fn may_order(&self, now: Time) -> bool {
         // By then, silent upstreams have been removed.
-        let heard = now.since(self.term_start) >= self.heartbeat.mul_f64(LOST_HEARTBEATS);
-        self.is_complete(now) && (heard || self.roster.is_settled(now))
+        let silent_removed = now.since(self.term_start) >= self.heartbeat.mul_f64(LOST_HEARTBEATS);
+        self.is_complete(now) && (silent_removed || self.roster.is_settled(now))
     }
 
     /// Returns the orders that are due now for the models of the configuration.
@@ -365,7 +365,7 @@
                 expected: true,
             };
             self.pending.insert(order.engine.clone(), pending);
-            self.roster.touch(&order.engine);
+            self.roster.mark_changed(&order.engine);
         }
         orders
     }
@@ -486,7 +486,7 @@
             return;
         }
         self.pending.remove(&order.engine);
-        self.roster.touch(&order.engine);
+        self.roster.mark_changed(&order.engine);
         self.roster
             .set_layers(&order.engine, order.born, order.range);
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -384,7 +384,7 @@
             })
             .collect();
         let wanted = members::required_voters(self.boot.fault_tolerance);
-        if let Some(change) = members::next_change(&voters, &status.strangers, wanted) {
+        if let Some(change) = members::next_change(&voters, &status.non_members, wanted) {
             let done = move |outcome: std::result::Result<(), _>| match outcome {
                 Ok(()) => tracing::info!(event = event::VOTER_CHANGED.id, ?change, "voter changed"),
                 Err(e) => tracing::debug!(?change, "voter not changed: {e}"),
--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -64,7 +64,7 @@
             });
             sum.memory += load.memory;
             sum.requests += load.requests;
-            sum.entered += load.entered;
+            sum.first_hops += load.first_hops;
         }
         self.room_requests += request.room_requests;
         let before = self.latest.remove(&request.instance);
@@ -89,7 +89,7 @@
             };
             sum.memory -= load.memory;
             sum.requests -= load.requests;
-            sum.entered -= load.entered;
+            sum.first_hops -= load.first_hops;
             if sum.requests == 0 {
                 self.sums.remove(&load.engine);
             }
@@ -139,7 +139,7 @@
                 engine: sum.engine,
                 memory: sum.memory - own.memory,
                 requests: sum.requests - own.requests,
-                entered: sum.entered - own.entered,
+                first_hops: sum.first_hops - own.first_hops,
             };
             (remaining.requests > 0).then_some(remaining)
         });
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -39,7 +39,7 @@
 
 /// Time for which an unresponsive upstream is reported to the leader, in heartbeats: the two
 /// that the leader waits for, the transit of the report, and a round of its upstream checks.
-const SUSPECT_BEATS: f64 = 2.5;
+const SUSPECT_HEARTBEATS: f64 = 2.5;
 
 /// Time after an upstream first looked dead from which it counts as alive if its heartbeats
 /// are on time. The heartbeats of an upstream that died are late by then.
@@ -179,16 +179,16 @@
     }
 
     /// Upstreams to report to the leader as suspected dead: those of [`Health::dead`], and those
-    /// that looked dead within the last [`SUSPECT_BEATS`] heartbeats of period `beat` and did not
-    /// succeed since.
+    /// that looked dead within the last [`SUSPECT_HEARTBEATS`] times the interval `heartbeat` and
+    /// did not succeed since.
     ///
     /// A report must outlast the exclusion of 1.5 s: the leader waits for two heartbeats of
     /// silence, 2.4 s, before it drops an upstream that several instances suspect. When reports
     /// ended with the exclusion, the leader waited for four heartbeats. Eight instances reported an
     /// engine 0.4 s after it had stopped, but it was dropped after 4.7 s, and its layers were
     /// missing until then.
-    pub(crate) fn suspects(&self, now: Time, beat: Duration) -> Vec<u64> {
-        let retention = beat.mul_f64(SUSPECT_BEATS);
+    pub(crate) fn suspects(&self, now: Time, heartbeat: Duration) -> Vec<u64> {
+        let retention = heartbeat.mul_f64(SUSPECT_HEARTBEATS);
         let unresponsive = |r: &Record| {
             r.dead_since
                 .is_some_and(|since| now.since(since) < retention)
--- a/src/decide/load.rs
+++ b/src/decide/load.rs
@@ -64,8 +64,8 @@
     pub(crate) memory: f64,
     /// Number of requests that pass through it.
     pub(crate) requests: f64,
-    /// Number of requests that enter it as their first engine.
-    pub(crate) entered: f64,
+    /// Number of requests whose path begins at it.
+    pub(crate) first_hops: f64,
 }
 
 /// Load of all engines, by address key.
@@ -89,7 +89,7 @@
         Usage {
             memory: own.memory + others.memory,
             requests: own.requests + others.requests,
-            entered: own.entered + others.entered,
+            first_hops: own.first_hops + others.first_hops,
         }
     }
 
@@ -111,7 +111,7 @@
             let used = self.own.entry(*engine).or_default();
             used.memory += sign * work.memory(hop.range.len());
             used.requests += sign;
-            used.entered += if at == 0 { sign } else { 0.0 };
+            used.first_hops += if at == 0 { sign } else { 0.0 };
         }
     }
 
@@ -163,7 +163,7 @@
             engine,
             memory: used.memory.max(0.0).round() as u32,
             requests: used.requests.max(0.0).round() as u32,
-            entered: used.entered.max(0.0).round() as u32,
+            first_hops: used.first_hops.max(0.0).round() as u32,
         })
         .collect()
     }
@@ -182,7 +182,7 @@
         Self {
             memory: f64::from(load.memory),
             requests: f64::from(load.requests),
-            entered: f64::from(load.entered),
+            first_hops: f64::from(load.first_hops),
         }
     }
 }
--- a/src/decide/placement/layout.rs
+++ b/src/decide/placement/layout.rs
@@ -149,7 +149,7 @@
             // adjacent engine bridges the gap at the cost of its room, and gives them up
             // afterwards.
             let bridge = self.stretch(gap, &BRIDGE_RESERVED);
-            let spare = self.spare(gap);
+            let spare = self.spare_engine(gap);
             let spare = spare.filter(|(s, _)| bridge.is_none_or(|(b, _)| b != *s));
             for (worker, range) in bridge.into_iter().chain(spare) {
                 self.assign(worker, range);
@@ -200,7 +200,7 @@
 
     /// Returns the spare engine that fills a gap, or else the one that fills most of it, and its
     /// new range.
-    fn spare(&self, gap: LayerRange) -> Option<(usize, LayerRange)> {
+    fn spare_engine(&self, gap: LayerRange) -> Option<(usize, LayerRange)> {
         let least = RESERVED[RESERVED.len() - 1];
         let fits = |i: &usize| self.max_layers(*i, least).min(gap.len());
         let spare = self.members.iter().copied().filter(|&i| self.is_spare(i));
--- a/src/decide/waiting.rs
+++ b/src/decide/waiting.rs
@@ -37,7 +37,7 @@
 
 /// Initial estimates in seconds: a domain frees some thirty slots per second, and first events
 /// take 50 ms under low load.
-const INITIAL_TURN: f64 = 0.03;
+const INITIAL_FRONT_TIME: f64 = 0.03;
 const INITIAL_FIRST_EVENT: f64 = 0.05;
 const INITIAL_DEVIATION: f64 = 0.02;
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueueTiming {
     /// Mean time for which a request is first in the queue, in seconds.
-    turn: f64,
+    front_time: f64,
     /// Mean time from sending a request to its first event, and its mean deviation, in seconds.
     first_event: f64,
     deviation: f64,
@@ -54,7 +54,7 @@
 impl Default for QueueTiming {
     fn default() -> Self {
         Self {
-            turn: INITIAL_TURN,
+            front_time: INITIAL_FRONT_TIME,
             first_event: INITIAL_FIRST_EVENT,
             deviation: INITIAL_DEVIATION,
         }
@@ -63,10 +63,10 @@
 
 impl QueueTiming {
     /// Records that a request was first in the queue for `time`, and whether it found room.
-    pub(crate) fn record_turn(&mut self, time: Duration, found: bool) {
+    pub(crate) fn record_front_time(&mut self, time: Duration, found: bool) {
         let time = time.as_secs_f64();
-        if found || time > self.turn {
-            self.turn += WEIGHT * (time - self.turn);
+        if found || time > self.front_time {
+            self.front_time += WEIGHT * (time - self.front_time);
         }
     }
 
@@ -102,7 +102,7 @@
     }
     let limit = objective.saturating_sub(spent + timing.first_event());
     let limit = limit.min(MAX_WAIT).min(left / 3).max(POLL_INTERVAL * 2);
-    let ahead = Duration::from_secs_f64(timing.turn * waiters as f64);
+    let ahead = Duration::from_secs_f64(timing.front_time * waiters as f64);
     // One request always waits, since otherwise nothing would show that the queue moves again.
     (waiters == 0 || ahead < limit).then_some(limit)
 }
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -297,7 +297,7 @@
             }
         }
         self.waiting.insert(id, Waiting { placement, waiter });
-        self.pump(now, &key, out);
+        self.place_waiting(now, &key, out);
     }
 
     /// Releases a path with its outcome and the number of tokens received.
@@ -318,7 +318,7 @@
                 f64::from(tokens),
             );
         }
-        self.pump_all(now, out);
+        self.place_all_waiting(now, out);
     }
 
     /// Removes a waiting request whose caller disconnected.
@@ -348,7 +348,7 @@
     ) {
         self.router.set_instances(instances);
         self.router.set_view(now, stages);
-        self.pump_all(now, out);
+        self.place_all_waiting(now, out);
     }
 
     /// Time at which the next [`Dispatcher::share_request`] is due.
@@ -376,7 +376,7 @@
     pub(crate) fn tick(&mut self, now: Time, out: &mut Vec<Notification<W>>) {
         self.expire(now, out);
         self.admit_parked(now, out);
-        self.pump_all(now, out);
+        self.place_all_waiting(now, out);
     }
 
     /// Tokens per second that engines and links allow for a model.
@@ -433,7 +433,7 @@
         }
     }
 
-    fn pump_all(&mut self, now: Time, out: &mut Vec<Notification<W>>) {
+    fn place_all_waiting(&mut self, now: Time, out: &mut Vec<Notification<W>>) {
         let waiting: Vec<LaneKey> = self
             .lanes
             .iter()
@@ -441,12 +441,12 @@
             .map(|(key, _)| key.clone())
             .collect();
         for key in waiting {
-            self.pump(now, &key, out);
+            self.place_waiting(now, &key, out);
         }
     }
 
     /// Places requests of a lane while paths are free.
-    fn pump(&mut self, now: Time, key: &LaneKey, out: &mut Vec<Notification<W>>) {
+    fn place_waiting(&mut self, now: Time, key: &LaneKey, out: &mut Vec<Notification<W>>) {
         let Some(lane) = self.lanes.get_mut(key) else {
             return;
         };
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -148,7 +148,7 @@
     pub(super) fn new(entry: Arc<Entry>, table: Arc<RoutingTable>, call: Call) -> Self {
         entry
             .shared()
-            .allowance
+            .retry_budget
             .record_request(call.began, &call.service);
         let last_event = head::number(&call.headers, headers::LAST_EVENT_ID);
         Self {
@@ -211,7 +211,7 @@
             }
             let full = matches!(found, Err(Reason::Full));
             let long = self.is_long();
-            self.entry.shared().refused.record(full, long);
+            self.entry.shared().refusals.record(full, long);
             let selection = found.map_err(|reason| self.unsent(reason))?;
             if !self.acquire_send(&selection.upstream) {
                 continue;
@@ -270,7 +270,7 @@
         let mut work = self.call.work;
         // The caller may already have a part of the response.
         let begun = self.attempts.may_have_run > 0 || self.last_event.is_some();
-        let starved = self.is_long() && self.entry.shared().refused.starves_long();
+        let starved = self.is_long() && self.entry.shared().refusals.starves_long();
         if begun {
             let starting = view_wait::is_starting(self.entry.started, self.entry.now());
             work.obeys_quota = load::retry_obeys_quota(starting, waited);
@@ -344,8 +344,8 @@
         if next == NextStep::Again {
             let now = self.entry.now();
             let entries = self.entry.view().entry_count();
-            let allowance = &mut self.entry.shared().allowance;
-            if !allowance.try_acquire(now, &self.call.service, entries) {
+            let retry_budget = &mut self.entry.shared().retry_budget;
+            if !retry_budget.try_acquire(now, &self.call.service, entries) {
                 next = retry::give_up(self.attempts, failure);
             }
         }
@@ -406,14 +406,17 @@
             "sent"
         );
         let cutoff = Cutoff::new(None, Arc::clone(&self.entry.clock));
-        let patience = match self.call.route.retry_policy {
+        let stall_timeout = match self.call.route.retry_policy {
             RetryPolicy::Never => self.left(),
             _ => self.call.route.objective * FIRST_BYTE_FACTOR,
         };
         let sent = self.entry.now();
         let mut selection = selection;
         let answer = connection.send(request, &cutoff);
-        match self.await_progress(answer, patience, &mut selection).await {
+        match self
+            .await_progress(answer, stall_timeout, &mut selection)
+            .await
+        {
             Ok(Ok(answer)) => self.classify(sent, OpenResponse { answer, selection }),
             Ok(Err(_)) => failed(Failure::Unknown, CUT),
             Err(Stall::DeadEngine(culprit)) => Outcome::Failed {
@@ -438,7 +441,7 @@
     pub(super) fn final_response(&self, end: &RunError) -> Response<Body> {
         let (code, response) = match end {
             RunError::NotRun(reason) => {
-                let refused = self.entry.shared().refused.overall();
+                let refused = self.entry.shared().refusals.overall();
                 let mut response = refuse(*reason, refused);
                 if let Reason::Quarantined(_) = reason {
                     *response.body_mut() = quarantine_body(&self.call.fingerprint);
--- a/src/entry/measure.rs
+++ b/src/entry/measure.rs
@@ -41,7 +41,9 @@
                 metrics::gauge!(name, "service" => service.clone(), "state" => state).set(count);
             }
             metrics::gauge!(metric::BOOKED_MEMORY.name, "service" => service.clone()).set(booked);
-            let left = shared.allowance.remaining(now, service, view.entry_count());
+            let left = shared
+                .retry_budget
+                .remaining(now, service, view.entry_count());
             metrics::gauge!(metric::RETRIES_LEFT.name, "service" => service.clone()).set(left);
         }
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -72,10 +72,10 @@
 struct Shared {
     loads: Loads,
     health: Health,
-    allowance: RetryBudget,
+    retry_budget: RetryBudget,
     link: LinkShare,
-    pace: QueueTiming,
-    refused: RefusalRates,
+    queue_timing: QueueTiming,
+    refusals: RefusalRates,
     run_history: RunHistory,
     rate_limiter: RateLimiter,
 }
@@ -136,7 +136,7 @@
 impl Entry {
     fn new(settings: &RoleSettings, boot: Boot, runtime: tokio::runtime::Handle) -> Self {
         let bounds = boot.bounds;
-        let allowance = RetryBudget::new(RetryLimit {
+        let retry_budget = RetryBudget::new(RetryLimit {
             ratio: bounds.retry_ratio,
             slack: bounds.retry_slack,
             window: bounds.retry_window,
@@ -152,10 +152,10 @@
             shared: Mutex::new(Shared {
                 loads: Loads::default(),
                 health: Health::default(),
-                allowance,
+                retry_budget,
                 link: LinkShare::new(SystemClock.now()),
-                pace: QueueTiming::default(),
-                refused: RefusalRates::default(),
+                queue_timing: QueueTiming::default(),
+                refusals: RefusalRates::default(),
                 run_history: RunHistory::default(),
                 rate_limiter: RateLimiter::default(),
             }),
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -204,7 +204,7 @@
         room_mb: speed.room_mb,
         has_quota: loads.may_add(upstream.key, speed.room_mb, usual, contention),
         utilisation: speed.utilisation,
-        may_enter: loads.at(upstream.key).entered < f64::from(upstream.slots),
+        may_enter: loads.at(upstream.key).first_hops < f64::from(upstream.slots),
         cost_factor: if upstream.late { LATE_PENALTY } else { 1.0 },
     })
 }
--- a/src/entry/reroute.rs
+++ b/src/entry/reroute.rs
@@ -37,12 +37,12 @@
 }
 
 impl Run {
-    /// Awaits the progress of an attempt for at most `patience`, and reroutes the attempt
+    /// Awaits the progress of an attempt for at most `stall_timeout`, and reroutes the attempt
     /// around an engine that blocks it.
     pub(super) async fn await_progress<F: Future>(
         &self,
         progress: F,
-        patience: Duration,
+        stall_timeout: Duration,
         selection: &mut Selection,
     ) -> Result<F::Output, Stall> {
         let mut progress = pin!(progress);
@@ -51,7 +51,7 @@
         // rerouted.
         let can_reroute =
             self.call.route.retry_policy != RetryPolicy::Never && selection.path.is_some();
-        let mut timer = StallTimer::new(patience, can_reroute);
+        let mut timer = StallTimer::new(stall_timeout, can_reroute);
         let mut wait = timer.next_wait(Duration::ZERO).unwrap_or_default();
         loop {
             if let Ok(output) = timeout(wait, progress.as_mut()).await {
@@ -157,12 +157,14 @@
         let now = self.entry.now();
         let view = self.entry.view();
         let upstreams = of_service(&view.services, &self.call.service);
-        let told = upstreams.iter().filter(|u| u.suspected).map(|u| u.key);
+        let suspected = upstreams.iter().filter(|u| u.suspected).map(|u| u.key);
         let health = &self.entry.shared().health;
         // A failing engine may still be used, and may only be slow now.
         let is_dead = |d: &u64| health.status(now, *d, false) == HealthStatus::Dead;
         let found = health.dead(now).into_iter().filter(is_dead);
-        found.chain(told).find(|d| selection.passes_through(*d))
+        found
+            .chain(suspected)
+            .find(|d| selection.passes_through(*d))
     }
 
     async fn call_engine(
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -163,15 +163,19 @@
             return Received::Broken;
         }
         let route = &self.run.call.route;
-        let patience = match (route.retry_policy, self.run.events) {
+        let stall_timeout = match (route.retry_policy, self.run.events) {
             (RetryPolicy::Never, _) => left,
             (_, 0) => route.objective * FIRST_BYTE_FACTOR,
             _ => route.pause * STALL_FACTOR,
         };
         let OpenResponse { answer, selection } = &mut self.opened;
         let frame = answer.response.body_mut().frame();
-        let patience = patience.max(MIN_STALL).min(left);
-        match self.run.await_progress(frame, patience, selection).await {
+        let stall_timeout = stall_timeout.max(MIN_STALL).min(left);
+        match self
+            .run
+            .await_progress(frame, stall_timeout, selection)
+            .await
+        {
             Ok(frame) => received(frame),
             Err(Stall::Unknown) => Received::Silent,
             Err(Stall::DeadEngine(culprit)) => Received::DeadEngine(culprit),
@@ -193,7 +197,11 @@
             None => {
                 self.first = Some(now.since(self.run.call.began));
                 let took = now.since(self.opened.selection.selected_at);
-                self.run.entry.shared().pace.record_first_event(took);
+                self.run
+                    .entry
+                    .shared()
+                    .queue_timing
+                    .record_first_event(took);
             }
         }
         self.last_at = now;
--- a/src/entry/wait.rs
+++ b/src/entry/wait.rs
@@ -59,10 +59,10 @@
         let entry = &self.entry;
         let waiter = Waiter::new(&entry.queued);
         let objective = self.call.route.objective;
-        let pace = entry.shared().pace;
+        let timing = entry.shared().queue_timing;
         let began = entry.now();
         let spent = began.since(self.call.began);
-        let limit = waiting::limit(objective, spent, self.left(), waiter.ahead, &pace);
+        let limit = waiting::limit(objective, spent, self.left(), waiter.ahead, &timing);
         let Some(limit) = limit else {
             return Err(Reason::Full);
         };
@@ -82,7 +82,10 @@
         let found = found.unwrap_or(Err(Reason::Full));
         if let Some(reached) = reached_front {
             let at_front = entry.now().since(reached);
-            entry.shared().pace.record_turn(at_front, found.is_ok());
+            entry
+                .shared()
+                .queue_timing
+                .record_front_time(at_front, found.is_ok());
         }
         tracing::info!(
             event = event::REQUEST_WAITED.id,
--- a/src/flow.rs
+++ b/src/flow.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Adds an arc and returns its index for [`flow`](Self::flow).
+    /// Adds an arc and returns its index in the network.
     pub(crate) fn connect(&mut self, from: usize, to: usize, capacity: u64) -> usize {
         let index = self.arcs.len();
         self.nodes[from].push(index);
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -29,7 +29,7 @@
 
 /// Applies the catalogue's commands and extends its lease. Does no I/O.
 pub(crate) struct CatalogueFollower {
-    book: CatalogueState,
+    state: CatalogueState,
     voters: Vec<InstanceId>,
     /// Position in `voters` of the one polled next.
     next: usize,
@@ -47,7 +47,7 @@
     ) -> Self {
         assert!(!voters.is_empty(), "the settings name at least one voter");
         Self {
-            book: CatalogueState::default(),
+            state: CatalogueState::default(),
             voters,
             next: 0,
             lease,
@@ -59,26 +59,26 @@
     pub(crate) fn poll(&self, now: Time) -> Poll {
         Poll {
             voter: self.voters[self.next],
-            applied: self.book.index(),
+            applied: self.state.index(),
             sent: now,
         }
     }
 
     /// Handles the reply to a poll.
     pub(crate) fn on_reply(&mut self, poll: Poll, feed: &CatalogueReply) {
-        let before = self.book.catalogue_revision();
+        let before = self.state.catalogue_revision();
         if !feed.snapshot.is_empty() && !self.restore(&feed.snapshot) {
             return self.on_failure(poll);
         }
         for command in &feed.commands {
             // A late reply repeats commands of a newer one. Applied again, they
             // would count twice or revert a change.
-            if command.index > self.book.index() {
-                self.book.apply(command.index, &command.command);
+            if command.index > self.state.index() {
+                self.state.apply(command.index, &command.command);
             }
         }
-        if self.book.catalogue_revision() != before {
-            self.shared.publish(self.book.catalogue());
+        if self.state.catalogue_revision() != before {
+            self.shared.publish(self.state.catalogue());
         }
         self.shared.extend(poll.sent + self.lease);
     }
@@ -92,7 +92,7 @@
 
     /// Returns the last changes, at most `most`, newest last.
     pub(crate) fn history(&self, most: usize) -> Vec<PastChange> {
-        self.book.history(most)
+        self.state.history(most)
     }
 
     /// Replaces the voters to poll. An empty list is ignored.
@@ -107,11 +107,11 @@
     /// Installs a snapshot, and returns whether it could be decoded. One older than
     /// the current state is skipped, since it would revert accepted changes.
     fn restore(&mut self, snapshot: &[u8]) -> bool {
-        let Some(book) = CatalogueState::from_snapshot(snapshot) else {
+        let Some(state) = CatalogueState::from_snapshot(snapshot) else {
             return false;
         };
-        if book.index() > self.book.index() {
-            self.book = book;
+        if state.index() > self.state.index() {
+            self.state = state;
         }
         true
     }
--- a/src/message.rs
+++ b/src/message.rs
@@ -137,7 +137,7 @@
     pub members: Vec<replica::Member>,
     /// Stores that ask to become members of the group.
     #[prost(message, repeated, tag = "2")]
-    pub strangers: Vec<replica::Peer>,
+    pub non_members: Vec<replica::Peer>,
     /// Instance that leads the group.
     #[prost(uint64, tag = "3")]
     pub leader: u64,
--- a/src/node.rs
+++ b/src/node.rs
@@ -216,7 +216,7 @@
     }
     Answer::GroupStatus(GroupStatusReply {
         members: status.members,
-        strangers: status.strangers,
+        non_members: status.non_members,
         leader: status.me.id,
     })
 }
@@ -237,8 +237,8 @@
         if status.members.iter().any(|m| offered(&m.peer())) {
             return done(Answer::VoterChanged(VoterChanged::Done.into()));
         }
-        let stranger = status.strangers.iter().find(|p| offered(p));
-        stranger.copied().map(Change::Add)
+        let non_member = status.non_members.iter().find(|p| offered(p));
+        non_member.copied().map(Change::Add)
     };
     let Some(change) = change else {
         return done(Answer::VoterChanged(VoterChanged::NotFound.into()));
--- a/src/replica/election.rs
+++ b/src/replica/election.rs
@@ -22,7 +22,7 @@
 
 impl Campaign {
     /// Whether the vote of `peer` counts. Initial voters are known by instance only.
-    fn has(&self, peer: Peer) -> bool {
+    fn has_vote(&self, peer: Peer) -> bool {
         let mut votes = self.votes.iter();
         votes.any(|(voter, boot)| {
             let same = *voter == peer || (peer.store == 0 && voter.id == peer.id);
@@ -208,7 +208,7 @@
         }
         campaign.votes.insert(from, boot);
         let members = self.log.members().1;
-        if !members.quorum(|p| campaign.has(p)) {
+        if !members.quorum(|p| campaign.has_vote(p)) {
             return;
         }
         match campaign.pre {
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -256,7 +256,7 @@
     }
 
     /// Marks an upstream as changed, for changes outside its announcements.
-    pub(crate) fn touch(&mut self, id: &Arc<str>) {
+    pub(crate) fn mark_changed(&mut self, id: &Arc<str>) {
         if self.entries.contains_key(id) {
             self.changes.note_change(id);
         }
--- a/src/route.rs
+++ b/src/route.rs
@@ -160,7 +160,7 @@
             Outcome::Done { token } => {
                 let factor = token.as_secs_f64() / ticket.expected.max(1e-6);
                 for &engine in &engines {
-                    self.engines.succeeded(now, engine, factor);
+                    self.engines.record_success(now, engine, factor);
                 }
                 if let Some(prefix) = ticket.prefix {
                     let locations = engines.iter().map(|&e| (e, self.engines[e].epoch));
@@ -169,17 +169,17 @@
             }
             Outcome::Failed { stage } => {
                 if let Some(&engine) = engines.get(stage) {
-                    self.engines.failed(now, engine);
+                    self.engines.record_failure(now, engine);
                 }
             }
             Outcome::Unattributed => {
                 for &engine in &engines {
-                    self.engines.suspected(now, engine);
+                    self.engines.record_suspicion(now, engine);
                 }
             }
             Outcome::Busy { stage } => {
                 if let Some(&engine) = engines.get(stage) {
-                    self.engines.refused(now, engine);
+                    self.engines.record_refusal(now, engine);
                 }
             }
             Outcome::Cancelled => {}
--- a/src/route/engine.rs
+++ b/src/route/engine.rs
@@ -44,7 +44,7 @@
     /// Index of its group of peers.
     pub(crate) peers: usize,
     pub(crate) health: Health,
-    pub(crate) refused: Option<Time>,
+    pub(crate) refused_at: Option<Time>,
     /// Sequences that this instance may start before the next report while all
     /// instances have work waiting. Increases as own sequences end.
     quota: f64,
@@ -63,7 +63,7 @@
             expected_others: others,
             peers: 0,
             health: Health::default(),
-            refused: None,
+            refused_at: None,
             quota: 0.0,
         }
     }
@@ -76,8 +76,8 @@
             let total = f64::from(stage.running) + f64::from(stage.waiting);
             self.others = (total - f64::from(self.own)).max(0.0);
         }
-        if self.refused.is_some() && !self.is_refusing(now) {
-            self.refused = None;
+        if self.refused_at.is_some() && !self.is_refusing(now) {
+            self.refused_at = None;
         }
         self.present = true;
         self.stage.clone_from(stage);
@@ -155,7 +155,8 @@
     }
 
     fn is_refusing(&self, now: Time) -> bool {
-        self.refused.is_some_and(|at| now.since(at) < REFUSAL_TIME)
+        self.refused_at
+            .is_some_and(|at| now.since(at) < REFUSAL_TIME)
     }
 
     /// Maximum number of sequences that the engine should have. A plain
--- a/src/route/engines.rs
+++ b/src/route/engines.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Engines {
     slab: Vec<Engine>,
-    index: HashMap<UpstreamId, u32>,
+    by_id: HashMap<UpstreamId, u32>,
     peers: Vec<PeerGroup>,
     /// Recent failures by failure domain.
     domains: HashMap<Arc<str>, DomainFailures>,
@@ -48,7 +48,7 @@
         self.slab.iter_mut().for_each(|e| e.present = false);
         // Known engines first: until they are updated they look absent, and a
         // new engine would take the entry of one of them and erase its state.
-        let known = |engines: &Self, stage: &&Stage| engines.index.contains_key(&stage.id);
+        let known = |engines: &Self, stage: &&Stage| engines.by_id.contains_key(&stage.id);
         let (old, new): (Vec<_>, Vec<_>) = stages.iter().partition(|s| known(self, s));
         for stage in old {
             changed |= self.update_engine(now, stage, instances, rng);
@@ -89,7 +89,7 @@
         instances: f64,
         rng: &mut ChaCha8Rng,
     ) -> bool {
-        let Some(&i) = self.index.get(&stage.id) else {
+        let Some(&i) = self.by_id.get(&stage.id) else {
             return false;
         };
         let engine = &mut self.slab[i as usize];
@@ -109,12 +109,12 @@
         engine.set_quota(instances, rng.random());
         let i = free.unwrap_or(self.slab.len());
         if let Some(entry) = self.slab.get_mut(i) {
-            self.index.remove(&entry.stage.id);
+            self.by_id.remove(&entry.stage.id);
             *entry = engine;
         } else {
             self.slab.push(engine);
         }
-        self.index.insert(stage.id.clone(), i as u32);
+        self.by_id.insert(stage.id.clone(), i as u32);
     }
 
     /// Groups engines that hold the same layers as peers.
@@ -171,7 +171,7 @@
         self.slab[i as usize].stop();
     }
 
-    pub(crate) fn succeeded(&mut self, now: Time, i: u32, factor: f64) {
+    pub(crate) fn record_success(&mut self, now: Time, i: u32, factor: f64) {
         self.slab[i as usize].health.succeeded(factor);
         let Some(median) = self.peers_of(i).and_then(|p| p.median) else {
             return;
@@ -181,7 +181,7 @@
         }
     }
 
-    pub(crate) fn failed(&mut self, now: Time, i: u32) {
+    pub(crate) fn record_failure(&mut self, now: Time, i: u32) {
         let first = self.slab[i as usize].health.failures() == 0;
         let domain = self.slab[i as usize].stage.domain.clone();
         let failures = self.domains.entry(domain).or_default();
@@ -197,14 +197,14 @@
     /// Records a failure that another engine of the path may have caused. It
     /// doesn't count against the failure domain, or one cut stream over three
     /// engines of a domain would look like the loss of the domain.
-    pub(crate) fn suspected(&mut self, now: Time, i: u32) {
+    pub(crate) fn record_suspicion(&mut self, now: Time, i: u32) {
         if self.slab[i as usize].health.failed(false) {
             self.eject(now, i);
         }
     }
 
-    pub(crate) fn refused(&mut self, now: Time, i: u32) {
-        self.slab[i as usize].refused = Some(now);
+    pub(crate) fn record_refusal(&mut self, now: Time, i: u32) {
+        self.slab[i as usize].refused_at = Some(now);
     }
 
     /// Ejects an engine unless too many of its peers are already ejected.
@@ -230,11 +230,11 @@
     }
 
     pub(crate) fn in_flight(&self, id: &UpstreamId) -> u32 {
-        self.index.get(id).map_or(0, |&i| self[i].own)
+        self.by_id.get(id).map_or(0, |&i| self[i].own)
     }
 
     pub(crate) fn is_ejected(&self, now: Time, id: &UpstreamId) -> bool {
-        let found = self.index.get(id);
+        let found = self.by_id.get(id);
         found.is_some_and(|&i| self[i].health.is_ejected(now))
     }
 
--- a/src/sync.rs
+++ b/src/sync.rs
@@ -140,7 +140,7 @@
     pub(crate) requests: u32,
     /// Number of those that it received as the first engine of their path.
     #[prost(uint32, tag = "4")]
-    pub(crate) entered: u32,
+    pub(crate) first_hops: u32,
 }
 
 /// Reply to a [`SyncRequest`] with the changes that its sender lacks.
--- a/src/tests/decide.rs
+++ b/src/tests/decide.rs
@@ -179,8 +179,8 @@
 /// engine's layers were missing for 4.3 s, and its whole domain refused requests.
 #[test]
 fn suspects_until_dropped() {
-    let beat = Duration::from_millis(1200);
-    let mut roster = Roster::new(beat);
+    let heartbeat = Duration::from_millis(1200);
+    let mut roster = Roster::new(heartbeat);
     let news = leader::announcement(1, 1, Some((0, 9)));
     let (id, address) = (news.id.clone(), news.address);
     roster.announce(at(0), news);
@@ -191,7 +191,7 @@
         if now == 500 {
             health.record_unresponsive(at(now), key);
         }
-        let reported = health.suspects(at(now), beat).contains(&key);
+        let reported = health.suspects(at(now), heartbeat).contains(&key);
         let suspects = reported.then_some((address, 2)).into_iter().collect();
         if roster.tick(at(now), &suspects).contains(&id) {
             lost = Some(now);
@@ -201,7 +201,7 @@
     assert!(lost.is_some_and(|at| at <= 2_750), "{lost:?}");
     // An engine that responds again is no longer suspect.
     health.record_success(key);
-    assert_eq!(health.suspects(at(2_900), beat), [0; 0]);
+    assert_eq!(health.suspects(at(2_900), heartbeat), [0; 0]);
 }
 
 /// Guards against treating a dead engine as alive because its neighbours refuse on its behalf.
@@ -339,7 +339,7 @@
 fn limit_slow_queue() {
     let mut timing = QueueTiming::default();
     for _ in 0..40 {
-        timing.record_turn(Duration::from_millis(150), true);
+        timing.record_front_time(Duration::from_millis(150), true);
     }
     let objective = Duration::from_millis(500);
     let left = Duration::from_secs(20);
@@ -348,7 +348,7 @@
     assert_eq!(limit(3), None);
     // The queue grows again as soon as requests find room immediately.
     for _ in 0..20 {
-        timing.record_turn(Duration::ZERO, true);
+        timing.record_front_time(Duration::ZERO, true);
     }
     let limit = waiting::limit(objective, Duration::ZERO, left, 3, &timing);
     assert!(limit.is_some());
@@ -357,10 +357,10 @@
 /// Guards against a queue that seems to move while no room becomes free: requests that stop waiting
 /// count as well.
 #[test]
-fn record_turn_not_found() {
+fn record_front_time_not_found() {
     let mut timing = QueueTiming::default();
     for _ in 0..40 {
-        timing.record_turn(Duration::from_millis(300), false);
+        timing.record_front_time(Duration::from_millis(300), false);
     }
     let objective = Duration::from_millis(500);
     let left = Duration::from_secs(20);
--- a/src/tests/decide/overload.rs
+++ b/src/tests/decide/overload.rs
@@ -96,7 +96,7 @@
                     engine: ENGINE,
                     memory: memory as u32,
                     requests,
-                    entered: 0,
+                    first_hops: 0,
                 };
                 loads.update(&[reported], rng.random());
             }
@@ -260,7 +260,7 @@
         if let (Some(&(came, until)), Some(since)) = (queue.first(), head)
             && (free || until <= now)
         {
-            timing.record_turn(at(now).since(at(since)), free);
+            timing.record_front_time(at(now).since(at(since)), free);
             queue.remove(0);
             head = None;
             if free {
--- a/src/tests/decide/path.rs
+++ b/src/tests/decide/path.rs
@@ -190,11 +190,11 @@
         engine: 5,
         memory: 10,
         requests: 3,
-        entered: 1,
+        first_hops: 1,
     };
     loads.update(&[reported], 0.0);
     assert!((loads.at(5).requests - 5.0).abs() < 1e-9);
-    assert!((loads.at(5).entered - 3.0).abs() < 1e-9);
+    assert!((loads.at(5).first_hops - 3.0).abs() < 1e-9);
     loads.release(&booked, &WORK);
     loads.release(&booked, &WORK);
     assert!(loads.report().is_empty());
--- a/src/tests/leader.rs
+++ b/src/tests/leader.rs
@@ -48,8 +48,8 @@
     leader.enter_term(at(0), 1, register);
     for (sequence, now) in (1..).zip((0..=end).step_by(1200)) {
         leader.enter_term(at(now), 1, register);
-        let heard = ENGINES.iter().filter(|(host, _)| hosts.contains(host));
-        for (host, layers) in heard {
+        let senders = ENGINES.iter().filter(|(host, _)| hosts.contains(host));
+        for (host, layers) in senders {
             leader.announce(at(now), announcement(*host, sequence, Some(*layers)));
         }
         leader.tick(at(now));
--- a/src/tests/roster.rs
+++ b/src/tests/roster.rs
@@ -189,7 +189,7 @@
         engine: 7,
         memory,
         requests: 1,
-        entered: 0,
+        first_hops: 0,
     };
     let age = Duration::ZERO;
     leader.sync(at(1), request(1, vec![load(10)]), age, None, &register);
@@ -417,7 +417,7 @@
         engine,
         memory: 5,
         requests: 1,
-        entered: 1,
+        first_hops: 1,
     };
     let mut bytes = 0;
     for now in (0..20_000).step_by(250) {
@@ -458,7 +458,7 @@
         engine: 7,
         memory,
         requests,
-        entered: 0,
+        first_hops: 0,
     };
     reports.record(at(0), request(1, vec![load(10, 1)]));
     reports.record(at(0), request(2, vec![load(20, 2)]));
--- a/src/voter.rs
+++ b/src/voter.rs
@@ -101,7 +101,8 @@
     /// Latest membership in the log.
     pub members: Vec<Member>,
     /// Stores that ask to become members, such as one whose directory was wiped.
-    pub strangers: Vec<Peer>,
+    #[serde(rename = "strangers")]
+    pub non_members: Vec<Peer>,
     /// Number of messages rejected because they came from a superseded run.
     pub refused: u64,
     /// Whether other voters confirmed this run of the store. None during the
--- a/src/voter/group.rs
+++ b/src/voter/group.rs
@@ -115,7 +115,7 @@
             applied: replica.applied(),
             snapshot: log.snapshot().index,
             members: log.members().1.members.clone(),
-            strangers: replica.non_members().collect(),
+            non_members: replica.non_members().collect(),
             refused,
             confirmed: replica.confirmed(),
             silences: replica.silences(),
--- a/src/voter/watch.rs
+++ b/src/voter/watch.rs
@@ -29,7 +29,11 @@
 }
 
 fn report_members(old: &GroupStatus, new: &GroupStatus) {
-    for peer in new.strangers.iter().filter(|p| !old.strangers.contains(p)) {
+    for peer in new
+        .non_members
+        .iter()
+        .filter(|p| !old.non_members.contains(p))
+    {
         let (group, id, store) = (new.group, peer.id, peer.store);
         tracing::warn!(
             event = event::STORE_UNKNOWN.id,
