--- a/src/claim/message.rs
+++ b/src/claim/message.rs
@@ -5,29 +5,29 @@
 use crate::id::InstanceId;
 use crate::request::RequestId;
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub(crate) const MAX_KEY: usize = 256;
 
-/// Largest answer that is stored with a claim, in bytes. For a larger one, the
-/// register only records that it was given.
+/// Maximum size of an answer that is stored with a claim, in bytes. For a larger
+/// one, the register records only that the request was answered.
 pub(crate) const MAX_STORED_ANSWER: usize = 16 * 1024;
 
-/// Identifies one submission of a request by a caller. Unique in the fleet.
+/// Id of one submission of a request by a caller, unique in the fleet.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(crate) struct ClaimToken {
-    /// The instance that holds the claim.
+    /// Instance that received the submission.
     #[prost(uint64, tag = "1")]
     pub(crate) holder: u64,
-    /// Incarnation of the holder.
+    /// Incarnation of that instance.
     #[prost(uint64, tag = "2")]
     pub(crate) incarnation: u64,
-    /// Number of the request in that incarnation.
+    /// Sequence number of the request within that incarnation.
     #[prost(uint64, tag = "3")]
     pub(crate) sequence: u64,
 }
 
 impl ClaimToken {
-    /// The instance that holds the claim.
+    /// Instance that received the submission.
     pub(crate) fn instance(&self) -> InstanceId {
         InstanceId(self.holder)
     }
@@ -46,22 +46,24 @@
 /// Requests the right to the only run of a request.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Claim {
-    /// The organisation whose API key the caller showed.
+    /// Organisation that owns the caller's API key.
     #[prost(string, tag = "1")]
     pub(crate) organisation: String,
-    /// The caller's idempotency key, at most [`MAX_KEY`] bytes.
+    /// Idempotency key of the request, at most [`MAX_KEY`] bytes.
     #[prost(string, tag = "2")]
     pub(crate) key: String,
-    /// SHA-256 of route and body.
+    /// SHA-256 hash of the route and the body.
     #[prost(bytes = "vec", tag = "3")]
     pub(crate) digest: Vec<u8>,
-    /// The submission that makes the claim.
+    /// Submission that makes the claim.
     #[prost(message, optional, tag = "4")]
     pub(crate) token: Option<ClaimToken>,
-    /// Time within which the first byte may be sent, in milliseconds.
+    /// Length of the dispatch window, in which the holder may send the first byte, in
+    /// milliseconds.
     #[prost(uint32, tag = "5")]
     pub(crate) dispatch_ms: u32,
-    /// Time within which the outcome is awaited, in milliseconds.
+    /// Age in milliseconds from which the claim's outcome counts as unknown if none
+    /// was recorded.
     #[prost(uint32, tag = "6")]
     pub(crate) ttl_ms: u32,
     /// Purpose of the claim.
@@ -74,26 +76,26 @@
 pub(crate) enum Purpose {
     /// Obtains the right to the only run.
     Run = 0,
-    /// Like `Run`, from a submission that got [`InProgress`] and believes that the
+    /// Like `Run`, from a submission that got [`InProgress`] and suspects that the
     /// holder is down. The reply is [`Reply::Unknown`] as soon as the holder can no
-    /// longer dispatch.
+    /// longer send the first byte.
     HolderDown = 1,
-    /// Restarts the dispatch window, from the holder before it dispatches. Fails
-    /// with [`Reply::Stale`] once a caller was told that the outcome is unknown, or
-    /// if the claim has been discarded.
+    /// Restarts the dispatch window of a claim. Sent by the holder before it
+    /// dispatches. Fails with [`Reply::Stale`] if a caller has received
+    /// [`Reply::Unknown`] or the claim has been discarded.
     Renew = 2,
 }
 
 /// An answer stored for later submissions with the same key.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct StoredAnswer {
-    /// HTTP status.
+    /// Status code of the HTTP response.
     #[prost(uint32, tag = "1")]
     pub(crate) status: u32,
-    /// Content type.
+    /// Content type of the HTTP response, or the result of [`StoredAnswer::media_type`].
     #[prost(string, tag = "2")]
     pub(crate) content_type: String,
-    /// Body, at most [`MAX_STORED_ANSWER`] bytes.
+    /// Body of the answer, at most [`MAX_STORED_ANSWER`] bytes.
     #[prost(bytes = "vec", tag = "3")]
     pub(crate) body: Vec<u8>,
 }
@@ -116,16 +118,16 @@
 /// How a claimed request ended.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 pub(crate) enum Outcome {
-    /// It was answered; the answer is stored.
+    /// The request was answered, and the answer is stored.
     #[prost(message, tag = "13")]
     Stored(StoredAnswer),
-    /// It was answered; the answer isn't stored.
+    /// The request was answered, but the answer isn't stored.
     #[prost(message, tag = "14")]
     NotStored(()),
-    /// The holder can't tell whether it ran.
+    /// The request may have run; the holder can't determine whether it did.
     #[prost(message, tag = "15")]
     Unknown(()),
-    /// No byte was sent, and none will be.
+    /// No byte of the request was sent, and none will be.
     #[prost(message, tag = "16")]
     NotRun(()),
 }
@@ -133,46 +135,46 @@
 /// Records how a claimed request ended.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Settle {
-    /// The claim's organisation.
+    /// Organisation that owns the claim.
     #[prost(string, tag = "1")]
     pub(crate) organisation: String,
-    /// The caller's idempotency key.
+    /// Idempotency key of the request.
     #[prost(string, tag = "2")]
     pub(crate) key: String,
-    /// The outcome.
+    /// Outcome of the request.
     #[prost(oneof = "Outcome", tags = "13, 14, 15, 16")]
     pub(crate) outcome: Option<Outcome>,
-    /// The submission that holds the claim.
+    /// Submission that holds the claim.
     #[prost(message, optional, tag = "3")]
     pub(crate) token: Option<ClaimToken>,
 }
 
-/// Releases a claim. Only for a holder that knows that no byte was sent.
+/// Releases a claim. Sent only by a holder that knows that no byte was sent.
 ///
-/// The key becomes free again, unless a caller was told that the outcome is
-/// unknown and the request never runs again. That must stay true, so the key stays
-/// in use: see [`Reply::NotRun`].
+/// The key becomes free again, unless a caller has received [`Reply::Unknown`],
+/// which says that the request never runs again. That must stay true, so the key
+/// stays in use: see [`Reply::NotRun`].
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Release {
-    /// The claim's organisation.
+    /// Organisation that owns the claim.
     #[prost(string, tag = "1")]
     pub(crate) organisation: String,
-    /// The caller's idempotency key.
+    /// Idempotency key of the request.
     #[prost(string, tag = "2")]
     pub(crate) key: String,
-    /// The submission that holds the claim.
+    /// Submission that holds the claim.
     #[prost(message, optional, tag = "3")]
     pub(crate) token: Option<ClaimToken>,
 }
 
 /// Advances the register's time and discards claims whose retention has ended.
-/// Ignored unless `after` is the index of the last applied one.
+/// Ignored unless `after` is the index of the last applied `Expire`.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(crate) struct Expire {
     /// Log index of the last applied `Expire` that the proposer has seen.
     #[prost(uint64, tag = "1")]
     pub(crate) after: u64,
-    /// Time since the proposer saw it, in milliseconds.
+    /// Time since the proposer saw that `Expire`, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub(crate) elapsed: u64,
 }
@@ -180,7 +182,7 @@
 /// A command to the register.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Command {
-    /// The action.
+    /// Action to apply.
     #[prost(oneof = "Action", tags = "1, 2, 3, 4")]
     pub(crate) action: Option<Action>,
 }
@@ -188,16 +190,16 @@
 /// Action of a [`Command`].
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub(crate) enum Action {
-    /// Requests the right to the only run.
+    /// Requests or renews the right to the only run of a request.
     #[prost(message, tag = "1")]
     Claim(Claim),
-    /// Records the outcome.
+    /// Records the outcome of a claimed request.
     #[prost(message, tag = "2")]
     Settle(Settle),
-    /// Releases the claim.
+    /// Releases a claim whose request wasn't sent.
     #[prost(message, tag = "3")]
     Release(Release),
-    /// Advances the time.
+    /// Advances the register's time.
     #[prost(message, tag = "4")]
     Expire(Expire),
 }
@@ -213,7 +215,7 @@
 /// The claim is granted.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(crate) struct Granted {
-    /// The submission that may run.
+    /// Submission that may run the request.
     #[prost(message, optional, tag = "1")]
     pub(crate) token: Option<ClaimToken>,
 }
@@ -221,10 +223,10 @@
 /// Another submission holds the claim and its outcome is awaited.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(crate) struct InProgress {
-    /// The submission that holds the claim.
+    /// Submission that holds the claim.
     #[prost(message, optional, tag = "1")]
     pub(crate) holder: Option<ClaimToken>,
-    /// Age of the claim in milliseconds, as of the last `Expire`.
+    /// Age of the claim at the last applied [`Expire`], in milliseconds.
     #[prost(uint64, tag = "2")]
     pub(crate) age: u64,
     /// Whether the holder may still send the first byte.
@@ -235,7 +237,8 @@
 /// The organisation's space in the register is used up.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(crate) struct Full {
-    /// Time until the retention of its oldest claim ends, in milliseconds.
+    /// Time until the retention of the organisation's oldest claim ends, in
+    /// milliseconds.
     #[prost(uint64, tag = "1")]
     pub(crate) retry_after_ms: u64,
 }
@@ -251,7 +254,7 @@
 /// The request was answered before, under the same key.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct Answered {
-    /// The answer, if it was stored.
+    /// Stored answer, if there is one.
     #[prost(message, optional, tag = "1")]
     pub(crate) answer: Option<StoredAnswer>,
 }
@@ -262,35 +265,35 @@
     /// The submission may run the request.
     #[prost(message, tag = "1")]
     Granted(Granted),
-    /// Another submission runs it.
+    /// Another submission holds the claim, and its outcome is awaited.
     #[prost(message, tag = "2")]
     InProgress(InProgress),
-    /// It ran and was answered.
+    /// The request was answered.
     #[prost(message, tag = "3")]
     Answered(Answered),
-    /// Its outcome is unknown, and it never runs again under this key.
+    /// The outcome is unknown, and the request never runs again under this key.
     #[prost(message, tag = "4")]
     Unknown(()),
     /// The key was used for a different request.
     #[prost(message, tag = "5")]
     Mismatch(()),
-    /// There is no space for a new claim.
+    /// The organisation's space in the register is used up.
     #[prost(message, tag = "6")]
     Full(Full),
     /// The settlement or release was applied.
     #[prost(message, tag = "7")]
     Done(()),
-    /// The renewal, settlement or release isn't from the holder of the claim, or
-    /// came too late.
+    /// The renewal, settlement or release came too late, or from a submission that
+    /// doesn't hold the claim.
     #[prost(message, tag = "8")]
     Stale(()),
     /// Reply to [`Expire`].
     #[prost(message, tag = "9")]
     Ticked(Ticked),
-    /// It never ran and never will under this key.
+    /// The request has not run and never runs under this key.
     #[prost(message, tag = "11")]
     NotRun(()),
-    /// The command can't be decoded or exceeds a limit.
+    /// The command can't be decoded, or a field exceeds its limit.
     #[prost(message, tag = "10")]
     Malformed(()),
 }
--- a/src/client.rs
+++ b/src/client.rs
@@ -157,7 +157,7 @@
         self.status_error(&answer)
     }
 
-    /// Returns the error for an unsuccessful response.
+    /// Returns [`Error::Refused`] for a response without the expected status; never `Ok`.
     fn status_error<T>(&self, answer: &Answer) -> Result<T> {
         RefusedSnafu {
             target: &self.target,
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -1,10 +1,10 @@
 //! Admission and placement of requests on this instance: a state machine that
 //! combines limits, queues and routing.
 //!
-//! A request passes two stages. First it is admitted by the limits of its
-//! route; until then it is parked behind earlier requests of the route. Then it
-//! is placed on a path; until one is free it waits in the fair queue of its
-//! lane, which all requests for one model in one set of pools share.
+//! A request passes two stages. First it must be admitted under the limits of
+//! its route; until then it is parked in the order of arrival. Then it is placed
+//! on a path; until one is free it waits in a lane. All requests for one model
+//! in one set of pools share a lane with a fair queue.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,29 +18,29 @@
 use crate::queue::{Discipline, Item, Queue, RefusalReason};
 use crate::route::{Choice, NoPath, NoPathReason, Outcome, Query, Router, Stage, Ticket};
 
-/// Cost of a prompt token relative to a token of the answer: prompts are
-/// processed in parallel.
+/// Cost of a prompt token relative to a token of the answer. It is lower because
+/// the tokens of a prompt are processed in parallel.
 const PROMPT_COST: f64 = 0.1;
 
 /// A request for admission.
 #[derive(Clone, Debug)]
 pub(crate) struct Admission {
-    /// Unique on this instance.
+    /// Number of the request, unique on this instance.
     pub(crate) id: u64,
     /// Name of the route.
     pub(crate) route: Arc<str>,
     /// Limits of the route in the catalogue.
     pub(crate) limits: Limits,
-    /// Maximum number of tokens of prompt and answer.
+    /// Maximum number of tokens in prompt and answer together.
     pub(crate) tokens: u32,
-    /// Deadline of the request.
+    /// Time until which the request may wait.
     pub(crate) deadline: Time,
 }
 
 /// A request for placement.
 #[derive(Clone, Debug)]
 pub(crate) struct Placement {
-    /// Unique on this instance.
+    /// Number of the request, unique on this instance.
     pub(crate) id: u64,
     /// Name of the route.
     pub(crate) route: Arc<str>,
@@ -48,32 +48,31 @@
     pub(crate) organisation: OrganisationId,
     /// Class of the work.
     pub(crate) class: Class,
-    /// Model, or the name that [`service_model`] gives a service.
+    /// Name of the model, or of a service according to [`service_model`].
     pub(crate) model: Arc<str>,
-    /// Required version, if a partial answer is resumed.
+    /// Model version that must continue a partial answer; `None` for a new answer.
     pub(crate) version: Option<Arc<str>>,
     /// Pools that may serve the route.
     pub(crate) pools: Arc<[String]>,
-    /// Estimated prompt tokens.
+    /// Estimated number of prompt tokens.
     pub(crate) prompt: u32,
     /// Maximum number of tokens still to be generated.
     pub(crate) expected: u32,
     /// Hash of the prompt's prefix.
     pub(crate) prefix: Option<u64>,
-    /// Upstreams to avoid if another path exists.
+    /// Upstreams to avoid unless no other path exists.
     pub(crate) exclude: Vec<UpstreamId>,
-    /// Whether the request may run again.
+    /// Whether the request may run more than once.
     pub(crate) idempotent: bool,
     /// Whether an earlier attempt failed. Such a request is placed before those
-    /// in the queue, as it was already dispatched once and its caller waits
-    /// within an answer.
+    /// in the queue, because it was already dispatched once and its caller may
+    /// have received part of the answer.
     ///
-    /// A request that only found an engine busy returns to the queue instead.
-    /// If it also went before the queue, the requests of an organisation that
-    /// overloads the engines would be refused and served first again and again,
-    /// and starve the others.
+    /// A request that an engine refused as busy isn't resumed but queued again.
+    /// Otherwise, an organisation that overloads the engines would have its
+    /// requests refused and served first repeatedly, and starve the others.
     pub(crate) resumed: bool,
-    /// Deadline of the request.
+    /// Time until which the request may wait.
     pub(crate) deadline: Time,
 }
 
@@ -96,23 +95,24 @@
     }
 }
 
-/// Name of a plain service in routing, which treats it as a model of one layer.
+/// Name under which a plain service is routed, as a model of one layer.
 pub(crate) fn service_model(name: &str) -> Arc<str> {
     format!("service/{name}").into()
 }
 
-/// A path for a request and the receipt to release it.
+/// A path for a request, and the receipt with which to release it.
 #[derive(Debug)]
 pub(crate) struct Placed {
-    /// Hops of the path; its ticket is in `receipt`.
+    /// Hops of the path.
     pub(crate) hops: Vec<crate::route::Hop>,
     /// Version of the model that the path runs.
     pub(crate) version: Arc<str>,
-    /// Must be passed to [`Dispatcher::finish`].
+    /// Releases the path when passed to [`Dispatcher::finish`], which is required.
     pub(crate) receipt: Receipt,
 }
 
-/// In-flight count and estimated cost of a placed request.
+/// What a placed request occupies: a path, and its estimated cost in the queue's
+/// accounts.
 #[derive(Debug)]
 pub(crate) struct Receipt {
     ticket: Ticket,
@@ -125,9 +125,9 @@
 /// Why a request was not placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlacementError {
-    /// No engine in the allowed pools holds some layer.
+    /// At least one layer is on no engine in the allowed pools.
     NoPath,
-    /// The request can't start before its deadline, or the deadline passed.
+    /// The request can't be placed before its deadline, or the deadline has passed.
     Deadline,
 }
 
@@ -136,20 +136,22 @@
 pub(crate) enum Decision {
     /// The request is admitted.
     Admitted(Permit),
-    /// A limit is reached, the request can't wait, and no other of its route
-    /// does.
+    /// The request exceeds a limit and may not be parked, and no request of its
+    /// route is parked. Contains the time after which to retry.
     Denied(Duration),
-    /// A limit is reached, the request can't wait, and others of its route do.
+    /// The request may not be parked behind the parked requests of its route.
+    /// Contains the time after which to retry.
     Full(Duration),
-    /// The request was still waiting at its deadline.
+    /// The request was still parked at its deadline.
     Expired,
-    /// A path is free.
+    /// The request is placed on a path.
     Placed(Placed),
-    /// The request was not placed; retry after the given time.
+    /// The request was not placed. Contains the reason, and the time after which
+    /// to retry.
     Unplaced(PlacementError, Duration),
 }
 
-/// A decision for the waiter `W` of a request.
+/// A decision on a request, with the waiter `W` that receives it.
 pub(crate) type Notification<W> = (W, Decision);
 
 type LaneKey = (Arc<str>, Arc<[String]>);
@@ -168,7 +170,8 @@
     queue: Queue,
     /// Resumed requests, served before the queue.
     resumed: VecDeque<u64>,
-    /// Item dequeued when no path was free; served next.
+    /// Request that was dequeued while no path was free. It is served after the
+    /// resumed ones and before the queue.
     head: Option<u64>,
 }
 
@@ -194,7 +197,7 @@
         }
     }
 
-    /// Number of requests waiting in either stage.
+    /// Number of requests that wait for admission or for a path.
     pub(crate) fn queued(&self) -> usize {
         self.waiting.len() + self.parked.values().map(VecDeque::len).sum::<usize>()
     }
@@ -211,8 +214,8 @@
         let tried = self.holder.admit(now, &admission.route, admission.tokens);
         let denial = match tried {
             Ok(permit) if ahead == 0 => return out.push((waiter, Decision::Admitted(permit))),
-            // Earlier requests of the route wait and must go first. The permit
-            // is returned for the first of them.
+            // Earlier requests of the route are parked and must be admitted
+            // first. Returning the permit makes it available to them.
             Ok(permit) => {
                 self.holder.settle(permit, 0);
                 Denial {
@@ -234,12 +237,12 @@
         out.push((waiter, decision));
     }
 
-    /// Whether one more request of the route may wait here.
+    /// Whether one more request of the route may be parked.
     fn may_park(&self, now: Time, admission: &Admission, denial: &Denial, ahead: usize) -> bool {
         let share = self.holder.share(now, &admission.route);
         let bound = match denial.reason {
-            // The share was requested; until it is granted, its bound is
-            // unknown.
+            // The instance's share has been requested, but the number of requests
+            // that it lets wait is unknown until it is granted.
             DenialReason::NoShare => admission.limits.queued,
             _ => share.queued,
         };
@@ -259,7 +262,8 @@
         self.admit_parked(now, out);
     }
 
-    /// Places a request on a path, queues it until one is free, or refuses it.
+    /// Places a request on a path, or queues it until one is free. Refuses it if
+    /// its deadline would pass in the queue.
     pub(crate) fn place(
         &mut self,
         now: Time,
@@ -445,7 +449,7 @@
         }
     }
 
-    /// Places requests of a lane while paths are free.
+    /// Places waiting requests of a lane as long as paths are free.
     fn place_waiting(&mut self, now: Time, key: &LaneKey, out: &mut Vec<Notification<W>>) {
         let Some(lane) = self.lanes.get_mut(key) else {
             return;
@@ -486,9 +490,9 @@
     }
 }
 
-/// Chooses a path that avoids the excluded upstreams, or one through them if
-/// there is no other: a stage that failed once may be the only one with its
-/// layers.
+/// Chooses a path that avoids the excluded upstreams. If there is none, chooses
+/// one through them, since an upstream that failed once may be the only one with
+/// its layers.
 fn choose(router: &mut Router, now: Time, placement: &Placement) -> Result<Choice, NoPath> {
     match router.choose(now, &placement.query(&placement.exclude)) {
         Err(NoPath {
--- a/src/entry/reroute.rs
+++ b/src/entry/reroute.rs
@@ -135,7 +135,7 @@
         taken
     }
 
-    /// The engine of the path that the attempt waits for.
+    /// Returns the engine of the path that the attempt waits for.
     async fn stalled_engine(&self, selection: &Selection) -> Option<u64> {
         if let Some(dead) = self.known_dead(selection) {
             return Some(dead);
@@ -152,7 +152,8 @@
         }
     }
 
-    /// An engine of the path that was found dead by this instance, or by several instances.
+    /// Returns an engine of the path that this instance found dead, or that several instances
+    /// suspect.
     fn known_dead(&self, selection: &Selection) -> Option<u64> {
         let now = self.entry.now();
         let view = self.entry.view();
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -29,6 +29,7 @@
 
 /// Applies the catalogue's commands and extends its lease. Does no I/O.
 pub(crate) struct CatalogueFollower {
+    /// Catalogue as of the last applied command.
     state: CatalogueState,
     voters: Vec<InstanceId>,
     /// Position in `voters` of the one polled next.
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Returns the last changes, at most `most`, newest last.
+    /// Returns the latest changes, at most `most`, newest last.
     pub(crate) fn history(&self, most: usize) -> Vec<PastChange> {
         self.state.history(most)
     }
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -1,6 +1,6 @@
 //! Replicated log: elections, replication, snapshots and membership changes.
 //!
-//! A [`Replica`] is one group's member on one store. It follows Raft
+//! A [`Replica`] is the member of one group on one store. It implements Raft
 //! (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with pre-vote,
 //! check-quorum, read index, leadership transfer and membership changes of one
 //! server at a time. It does no I/O: [`Replica::step`] takes an [`Event`] and
@@ -48,12 +48,12 @@
 use self::rejoin::Rejoin;
 use self::snapshot::IncomingSnapshot;
 
-/// Election timeouts for which a non-member that sent a hello is listed. It
-/// sends the next hello after two at the latest.
+/// Number of election timeouts for which a non-member is listed after its latest
+/// hello. It sends the next hello within two.
 const NON_MEMBER_TIMEOUTS: u32 = 6;
 
 /// Divisor of the election timeout for a replica that has just started. The
-/// result exceeds the usual heartbeat interval, a fourth of the timeout.
+/// result must exceed the usual heartbeat interval, a fourth of the timeout.
 const INITIAL_TIMEOUT_DIVISOR: u32 = 3;
 
 /// Boot counter of a store whose directory was empty.
@@ -63,21 +63,22 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Settings {
     pub(crate) group: u32,
-    /// This store.
+    /// Identity of this store.
     pub(crate) me: Peer,
     /// Boot counter of this store.
     pub(crate) boot: u64,
-    /// Random number of this process.
+    /// Random number that identifies this process.
     pub(crate) run: u64,
-    /// Instances that may know the leader. A non-member sends its hellos to them.
+    /// Instances that may know the leader. Hellos are sent to them and to the
+    /// known members.
     pub(crate) contacts: Vec<u64>,
-    /// Shortest election timeout; the longest is twice as long.
+    /// Minimum election timeout; the maximum is twice as long.
     pub(crate) election_timeout: Duration,
     /// Time between heartbeats, a small fraction of `election_timeout`.
     pub(crate) heartbeat_interval: Duration,
-    /// Seed of the election timeouts.
+    /// Seed of the random election timeouts.
     pub(crate) seed: u64,
-    /// Entries before a snapshot that are retained for lagging followers.
+    /// Number of entries before a snapshot that are retained for lagging followers.
     pub(crate) retained_entries: u64,
 }
 
@@ -102,7 +103,7 @@
     Read(u64),
     /// A request for a membership change, by ticket.
     Change(u64, Change),
-    /// The write with this number and all earlier ones are synced.
+    /// The write with this number and all earlier writes are synced.
     Persisted(u64),
     /// A snapshot of the state machine after the applied entry at `index`.
     Compact { index: u64, data: Bytes },
@@ -118,53 +119,55 @@
     Leader(Box<Leadership>),
 }
 
-/// One group's member on one store.
+/// Member of one group on one store.
 #[derive(Debug)]
 pub(crate) struct Replica {
     settings: Settings,
     rng: ChaCha8Rng,
     now: Time,
-    /// Only grows.
+    /// Current term. Never decreases.
     term: u64,
-    /// Set at most once a term.
+    /// Vote in the current term. Set at most once per term.
     vote: Option<Peer>,
     log: Log,
-    /// Only grows, never past the log's end. Entries up to it are never
-    /// overwritten.
+    /// Commit index. Never decreases or exceeds the last index of the log. Entries
+    /// up to it are never overwritten.
     commit: u64,
-    /// Only grows, not past `commit` or `synced`.
+    /// Index of the last applied entry. Never decreases, or exceeds `commit` or
+    /// `synced`.
     applied: u64,
-    /// Last index known to be synced here.
+    /// Last index known to be synced on this store.
     synced: u64,
     state: RaftState,
     /// Leader of the current term, if known.
     leader: Option<Peer>,
-    /// When the leader's last message arrived.
+    /// Arrival time of the leader's latest message.
     leader_contact: Option<Time>,
-    /// When a follower or candidate starts its next campaign.
+    /// Time at which a follower or candidate starts its next campaign.
     deadline: Time,
-    /// Issued writes that aren't synced, each with the log's last index.
+    /// Numbers of the writes that aren't synced, each with the last index of the log
+    /// at that write.
     unsynced_writes: VecDeque<(u64, u64)>,
-    /// Whether term or vote changed in this step.
+    /// Whether the term or the vote changed in this step.
     hard_state_dirty: bool,
     /// Whether a snapshot was taken or received in this step.
     snapshot_dirty: bool,
-    /// First index that was changed in this step.
+    /// First index of the log that changed in this step.
     first_unsaved: Option<u64>,
-    /// Proposals of this leader by index.
+    /// Tickets of this leader's pending proposals, by index.
     tickets: BTreeMap<u64, u64>,
     reads: Reads,
     incoming: Option<IncomingSnapshot>,
-    /// Stores that sent a hello, by instance, and when.
+    /// Stores that sent a hello, by instance, with the time of the latest.
     hello_senders: BTreeMap<u64, (Peer, Time)>,
-    /// When this store began its latest peer query.
+    /// Start time of this store's latest peer query.
     query_started: Time,
     /// Whether this store may vote and acknowledge.
     rejoin: Rejoin,
-    /// Whether this run has sent its first hellos.
+    /// Whether this process has sent its first hellos.
     hello_sent: bool,
     outbox: Outbox,
-    /// Term, vote, commit and applied after the last step.
+    /// Values of `term`, `vote`, `commit` and `applied` after the last step.
     last_checked: (u64, Option<Peer>, u64, u64),
 }
 
@@ -234,7 +237,7 @@
         out.append(&mut self.outbox.effects);
     }
 
-    /// This store.
+    /// Identity of this store.
     pub(crate) fn me(&self) -> Peer {
         self.settings.me
     }
@@ -263,8 +266,8 @@
         &self.log
     }
 
-    /// Non-members that sent a hello lately. Empty during bootstrap, when every
-    /// initial voter's store is new.
+    /// Non-members that sent a recent hello. Empty during bootstrap, when the
+    /// membership doesn't contain the stores of the initial voters yet.
     pub(crate) fn non_members(&self) -> impl Iterator<Item = Peer> + '_ {
         let members = self.log.members().1;
         let limit = NON_MEMBER_TIMEOUTS * self.settings.election_timeout;
@@ -275,7 +278,7 @@
             .filter(|&p| !members.is_bootstrapping() && members.role(p).is_none())
     }
 
-    /// Milliseconds since each other member last answered, on the leader.
+    /// Milliseconds since each other member last answered. Empty unless this replica leads.
     pub(crate) fn silences(&self) -> Vec<(Peer, u64)> {
         let RaftState::Leader(lead) = &self.state else {
             return Vec::new();
@@ -286,7 +289,7 @@
             .collect()
     }
 
-    /// State that a rewritten log file must hold.
+    /// State that a rewritten log file must contain.
     pub(crate) fn durable_state(&self) -> DurableState {
         DurableState {
             hard: self.hard_state(),
@@ -343,11 +346,13 @@
         }
     }
 
-    /// Adopts a higher term. Returns whether to handle the message.
+    /// Adopts the term of a message if it is higher. Returns whether to handle the
+    /// message.
     fn accept_term(&mut self, from: Peer, term: u64, body: &Body) -> bool {
         match body {
-            // A read is answered by a leader that confirms its leadership after
-            // the request, whatever the term; the other messages carry no term.
+            // A leader answers a read only after it has confirmed its leadership,
+            // so the term of the request doesn't matter. The other messages don't
+            // depend on a term.
             Body::Read(_)
             | Body::ReadAck(_)
             | Body::Hello(_)
@@ -355,7 +360,8 @@
             | Body::HelloAck(_)
             | Body::Superseded(_)
             | Body::HelloRequest(_) => return true,
-            // A pre-vote names a term that nobody has entered yet.
+            // A pre-vote contains the term of a possible later election, which must
+            // not be adopted before that election begins.
             Body::Vote(vote) if vote.pre => return true,
             Body::VoteAck(ack) if ack.pre && ack.granted => return true,
             Body::Vote(vote) if !vote.transfer && self.has_recent_leader() => return false,
@@ -372,11 +378,11 @@
         true
     }
 
-    /// Tells the sender of an older term the current one.
+    /// Replies with the current term to a sender with an older one.
     fn reject_stale_term(&mut self, from: Peer, body: &Body) {
         match body {
-            // The sender may lead this term by the time the reply arrives, so
-            // every field must be accurate.
+            // The sender may be the leader of the current term by the time the
+            // reply arrives and evaluate it, so every field must be accurate.
             Body::Append(_) | Body::Chunk(_) => self.ack(from, false, 0, 0, 0),
             Body::Vote(_) => {
                 let ack = Body::VoteAck(message::VoteAck::default());
@@ -407,7 +413,7 @@
         self.reset_deadline();
     }
 
-    /// Fails the proposals and reads that wait for this leader.
+    /// Fails the pending proposals and reads of this leader.
     fn fail_pending(&mut self) {
         let tickets = std::mem::take(&mut self.tickets);
         for ticket in tickets.into_values() {
@@ -425,15 +431,15 @@
     }
 
     /// Sets a shorter deadline for a replica that has had no contact with a
-    /// leader in this run.
+    /// leader since this process started.
     ///
-    /// After a restart of all voters there is no leader, and waiting for the
-    /// whole timeout delayed the election: it took 0.63 s for five killed
-    /// voters, counted from the restart of the third.
+    /// After a restart of all voters there is no leader. With the full timeout,
+    /// the election of five killed voters took 0.63 s after the restart of the
+    /// third.
     ///
-    /// A working leader isn't disturbed. Its next heartbeat arrives earlier; if
-    /// it doesn't, the leader's followers ignore the pre-vote, and the cost is
-    /// one message to each voter.
+    /// A working leader isn't disturbed. Its next heartbeat usually arrives before
+    /// the deadline. If it doesn't, its followers ignore the pre-vote, and the cost
+    /// is one message to each voter.
     fn reset_initial_deadline(&mut self) {
         self.set_deadline(self.settings.election_timeout / INITIAL_TIMEOUT_DIVISOR);
     }
--- a/src/replica/election.rs
+++ b/src/replica/election.rs
@@ -10,18 +10,19 @@
 /// A running campaign of this replica.
 #[derive(Debug)]
 pub(super) struct Campaign {
-    /// Whether this is the pre-vote.
+    /// Whether this is a pre-vote, which precedes the election in a new term.
     pre: bool,
-    /// Whether the leader requested it to transfer leadership.
+    /// Whether the leader requested the campaign to transfer its leadership.
     transfer: bool,
-    /// Peers that granted their vote, with the boot counter of the run that did.
+    /// Peers that granted their vote, each with its boot counter at that time.
     votes: BTreeMap<Peer, u64>,
-    /// Highest boot counter that any voter has seen, by store.
+    /// Highest boot counter of each store that any voter has reported.
     seen: BTreeMap<u64, u64>,
 }
 
 impl Campaign {
-    /// Whether the vote of `peer` counts. Initial voters are known by instance only.
+    /// Whether `peer` has granted a vote that counts. Initial voters have no store
+    /// id in the membership and are identified by instance.
     fn has_vote(&self, peer: Peer) -> bool {
         let mut votes = self.votes.iter();
         votes.any(|(voter, boot)| {
@@ -30,8 +31,8 @@
         })
     }
 
-    /// Records the runs that a voter has seen. Votes of earlier runs no longer
-    /// count, since the later run may have voted for another candidate.
+    /// Records the latest runs of stores that a voter has reported. Votes of earlier
+    /// runs no longer count, since the later run may have voted for another candidate.
     pub(super) fn record_seen_runs(&mut self, seen: &[SeenRun]) {
         for seen in seen {
             let boot = self.seen.entry(seen.store).or_default();
@@ -41,11 +42,11 @@
 }
 
 impl Replica {
-    /// Whether a leader was in contact within the election timeout.
+    /// Whether this replica leads, or received a message from the leader within
+    /// the election timeout.
     ///
-    /// A member that can't reach the leader, or that was removed, would
-    /// otherwise depose a working leader. Voters with a recent leader ignore its
-    /// requests for votes.
+    /// If so, it ignores requests for votes. Otherwise, a member that can't reach
+    /// the leader, or that was removed, would depose a working leader.
     pub(super) fn has_recent_leader(&self) -> bool {
         if self.is_leader() {
             return true;
@@ -76,13 +77,14 @@
         self.reset_deadline();
     }
 
-    /// Announces this store even if its own log lists it as a member, since the
-    /// entry that added it may have been overwritten on the other stores.
+    /// Sends a hello to all contacts and members. A store does so even if its own
+    /// log lists it as a member, since the entry that added it may have been
+    /// overwritten on the other stores.
     pub(super) fn send_hellos(&mut self) {
         self.send_hellos_except(&BTreeSet::new());
     }
 
-    /// Sends a hello to all contacts and members outside of `skipped`.
+    /// Sends a hello to all contacts and members except the instances in `skipped`.
     pub(super) fn send_hellos_except(&mut self, skipped: &BTreeSet<u64>) {
         for &id in self.known_instances().difference(skipped) {
             let hello = Body::Hello(Hello::default());
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Instances of all contacts and members, without this one.
+    /// Ids of all other instances that are contacts or have a member.
     fn known_instances(&self) -> BTreeSet<u64> {
         let members = &self.log.members().1.members;
         let members = members.iter().map(|m| m.id);
@@ -103,8 +105,8 @@
     /// Records the sender of a hello, answers it, and forwards a non-member's
     /// hello to the leader.
     ///
-    /// A store that comes back with an empty disk knows only its configured
-    /// contacts. If the leader is none of them, the store would never be added,
+    /// A store that restarts with an empty disk knows only its configured contacts.
+    /// Without forwarding, it would never be added if the leader isn't one of them,
     /// and the next failure could cost the quorum.
     pub(super) fn on_hello(&mut self, from: Peer, run: u64) {
         self.hello_senders.insert(from.id, (from, self.now));
@@ -137,7 +139,8 @@
             votes: BTreeMap::new(),
             seen: BTreeMap::new(),
         });
-        // A vote waits for syncs, which may be slow; a pre-vote doesn't.
+        // Votes wait for a sync, which may be slow, so only a pre-vote gets the
+        // shorter timeout.
         if pre && self.leader_contact.is_none() {
             self.reset_initial_deadline();
         } else {
@@ -156,7 +159,7 @@
                 self.outbox.reply(peer, term, Body::Vote(vote));
             }
         }
-        // This replica's own vote counts once it's synced, like any other.
+        // This replica's own vote counts only once it is synced, like the others.
         let ack = VoteAck {
             pre,
             granted: true,
@@ -220,7 +223,7 @@
         }
     }
 
-    /// Becomes the leader and appends the first entry of the term.
+    /// Makes this replica the leader and appends the first entry of the term.
     fn become_leader(&mut self) {
         let me = self.settings.me;
         let RaftState::Candidate(campaign) =
@@ -261,7 +264,7 @@
         lead.transfer_sent = false;
     }
 
-    /// Tells the transfer target to campaign once it holds every entry.
+    /// Requests the transfer target to campaign once its log contains every entry.
     pub(super) fn continue_transfer(&mut self) {
         let last = self.log.last_index();
         let RaftState::Leader(lead) = &mut self.state else {
@@ -283,7 +286,8 @@
     }
 }
 
-/// Builds the first membership with store ids from the unanimous votes.
+/// Builds the first membership that contains store ids, from the votes of all
+/// initial voters.
 fn bootstrap_membership<'a>(votes: impl Iterator<Item = &'a Peer>) -> Membership {
     let mut members = Membership::default();
     for &peer in votes {
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -255,7 +255,8 @@
         }
     }
 
-    /// Marks an upstream as changed, for changes outside its announcements.
+    /// Marks an upstream as changed if it is in the roster. Used for changes that don't come from
+    /// its announcements.
     pub(crate) fn mark_changed(&mut self, id: &Arc<str>) {
         if self.entries.contains_key(id) {
             self.changes.note_change(id);
--- a/src/route/engines.rs
+++ b/src/route/engines.rs
@@ -13,10 +13,11 @@
 use crate::collections::HashMap;
 use crate::id::UpstreamId;
 
-/// All engines, at stable indices while they are in use.
+/// All engines. An engine keeps its index in `slab` while it is in use.
 #[derive(Debug, Default)]
 pub(crate) struct Engines {
     slab: Vec<Engine>,
+    /// Index in `slab` of each engine.
     by_id: HashMap<UpstreamId, u32>,
     peers: Vec<PeerGroup>,
     /// Recent failures by failure domain.
--- a/src/sync.rs
+++ b/src/sync.rs
@@ -15,58 +15,61 @@
 use crate::decide::run_history::EngineStart;
 use crate::roster::{Announcement, LayerRange, RosterEntry};
 
-/// Requests the changes that the sender lacks, and reports its load.
+/// Requests the changes that the sending entry instance lacks, and reports its load.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct SyncRequest {
-    /// The sender.
+    /// Id of the sender.
     #[prost(uint64, tag = "1")]
     pub(crate) instance: u64,
-    /// Version of the sender's configuration.
+    /// Version of the sender's configuration; 0 if it has none.
     #[prost(uint64, tag = "2")]
     pub(crate) version: u64,
-    /// Term and revision of the sender's roster.
+    /// Term of the leader that the sender's roster comes from.
     #[prost(uint64, tag = "3")]
     pub(crate) term: u64,
+    /// Revision of the sender's roster in `term`.
     #[prost(uint64, tag = "4")]
     pub(crate) revision: u64,
-    /// The sender's load on each engine.
+    /// Load that the sender's requests put on each engine.
     #[prost(message, repeated, tag = "5")]
     pub(crate) loads: Vec<Load>,
-    /// Address keys of upstreams that did not answer the sender lately.
+    /// Address keys of upstreams that the sender suspects to be dead.
     #[prost(uint64, repeated, tag = "6")]
     pub(crate) suspects: Vec<u64>,
     /// Whether the sender's roster contains every live upstream.
     #[prost(bool, tag = "7")]
     pub(crate) complete: bool,
-    /// Number of requests that asked the sender for free memory on engines between two
-    /// reports; 1 while it is unknown.
+    /// Number of the sender's requests that needed free memory on engines between two reports;
+    /// 1 while it is unknown.
     #[prost(uint32, tag = "8")]
     pub(crate) room_requests: u32,
-    /// Runs that an engine crash cut off and that the leader has not acknowledged.
+    /// Runs that an engine crash cut off, until the leader acknowledges them.
     #[prost(message, repeated, tag = "9")]
     pub(crate) cut: Vec<CutRecord>,
-    /// Requests that the leader suspects and that ran without harm.
+    /// Requests that the leader suspects of crashing engines, but that ran without harm.
     #[prost(message, repeated, tag = "10")]
     pub(crate) harmless: Vec<HarmlessRecord>,
     /// Checksum of the sender's quarantine; 0 if it is empty.
     #[prost(fixed64, tag = "11")]
     pub(crate) quarantine_checksum: u64,
-    /// The latest limit update that the sender has of each upstream.
+    /// Latest rate-limit updates that the sender knows, at most one of each upstream.
     #[prost(message, repeated, tag = "12")]
     pub(crate) limits: Vec<LimitRecord>,
 }
 
-/// The latest update of an upstream's rate limit.
+/// Latest update of an upstream's rate limit.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct LimitRecord {
-    /// See [`address_key`].
+    /// Address key of the upstream.
     #[prost(fixed64, tag = "1")]
     pub(crate) address: u64,
+    /// Id of the upstream.
     #[prost(string, tag = "2")]
     pub(crate) id: String,
+    /// Incarnation of the upstream.
     #[prost(uint64, tag = "3")]
     pub(crate) born: u64,
-    /// Requests per second across all instances; `None` if the limit was lifted.
+    /// Maximum requests per second from all instances; `None` if the limit was lifted.
     #[prost(double, optional, tag = "4")]
     pub(crate) limit: Option<f64>,
     /// Microseconds since the update.
@@ -102,13 +105,16 @@
 /// A run that an engine crash cut off shortly after it began.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct CutRecord {
-    /// Id of the engine, and its incarnation.
+    /// Id of the engine.
     #[prost(string, tag = "1")]
     pub(crate) engine: String,
+    /// Incarnation of the engine.
     #[prost(uint64, tag = "2")]
     pub(crate) born: u64,
+    /// Fingerprint of the request.
     #[prost(bytes = "vec", tag = "3")]
     pub(crate) fingerprint: Vec<u8>,
+    /// Organisation that sent the request.
     #[prost(string, tag = "4")]
     pub(crate) organisation: String,
     /// Microseconds since the run was cut off.
@@ -121,7 +127,7 @@
 pub(crate) struct HarmlessRecord {
     #[prost(bytes = "vec", tag = "1")]
     pub(crate) fingerprint: Vec<u8>,
-    /// Microseconds since the latest such run.
+    /// Microseconds since its latest harmless run.
     #[prost(uint64, tag = "2")]
     pub(crate) age: u64,
 }
@@ -129,57 +135,59 @@
 /// Load on one engine.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub(crate) struct Load {
-    /// Address of the engine; see [`address_key`].
+    /// Address key of the engine.
     #[prost(fixed64, tag = "1")]
     pub(crate) engine: u64,
-    /// Memory that the requests are expected to use, in megabytes.
+    /// Expected memory use of the requests, in megabytes.
     #[prost(uint32, tag = "2")]
     pub(crate) memory: u32,
-    /// Number of requests that it processes.
+    /// Number of requests whose path contains the engine.
     #[prost(uint32, tag = "3")]
     pub(crate) requests: u32,
-    /// Number of those that it received as the first engine of their path.
+    /// Number of requests whose path begins at the engine.
     #[prost(uint32, tag = "4")]
     pub(crate) first_hops: u32,
 }
 
-/// Reply to a [`SyncRequest`] with the changes that its sender lacks.
+/// Reply to a [`SyncRequest`], with the changes that the instance lacks.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct SyncReply {
-    /// Microseconds since a quorum confirmed the content of the reply.
+    /// Microseconds since a quorum confirmed that the reply is current.
     #[prost(uint64, tag = "1")]
     pub(crate) age: u64,
-    /// Version of the configuration in force; 0 if there is none yet.
+    /// Version of the configuration in force; 0 if there is none.
     #[prost(uint64, tag = "2")]
     pub(crate) version: u64,
-    /// The compressed configuration, if the instance has another version.
+    /// Compressed configuration, if the instance has another version.
     #[prost(bytes = "bytes", optional, tag = "3")]
     pub(crate) body: Option<Bytes>,
+    /// Changes of the roster, if the instance's roster is out of date.
     #[prost(message, optional, tag = "4")]
     pub(crate) roster: Option<RosterDelta>,
-    /// Load of the other instances; not in every reply.
+    /// Load of the other instances; sent only with some replies.
     #[prost(message, optional, tag = "5")]
     pub(crate) work: Option<FleetLoad>,
-    /// Number of entry instances that sent a request lately.
+    /// Number of entry instances that sent a recent request.
     #[prost(uint32, tag = "6")]
     pub(crate) entries: u32,
-    /// The voters.
+    /// Ids of the controllers that are members of the voter group.
     #[prost(uint64, repeated, tag = "7")]
     pub(crate) voters: Vec<u64>,
-    /// Whether every entry instance has had the time to send a request to this leader, so
-    /// that `entries` and the sums of the load are complete.
+    /// Whether the leader's term has lasted long enough for every entry instance to send a
+    /// request, so that `entries` and the load in `work` are complete.
     #[prost(bool, tag = "8")]
     pub(crate) entries_known: bool,
     /// Term of the leader.
     #[prost(uint64, tag = "9")]
     pub(crate) term: u64,
-    /// Fingerprints of suspect requests. The instance reports those that ran without harm.
+    /// Fingerprints of requests suspected of crashing engines. The instance reports those that
+    /// ran without harm.
     #[prost(bytes = "vec", repeated, tag = "10")]
     pub(crate) suspects: Vec<Vec<u8>>,
-    /// The quarantine, if the instance's checksum differs.
+    /// Quarantined requests, if the checksum in the request differs.
     #[prost(message, optional, tag = "11")]
     pub(crate) quarantine: Option<QuarantineRecord>,
-    /// The latest limit update of each upstream, from all instances.
+    /// Latest rate-limit updates from all instances, at most one of each upstream.
     #[prost(message, repeated, tag = "12")]
     pub(crate) limits: Vec<LimitRecord>,
 }
@@ -187,6 +195,7 @@
 /// All quarantined requests.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct QuarantineRecord {
+    /// Checksum of the whole quarantine.
     #[prost(fixed64, tag = "1")]
     pub(crate) checksum: u64,
     #[prost(message, repeated, tag = "2")]
@@ -198,17 +207,18 @@
 pub(crate) struct QuarantinedRecord {
     #[prost(bytes = "vec", tag = "1")]
     pub(crate) fingerprint: Vec<u8>,
-    /// Remaining milliseconds of the quarantine.
+    /// Time until the quarantine of this request ends, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub(crate) remaining_ms: u64,
 }
 
-/// Load on all engines.
+/// Load that other instances put on the engines.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct FleetLoad {
     #[prost(message, repeated, tag = "1")]
     pub(crate) loads: Vec<Load>,
-    /// Number of requests at all instances that asked for free memory between two reports.
+    /// Number of requests that needed free memory between two reports, summed over all
+    /// instances.
     #[prost(uint32, tag = "2")]
     pub(crate) room_requests: u32,
 }
@@ -216,28 +226,28 @@
 /// Changes of the leader's roster after a revision.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct RosterDelta {
+    /// Term of the leader.
     #[prost(uint64, tag = "1")]
     pub(crate) term: u64,
-    /// Revision of the instance's roster once the changes are applied.
+    /// Revision that the instance's roster has after the changes.
     #[prost(uint64, tag = "2")]
     pub(crate) revision: u64,
-    /// Whether the instance then knows every live upstream: no changes are left, and the leader
-    /// has led long enough to have received a heartbeat of each. Until then, upstreams that were
-    /// not sent may be live, too.
+    /// Whether the roster then contains every live upstream: no changes are left, and the term
+    /// has lasted long enough for a heartbeat of each. If false, unlisted upstreams may be live.
     #[prost(bool, tag = "3")]
     pub(crate) complete: bool,
     #[prost(message, repeated, tag = "4")]
     pub(crate) upstreams: Vec<UpstreamRecord>,
-    /// Incarnations that have left, newest last; sent until the roster is complete.
+    /// Incarnations that have left, newest last; sent until `complete` is true.
     #[prost(message, repeated, tag = "5")]
     pub(crate) departed: Vec<crate::register::Departed>,
-    /// Revision after which the changes begin; 0 for the full roster.
+    /// Revision to which the changes apply; 0 if they contain the full roster.
     #[prost(uint64, tag = "6")]
     pub(crate) since: u64,
-    /// Ids that were removed from the roster.
+    /// Ids of upstreams removed from the roster.
     #[prost(string, repeated, tag = "7")]
     pub(crate) removed: Vec<String>,
-    /// Whether more changes can be requested right away.
+    /// Whether further changes can be requested at once.
     #[prost(bool, tag = "8")]
     pub(crate) more: bool,
 }
@@ -251,7 +261,7 @@
     pub(crate) born: u64,
     #[prost(string, tag = "3")]
     pub(crate) service: String,
-    /// See [`address_key`].
+    /// Address key of the upstream.
     #[prost(fixed64, tag = "4")]
     pub(crate) address: u64,
     #[prost(string, tag = "5")]
@@ -260,18 +270,19 @@
     pub(crate) slots: u32,
     #[prost(string, optional, tag = "7")]
     pub(crate) kind: Option<String>,
-    /// Layers for which it accepts requests; both 0 if there are none.
+    /// First layer for which it accepts requests.
     #[prost(uint32, tag = "8")]
     pub(crate) first: u32,
+    /// End of these layers, exclusive; 0 if it accepts requests for none.
     #[prost(uint32, tag = "9")]
     pub(crate) end: u32,
-    /// Whether it is to be avoided because its heartbeats are late.
+    /// Whether its heartbeats are late, so that it should be avoided.
     #[prost(bool, tag = "10")]
     pub(crate) late: bool,
-    /// Factor on the usual duration of its work; 0 stands for 1.
+    /// Processing time relative to the usual one; 0 stands for 1.
     #[prost(float, tag = "11")]
     pub(crate) pace: f32,
-    /// Whether several instances failed to reach it.
+    /// Whether several instances suspect it to be dead.
     #[prost(bool, tag = "12")]
     pub(crate) suspected: bool,
 }
