--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -336,7 +336,7 @@
     /// orders don't wait for engines that join: while an operator replaced one engine per
     /// second, there was always one that had just joined, and gaps stayed open for 5.5 s.
     fn may_order(&self, now: Time) -> bool {
-        // By then, upstreams without a heartbeat in this term have been removed.
+        // By then, silent upstreams have been removed.
         let silent_removed = now.since(self.term_start) >= self.heartbeat.mul_f64(LOST_HEARTBEATS);
         self.is_complete(now) && (silent_removed || self.roster.is_settled(now))
     }
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -114,7 +114,7 @@
     pub(crate) last_heartbeat: Time,
     /// Whether it is avoided because its heartbeats are late.
     pub(crate) late: bool,
-    /// Factor on the usual duration of its work: 1 is normal speed, higher is slower.
+    /// Processing time relative to the usual one: 1 is normal, higher is slower.
     pub(crate) pace: f64,
     /// Whether several instances failed to reach it.
     pub(crate) suspected: bool,
