--- a/src/decide/members.rs
+++ b/src/decide/members.rs
@@ -10,7 +10,7 @@
 
 /// Silence after which a voter is replaced by a waiting store. A restart takes a second; a
 /// machine that was only frozen for longer returns as a waiting store and loses nothing.
-const MAX_SILENCE: Duration = Duration::from_secs(3);
+pub(crate) const MAX_SILENCE: Duration = Duration::from_secs(3);
 
 /// State of a voter as seen by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
